--- a/crates/deckwind-core/src/state/claims.rs
+++ b/crates/deckwind-core/src/state/claims.rs
@@ -1,106 +1,107 @@
-//! Claims: at most one run of a request that may not be repeated.
+//! Claims: at-most-once execution of requests that must not be retried.
 //!
 //! ```text
 //!            Claim                Finish(outcome)
-//!  (absent) ───────► InProgress ───────────────────► Done(outcome)
-//!                        │ HolderGone / Finish(unknown)
-//!                        └──────────────────────────► Unknown
+//!  (absent) ───────► InProgress ───────────────────► Ended(outcome)
+//!                        │ HolderGone / Finish(Unknown)
+//!                        └──────────────────────────► Ended(Unknown)
 //! ```
 //!
-//! The claim is committed before the first byte goes to a target. Whoever
-//! finds the key taken never sends: it gets the recorded answer, "in
-//! progress", or "unknown". A `NotRun` outcome frees the key, since then the
-//! request certainly did not run.
+//! A claim is committed before the first byte of the request goes to a target.
+//! A router that finds the key already claimed does not send the request: it
+//! gets the recorded answer, `InProgress` or `Unknown`. The `NotRun` outcome
+//! frees the key, because the request certainly did not run.
 
 use super::names::{AccountName, VmName};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A router's process: a restarted router is another holder.
+/// A router process that holds claims. A restarted router is a different holder.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Holder {
-    /// Its VM.
+    /// The VM that the process runs on.
     pub vm: VmName,
-    /// Random number of this start of the process.
+    /// Random number drawn at the start of the process.
     pub boot: u64,
 }
 
-/// Whose request: the key of one account never meets another account's.
+/// Key of a claim. Scoped by account, so equal keys of two accounts do not collide.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClaimKey {
     /// The client account.
     pub account: AccountName,
-    /// Its `Idempotency-Key`, or the one that the router made.
+    /// `Idempotency-Key` of the request, or a key that the router generated.
     pub key: String,
 }
 
-/// How a claimed request ended.
+/// Outcome of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The answer, as given to the caller.
+    /// The request was answered; holds the answer as sent to the caller.
     Answer {
         /// HTTP status.
         status: u16,
-        /// Body; empty if it was above the bound.
+        /// Body; empty if it exceeded the size limit.
         body: Vec<u8>,
-        /// Whether the body was above the bound and was left out.
+        /// Whether the body was omitted because it exceeded the size limit.
         truncated: bool,
     },
-    /// It was certainly not run: the key is free again.
+    /// The request certainly did not run; the key is free again.
     NotRun,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
 
-/// Where a claim is.
+/// Status of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimStatus {
-    /// Its holder may be running it.
+    /// The holder may be running the request.
     InProgress,
-    /// Ended with an answer, or possibly run.
+    /// The request ended with an answer, or may have run.
     Ended(Outcome),
 }
 
-/// One row of the table.
+/// A row of the claim table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Who claimed it.
+    /// Router process that made the claim.
     pub holder: Holder,
     /// Digest of the request.
     pub digest: u64,
-    /// Names the holder's try, so that its resend is told from another's try.
+    /// Identifies the attempt, which distinguishes a resend by the same holder from
+    /// another attempt.
     pub nonce: u64,
-    /// When it was claimed, milliseconds since the Unix epoch.
+    /// Time of the claim, milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// Where it is.
+    /// Current status.
     pub status: ClaimStatus,
 }
 
-/// What a router may do.
+/// Answer to a claim: what the router may do with the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimVerdict {
-    /// The claim is yours: send it, once.
+    /// The router holds the claim and may send the request once.
     Granted,
-    /// It was answered before: give the recorded answer.
+    /// The request was already answered; the router returns the recorded answer.
     Recorded(Outcome),
-    /// Another try is running it: say when to come back.
+    /// Another attempt is running the request; the caller should retry later.
     InProgress,
-    /// It may have run: never send it.
+    /// The request may have run and must not be sent.
     Unknown,
-    /// The same key came with another request.
+    /// The key was already used with a different request.
     OtherRequest,
-    /// The table is full: refuse as not run.
+    /// The table is full; the router refuses the request as not run.
     Full,
 }
 
-/// Bounds of the table.
+/// Limits of the claim table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimLimits {
-    /// How long an ended claim is remembered, milliseconds.
+    /// Retention time of ended claims, milliseconds.
     pub keep_ms: u64,
-    /// Most rows.
+    /// Maximum number of rows.
     pub max_rows: usize,
-    /// Most bytes of recorded answers.
+    /// Maximum total size of recorded answer bodies, bytes.
     pub max_answer_bytes: usize,
 }
 
@@ -114,7 +115,7 @@
     }
 }
 
-/// All claims, with the order in which they were made.
+/// All claims, and the order in which they were made.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimTable {
     rows: BTreeMap<ClaimKey, Claim>,
@@ -124,7 +125,7 @@
 }
 
 impl ClaimTable {
-    /// An empty table with these bounds.
+    /// Creates an empty table with these limits.
     pub fn new(limits: ClaimLimits) -> Self {
         Self {
             limits,
@@ -132,26 +133,26 @@
         }
     }
 
-    /// Number of rows.
+    /// Returns the number of rows.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether there is no row.
+    /// Returns whether the table has no rows.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// The claim on this key.
+    /// Returns the claim on `key`.
     pub fn get(&self, key: &ClaimKey) -> Option<&Claim> {
         self.rows.get(key)
     }
 
-    /// Claims `key` for a holder, or says what became of it.
+    /// Claims `key` for the holder, or returns the state of the existing claim.
     pub(super) fn claim(&mut self, key: ClaimKey, claim: Claim) -> ClaimVerdict {
         self.expire(claim.at_ms);
         if let Some(old) = self.rows.get(&key) {
-            return verdict(old, &claim);
+            return verdict_on_existing(old, &claim);
         }
         if self.rows.len() >= self.limits.max_rows {
             return ClaimVerdict::Full;
@@ -161,38 +162,39 @@
         ClaimVerdict::Granted
     }
 
-    /// Records how a claim ended, if `holder` holds it. What was unknown becomes
-    /// known if the holder turns out to be alive. `nonce` names the try: an
-    /// outcome that comes late or twice does not end a later one.
+    /// Records the outcome of a claim, if `holder` holds it. An `Unknown` outcome
+    /// is replaced if the holder turns out to be alive. `nonce` identifies the
+    /// attempt, so a late or duplicate outcome does not end a later attempt.
     pub(super) fn finish(&mut self, key: &ClaimKey, holder: &Holder, nonce: u64, outcome: Outcome) {
         let Some(row) = self.rows.get_mut(key) else {
             return;
         };
-        let open = matches!(
+        let unresolved = matches!(
             row.status,
             ClaimStatus::InProgress | ClaimStatus::Ended(Outcome::Unknown)
         );
-        if row.holder != *holder || row.nonce != nonce || !open {
+        if row.holder != *holder || row.nonce != nonce || !unresolved {
             return;
         }
         if outcome == Outcome::NotRun {
             self.rows.remove(key);
             return;
         }
-        let outcome = fit(outcome, self.limits.max_answer_bytes - self.answer_bytes);
-        self.answer_bytes += size(&outcome);
+        let outcome = truncate_body(outcome, self.limits.max_answer_bytes - self.answer_bytes);
+        self.answer_bytes += body_len(&outcome);
         row.status = ClaimStatus::Ended(outcome);
     }
 
-    /// Holders of claims in progress, each once.
+    /// Returns the distinct holders of claims in progress.
     pub fn holders_in_progress(&self) -> BTreeSet<Holder> {
-        let running = |c: &&Claim| c.status == ClaimStatus::InProgress;
-        let rows = self.rows.values().filter(running);
+        let in_progress = |c: &&Claim| c.status == ClaimStatus::InProgress;
+        let rows = self.rows.values().filter(in_progress);
         rows.map(|c| c.holder.clone()).collect()
     }
 
-    /// What a holder that is gone had claimed may have run.
-    pub(super) fn holder_gone(&mut self, holder: &Holder) {
+    /// Marks all claims in progress of a lost holder as `Unknown`: the requests may
+    /// have run.
+    pub(super) fn mark_holder_gone(&mut self, holder: &Holder) {
         for row in self.rows.values_mut() {
             if row.holder == *holder && row.status == ClaimStatus::InProgress {
                 row.status = ClaimStatus::Ended(Outcome::Unknown);
@@ -200,15 +202,16 @@
         }
     }
 
-    /// Drops ended claims past their time. One in progress stays, whatever its
-    /// age: forgetting it would let the request run again.
+    /// Removes ended claims older than the retention time. A claim in progress is
+    /// kept regardless of its age, because removing it would let the request run
+    /// again.
     fn expire(&mut self, now_ms: u64) {
         let mut still_running = Vec::new();
         while let Some((at_ms, _)) = self.order.front() {
             if at_ms + self.limits.keep_ms > now_ms {
                 break;
             }
-            let (at_ms, key) = self.order.pop_front().expect("front was there");
+            let (at_ms, key) = self.order.pop_front().expect("the queue has a front entry");
             match self.rows.get(&key) {
                 Some(row) if row.at_ms != at_ms => {}
                 Some(row) if row.status == ClaimStatus::InProgress => {
@@ -228,12 +231,12 @@
             return;
         };
         if let ClaimStatus::Ended(outcome) = &row.status {
-            self.answer_bytes -= size(outcome);
+            self.answer_bytes -= body_len(outcome);
         }
     }
 }
 
-fn verdict(old: &Claim, new: &Claim) -> ClaimVerdict {
+fn verdict_on_existing(old: &Claim, new: &Claim) -> ClaimVerdict {
     if old.digest != new.digest {
         return ClaimVerdict::OtherRequest;
     }
@@ -246,17 +249,18 @@
     }
 }
 
-fn size(outcome: &Outcome) -> usize {
+fn body_len(outcome: &Outcome) -> usize {
     match outcome {
         Outcome::Answer { body, .. } => body.len(),
         _ => 0,
     }
 }
 
-/// Leaves the body out where it does not fit: that it ran is what must stay.
-fn fit(outcome: Outcome, room: usize) -> Outcome {
+/// Drops the body of an answer that exceeds `max_body_bytes`. The outcome itself is
+/// kept, because it records that the request ran.
+fn truncate_body(outcome: Outcome, max_body_bytes: usize) -> Outcome {
     match outcome {
-        Outcome::Answer { status, body, .. } if body.len() > room => Outcome::Answer {
+        Outcome::Answer { status, body, .. } if body.len() > max_body_bytes => Outcome::Answer {
             status,
             body: Vec::new(),
             truncated: true,
--- a/crates/deckwind-core/src/state/command.rs
+++ b/crates/deckwind-core/src/state/command.rs
@@ -1,4 +1,4 @@
-//! Commands that go through the log, and their replies.
+//! Commands replicated through the log, and their replies.
 
 use super::claims::{ClaimKey, ClaimVerdict, Holder, Outcome};
 use super::encoding::{UnreadableState, from_bytes, to_bytes};
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// One change of one object.
+/// A change of one object.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Change {
@@ -21,140 +21,144 @@
     Account(Account),
     /// Writes a target.
     Target(Target),
-    /// Takes a template out of use.
+    /// Retires a template.
     RetireTemplate(TemplateName),
-    /// Takes a client account out of use.
+    /// Retires a client account.
     RetireAccount(AccountName),
-    /// Takes a target out of use: no new work from here on.
+    /// Retires a target: it gets no new work.
     RetireTarget(TargetName),
 }
 
-/// An operator's change.
+/// A change requested by an operator.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApplyRequest {
-    /// Same id on a resend: the first reply comes back.
+    /// Identifies the request: a resend with the same id gets the first reply.
     pub request_id: RequestId,
-    /// Revision of the object that the operator saw; zero for "does not
-    /// exist", nothing for "whatever it is".
+    /// Expected revision of the object; zero if it must not exist, `None` to write
+    /// unconditionally.
     #[serde(default)]
     pub expected: Option<Revision>,
-    /// What to write.
+    /// The change to write.
     pub change: Change,
 }
 
-/// A claim of a not-repeatable request.
+/// A claim of a request that must not be retried.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRequest {
-    /// Whose request.
+    /// Key of the claim.
     pub key: ClaimKey,
-    /// Who will send it.
+    /// Router process that will send the request.
     pub holder: Holder,
-    /// Digest of the request: the same key with another body is an error.
+    /// Digest of the request; reusing the key with a different body is an error.
     pub digest: u64,
-    /// Names this try of the holder's: a resend of it is granted again.
+    /// Identifies the attempt; a resend of the same attempt is granted again.
     pub nonce: u64,
 }
 
-/// How a claimed request ended.
+/// A report of the outcome of a claimed request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FinishRequest {
-    /// Whose request.
+    /// Key of the claim.
     pub key: ClaimKey,
-    /// Who claimed it.
+    /// Router process that made the claim.
     pub holder: Holder,
-    /// The try that it ends.
+    /// Identifies the attempt that ended.
     pub nonce: u64,
-    /// How.
+    /// Outcome of the request.
     pub outcome: Outcome,
 }
 
-/// What a command does.
+/// Kind and payload of a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CommandBody {
-    /// An operator's change.
+    /// Applies an operator's change.
     Apply(ApplyRequest),
-    /// Claims a not-repeatable request before its first byte is sent.
+    /// Claims a request that must not be retried, before its first byte is sent.
     Claim(ClaimRequest),
-    /// Records how a claimed request ended.
+    /// Records the outcome of a claimed request.
     Finish(FinishRequest),
-    /// The holder is gone: what it had claimed may have run.
+    /// Reports a lost holder; the requests that it had claimed may have run.
     HolderGone(Holder),
-    /// Publishes a release, unless one of its version or above holds.
+    /// Publishes a release, unless the current one has the same or a higher version.
     Publish(Box<Published>),
-    /// Targets announced themselves, changed, or left.
+    /// Records targets that announced themselves, changed or left.
     Instances(Vec<InstanceChange>),
-    /// Repeats were given to routers, or no longer count.
+    /// Records retry budget that was granted to routers or has expired.
     Repeats(Vec<RepeatChange>),
-    /// Targets ended under requests, or served them. With nothing in it, what is
-    /// outdated goes.
+    /// Records requests that crashed targets or were served. An empty list only
+    /// removes expired entries.
     Suspects(Vec<SuspectChange>),
 }
 
-/// A command with the leader's wall clock, which only ever moves forward.
+/// A command, stamped with the leader's wall clock, which never moves backward.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Command {
-    /// Milliseconds since the Unix epoch.
+    /// Leader's time, milliseconds since the Unix epoch.
     pub at_ms: u64,
-    /// What it does.
+    /// Kind and payload.
     pub body: CommandBody,
 }
 
 impl Command {
-    /// As it goes through the log.
+    /// Encodes the command for the log.
     pub fn to_bytes(&self) -> Vec<u8> {
         to_bytes(self)
     }
 
-    /// Out of the log.
+    /// Decodes a command from the log.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the bytes have another format version or are damaged.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, UnreadableState> {
         from_bytes(bytes)
     }
 }
 
-/// Why a change was not accepted. It then had no effect.
+/// Reason for rejecting a change. A rejected change has no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rejection {
-    /// Somebody else's change came first.
+    /// The object is not at the expected revision.
     #[error("conflict: the object is at revision {current}; read it again and apply to that")]
     Conflict {
-        /// Revision that the object has.
+        /// Current revision of the object.
         current: Revision,
     },
     /// The object does not exist.
     #[error("not found: {what}")]
     NotFound {
-        /// Which.
+        /// Kind and name of the object.
         what: String,
     },
-    /// The object contradicts itself or others.
+    /// The object is invalid, by itself or together with other objects.
     #[error("invalid: {why}")]
     Invalid {
-        /// What to write instead.
+        /// The violated rule.
         why: String,
     },
-    /// A resend with the same request id carried another change.
+    /// The request id was already used for a different change.
     #[error("request id {id} was used for another change; use a new one")]
     RequestIdReused {
-        /// The id.
+        /// The reused id.
         id: RequestId,
     },
 }
 
-/// What came of a command.
+/// Result of a command.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// The change was accepted as this revision.
+    /// The change was accepted.
     Accepted {
-        /// Its revision.
+        /// Revision that the change was written as.
         revision: Revision,
     },
     /// The change was not accepted.
     Rejected(Rejection),
-    /// What the router may do with a claim.
+    /// Answer to a claim.
     Claim(ClaimVerdict),
-    /// Recorded.
+    /// The command was applied; it has no other result.
     Done,
 }
--- a/crates/deckwind-core/src/state/configuration.rs
+++ b/crates/deckwind-core/src/state/configuration.rs
@@ -1,4 +1,5 @@
-//! Templates, client accounts and targets, each with its revision.
+//! The configuration: templates, client accounts, targets, announced instances and
+//! the release, each with the revision that wrote it last.
 
 use super::command::{Change, Rejection};
 use super::instances::{Instance, InstanceChange, InstanceId, Instances};
@@ -11,17 +12,17 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// An object, or the fact that it is gone, as of a revision.
+/// An object, or its tombstone, with the revision that wrote it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Versioned<T> {
-    /// Revision that wrote it last.
+    /// Revision of the last write.
     pub revision: Revision,
-    /// Nothing when it was retired.
+    /// The object; `None` if it was retired or has left.
     pub value: Option<T>,
 }
 
-/// What changed after a revision. Applying it twice, or over a newer state,
-/// changes nothing.
+/// Changes after a revision. Applying a delta is idempotent, and applying it to a
+/// newer state has no effect.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
     /// Revision that the receiver has after applying it.
@@ -32,11 +33,11 @@
     pub accounts: Vec<(AccountName, Versioned<Account>)>,
     /// Targets written or retired.
     pub targets: Vec<(TargetName, Versioned<Target>)>,
-    /// What changed in the release. Its document stays with the control replicas.
+    /// Changes of the release. Its document is kept on control replicas only.
     pub release: Option<ReleaseDelta>,
     /// Instances that changed or left.
     pub instances: Vec<(InstanceId, Versioned<Instance>)>,
-    /// Contents under which targets have ended, all of them, if they changed.
+    /// Complete list of request contents that crashed targets, if it changed.
     pub suspects: Option<Versioned<Arc<SuspectList>>>,
 }
 
@@ -53,7 +54,7 @@
     suspects: Option<Versioned<Arc<SuspectList>>>,
     #[serde(skip)]
     history: ReleaseHistory,
-    /// The last revision that this process saw written and that routers see.
+    /// Last revision written in this process that changed what routers get.
     #[serde(skip)]
     shown: Revision,
 }
@@ -90,48 +91,49 @@
 }
 
 impl Configuration {
-    /// Its revision: that of the last accepted change.
+    /// Returns the revision of the last accepted change.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The last revision that this process saw written and of which routers must
-    /// hear: later ones changed nothing that they see.
+    /// Returns the last revision written in this process that must be sent to
+    /// routers. Later revisions changed nothing that routers get.
     pub fn shown(&self) -> Revision {
         self.shown
     }
 
-    /// Templates in use.
+    /// Iterates over templates that are not retired.
     pub fn templates(&self) -> impl Iterator<Item = (&Template, Revision)> {
         live(&self.templates)
     }
 
-    /// Client accounts in use.
+    /// Iterates over client accounts that are not retired.
     pub fn accounts(&self) -> impl Iterator<Item = (&Account, Revision)> {
         live(&self.accounts)
     }
 
-    /// Targets that are not retired.
+    /// Iterates over targets that are not retired.
     pub fn targets(&self) -> impl Iterator<Item = (&Target, Revision)> {
         live(&self.targets)
     }
 
-    /// The template of this name.
+    /// Returns the template with this name, unless it is retired.
     pub fn template(&self, name: &TemplateName) -> Option<&Template> {
         self.templates.get(name)?.value.as_ref()
     }
 
-    /// The client account of this name.
+    /// Returns the client account with this name, unless it is retired.
     pub fn account(&self, name: &AccountName) -> Option<&Account> {
         self.accounts.get(name)?.value.as_ref()
     }
 
-    /// The target of this name.
+    /// Returns the target with this name, unless it is retired.
     pub fn target(&self, name: &TargetName) -> Option<&Target> {
         self.targets.get(name)?.value.as_ref()
     }
 
-    /// Revision of the object that `change` writes; zero if there is none.
+    /// Returns the revision of the object that `change` writes; zero if the object
+    /// does not exist.
     pub fn object_revision(&self, change: &Change) -> Revision {
         match change {
             Change::Template(t) => revision_of(&self.templates, &t.name),
@@ -143,7 +145,7 @@
         }
     }
 
-    /// What changed after `since`.
+    /// Returns the changes after `since`.
     pub fn delta_since(&self, since: Revision) -> Delta {
         Delta {
             to: self.revision,
@@ -156,20 +158,20 @@
         }
     }
 
-    /// Takes over what a delta holds; never goes back.
+    /// Merges a delta. An object is replaced only by a newer revision of it.
     pub fn merge(&mut self, delta: Delta) {
         merge(&mut self.templates, delta.templates);
         merge(&mut self.accounts, delta.accounts);
         merge(&mut self.targets, delta.targets);
         self.instances.merge(delta.instances);
         if let Some(suspects) = delta.suspects {
-            let newer = self.suspects.as_ref();
-            if newer.is_none_or(|old| old.revision < suspects.revision) {
+            let current = self.suspects.as_ref();
+            if current.is_none_or(|old| old.revision < suspects.revision) {
                 self.suspects = Some(suspects);
             }
         }
-        let fits = delta.release.is_none_or(|r| self.merge_release(r));
-        if fits {
+        let is_applied = delta.release.is_none_or(|r| self.merge_release(r));
+        if is_applied {
             self.revision = self.revision.max(delta.to);
         }
     }
@@ -178,26 +180,26 @@
         self.history.delta(since, self.release.as_ref()?)
     }
 
-    /// Takes a newer release over. False if the release held here is older than
-    /// the change builds on: the revision must then stay, so that the next
-    /// answer brings what is missing.
+    /// Merges a newer release. Returns false if the local state is older than the
+    /// base of the change: the configuration revision must then stay unchanged, so
+    /// that the next delta includes the missing changes.
     fn merge_release(&mut self, delta: ReleaseDelta) -> bool {
-        let held = self.release_revision();
+        let current = self.release_revision();
         match delta {
             ReleaseDelta::Whole(new) => {
-                if new.revision > held {
+                if new.revision > current {
                     self.release = Some(new);
                 }
                 true
             }
-            ReleaseDelta::Changes(change) if change.revision <= held => true,
+            ReleaseDelta::Changes(change) if change.revision <= current => true,
             ReleaseDelta::Changes(change) if change.base > self.revision => false,
             ReleaseDelta::Changes(change) => {
-                let Some(own) = &mut self.release else {
+                let Some(local) = &mut self.release else {
                     return false;
                 };
-                own.revision = change.revision;
-                if let Some(release) = &mut own.value {
+                local.revision = change.revision;
+                if let Some(release) = &mut local.value {
                     change.apply(Arc::make_mut(release));
                 }
                 true
@@ -205,49 +207,54 @@
         }
     }
 
-    /// From now on releases go out as what changed in them, to whoever holds the
-    /// one that holds now. Before, and again after [`Self::stop_noting_changes`],
-    /// they go out whole.
-    pub fn note_changes(&mut self) {
-        if let Some(held) = &self.release {
-            self.history.begin(held.revision);
+    /// Starts recording changes of the release, so that a receiver that has the
+    /// current release gets later ones as deltas. Before this call, and after
+    /// [`Self::stop_recording_changes`], releases are sent whole.
+    pub fn record_changes(&mut self) {
+        if let Some(current) = &self.release {
+            self.history.start_recording(current.revision);
         }
     }
 
-    /// This process hands no state out any more.
-    pub fn stop_noting_changes(&mut self) {
-        self.history.end();
+    /// Stops recording changes of the release, in a process that no longer sends
+    /// state to others.
+    pub fn stop_recording_changes(&mut self) {
+        self.history.stop_recording();
     }
 
-    /// The release that holds.
+    /// Returns the current release.
     pub fn release(&self) -> Option<&Arc<Release>> {
         self.release.as_ref()?.value.as_ref()
     }
 
-    /// Revision that wrote the release; zero if there is none.
+    /// Returns the revision that wrote the release; zero if there is none.
     pub fn release_revision(&self) -> Revision {
         self.release.as_ref().map_or(Revision::ZERO, |r| r.revision)
     }
 
-    /// The document that the release was read from; empty if there is none, and
-    /// on routers.
+    /// Returns the document that the release was read from; empty if there is no
+    /// release, and on routers.
     pub fn document(&self) -> &[u8] {
         &self.document
     }
 
-    /// Targets that have announced themselves.
+    /// Returns the targets that announced themselves.
     pub fn instances(&self) -> &Instances {
         &self.instances
     }
 
-    /// Takes a release, unless one of its version or above holds. The revision
-    /// that it is in force with.
+    /// Publishes a release, unless the current one has the same or a higher version.
+    /// Returns the revision of the release that is current afterwards.
+    ///
+    /// # Errors
+    ///
+    /// [`Rejection::Invalid`] if the release is inconsistent.
     pub(super) fn publish(&mut self, published: Published) -> Result<Revision, Rejection> {
         if let Err(why) = published.release.check() {
             return Err(Rejection::Invalid { why });
         }
-        let held = self.release().map_or(0, |r| r.version);
-        if self.release.is_some() && published.release.version <= held {
+        let current = self.release().map_or(0, |r| r.version);
+        if self.release.is_some() && published.release.version <= current {
             return Ok(self.release_revision());
         }
         self.revision = self.revision.next();
@@ -255,10 +262,10 @@
         let new = Arc::new(published.release);
         if let Some(old) = self.release() {
             let old = old.clone();
-            self.history.replaced(&old, &new, self.revision);
+            self.history.record_replacement(&old, &new, self.revision);
         }
         self.instances
-            .show(self.revision, |pool| new.is_layered(pool));
+            .show_unlayered(self.revision, |pool| new.is_layered(pool));
         self.release = Some(Versioned {
             revision: self.revision,
             value: Some(new),
@@ -267,15 +274,15 @@
         Ok(self.revision)
     }
 
-    /// Contents under which targets have ended.
+    /// Returns the request contents that crashed targets.
     pub fn suspects(&self) -> Arc<SuspectList> {
         let list = self.suspects.as_ref().and_then(|s| s.value.clone());
         list.unwrap_or_default()
     }
 
-    /// Writes the contents under which targets have ended as one revision, if they
-    /// are others than before.
-    pub(super) fn list_suspects(&mut self, list: SuspectList) {
+    /// Replaces the list of request contents that crashed targets, as one revision.
+    /// Does nothing if the list is unchanged.
+    pub(super) fn set_suspects(&mut self, list: SuspectList) {
         if *self.suspects() == list {
             return;
         }
@@ -287,7 +294,7 @@
         self.shown = self.revision;
     }
 
-    /// Writes changes of instances as one revision.
+    /// Applies changes of instances as one revision.
     pub(super) fn change_instances(&mut self, changes: Vec<InstanceChange>) -> Revision {
         self.revision = self.revision.next();
         let release = self.release.as_ref().and_then(|r| r.value.as_deref());
@@ -297,17 +304,22 @@
         self.revision
     }
 
-    /// Writes one change as the next revision, or says why not.
+    /// Writes a change as the next revision.
+    ///
+    /// # Errors
+    ///
+    /// [`Rejection::Invalid`] if the object is invalid, [`Rejection::NotFound`] if
+    /// it or an object that it refers to does not exist.
     pub(super) fn write(&mut self, change: Change) -> Result<Revision, Rejection> {
         self.check(&change)?;
         let revision = self.revision.next();
         match change {
-            Change::Template(t) => put(&mut self.templates, t.name.clone(), Some(t), revision),
-            Change::RetireTemplate(n) => put(&mut self.templates, n, None, revision),
-            Change::Account(a) => put(&mut self.accounts, a.name.clone(), Some(a), revision),
-            Change::RetireAccount(n) => put(&mut self.accounts, n, None, revision),
-            Change::Target(t) => put(&mut self.targets, t.name.clone(), Some(t), revision),
-            Change::RetireTarget(n) => put(&mut self.targets, n, None, revision),
+            Change::Template(t) => insert(&mut self.templates, t.name.clone(), Some(t), revision),
+            Change::RetireTemplate(n) => insert(&mut self.templates, n, None, revision),
+            Change::Account(a) => insert(&mut self.accounts, a.name.clone(), Some(a), revision),
+            Change::RetireAccount(n) => insert(&mut self.accounts, n, None, revision),
+            Change::Target(t) => insert(&mut self.targets, t.name.clone(), Some(t), revision),
+            Change::RetireTarget(n) => insert(&mut self.targets, n, None, revision),
         }
         self.revision = revision;
         self.shown = revision;
@@ -319,22 +331,23 @@
             Change::Template(t) => check_template(t),
             Change::Account(a) => self.check_account(a),
             Change::Target(t) => self.check_target(t),
-            Change::RetireTemplate(n) => found(self.template(n), "template", n.as_str()),
-            Change::RetireAccount(n) => found(self.account(n), "account", n.as_str()),
-            Change::RetireTarget(n) => found(self.target(n), "target", n.as_str()),
+            Change::RetireTemplate(n) => ensure_exists(self.template(n), "template", n.as_str()),
+            Change::RetireAccount(n) => ensure_exists(self.account(n), "account", n.as_str()),
+            Change::RetireTarget(n) => ensure_exists(self.target(n), "target", n.as_str()),
         }
     }
 
     fn check_account(&self, a: &Account) -> Result<(), Rejection> {
         check_name("account", a.name.as_str())?;
-        let hex = a.key_sha256.len() == 64 && a.key_sha256.bytes().all(|b| b.is_ascii_hexdigit());
-        if !hex {
+        let is_hex_digest =
+            a.key_sha256.len() == 64 && a.key_sha256.bytes().all(|b| b.is_ascii_hexdigit());
+        if !is_hex_digest {
             return invalid("key_sha256 must be 64 hexadecimal digits: the SHA-256 of the key");
         }
-        let taken = self
+        let is_key_taken = self
             .accounts()
             .any(|(o, _)| o.name != a.name && o.key_sha256 == a.key_sha256);
-        if taken {
+        if is_key_taken {
             return invalid("another account has the same key; make a new one");
         }
         if !(a.limits.requests_per_s.is_finite() && a.limits.requests_per_s > 0.0) {
@@ -359,14 +372,19 @@
                 invalid("layers.last must be above layers.first")
             }
             TargetKind::Service { template } => {
-                found(self.template(template), "template", template.as_str())
+                ensure_exists(self.template(template), "template", template.as_str())
             }
             TargetKind::Engine { .. } => Ok(()),
         }
     }
 }
 
-fn put<K: Ord, V>(map: &mut BTreeMap<K, Versioned<V>>, k: K, value: Option<V>, revision: Revision) {
+fn insert<K: Ord, V>(
+    map: &mut BTreeMap<K, Versioned<V>>,
+    k: K,
+    value: Option<V>,
+    revision: Revision,
+) {
     map.insert(k, Versioned { revision, value });
 }
 
@@ -376,7 +394,7 @@
     })
 }
 
-fn found<T>(value: Option<&T>, kind: &str, name: &str) -> Result<(), Rejection> {
+fn ensure_exists<T>(value: Option<&T>, kind: &str, name: &str) -> Result<(), Rejection> {
     match value {
         Some(_) => Ok(()),
         None => Err(Rejection::NotFound {
@@ -385,17 +403,17 @@
     }
 }
 
-/// Longest name of an object, in bytes.
-const MAX_NAME: usize = 64;
+/// Maximum length of an object name, bytes.
+const MAX_NAME_LEN: usize = 64;
 
 fn check_name(kind: &str, name: &str) -> Result<(), Rejection> {
-    let fits = !name.is_empty() && name.len() <= MAX_NAME;
-    let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
-    if fits && name.bytes().all(plain) {
+    let is_length_valid = !name.is_empty() && name.len() <= MAX_NAME_LEN;
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
+    if is_length_valid && name.bytes().all(is_allowed) {
         return Ok(());
     }
     invalid(&format!(
-        "{kind} name {name:?} must be 1 to {MAX_NAME} letters, digits, '-', '_' or '.'"
+        "{kind} name {name:?} must be 1 to {MAX_NAME_LEN} letters, digits, '-', '_' or '.'"
     ))
 }
 
@@ -408,9 +426,9 @@
     if t.deadline_ms == 0 {
         return invalid("deadline_ms must be 1 or more");
     }
-    let versioned = t.parameters.model_version.is_some();
+    let has_version = t.parameters.model_version.is_some();
     match &t.workload {
-        Workload::Chat { .. } if !versioned => {
+        Workload::Chat { .. } if !has_version => {
             invalid("parameters.model_version must be set for a chat workload")
         }
         Workload::Chat { layers: 0, .. } => invalid("workload.chat.layers must be 1 or more"),
--- a/crates/deckwind-core/src/state/content.rs
+++ b/crates/deckwind-core/src/state/content.rs
@@ -1,4 +1,5 @@
-//! What a request is, whoever sends it again under whatever id.
+//! Digest that identifies a request by its content, independent of the caller and
+//! of the request id.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -6,36 +7,39 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Digest of a request's method, path, account and body. Two tries of one request
-/// have the same, at any router; ids, deadlines and what the caller has already
-/// had are left out.
+/// Digest of a request's method, path, account and body. Two attempts of a request
+/// have the same digest on any router: request ids, deadlines and the position of a
+/// resumed stream are not part of it.
 ///
-/// 128 bits that nobody picks at random twice; not proof against somebody who
-/// searches for another request with the same digest. The account is part of it.
+/// At 128 bits, accidental collisions are negligible. The hash is not cryptographic:
+/// it does not withstand a deliberate search for another request with the same
+/// digest. The account is part of the input.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ContentDigest(u128);
 
 impl ContentDigest {
-    /// Of a request. Without an account it is one of all callers of an open route.
+    /// Computes the digest of a request. Requests without an account, on open routes,
+    /// share one digest among all callers.
     pub fn of(method: &str, path: &str, account: Option<&str>, body: &[u8]) -> Self {
         let mut hasher = Xxh3::new();
         for part in [method.as_bytes(), path.as_bytes()] {
-            add(&mut hasher, part);
+            hash_part(&mut hasher, part);
         }
         hasher.update(&[u8::from(account.is_some())]);
-        add(&mut hasher, account.unwrap_or_default().as_bytes());
-        add(&mut hasher, body);
+        hash_part(&mut hasher, account.unwrap_or_default().as_bytes());
+        hash_part(&mut hasher, body);
         Self(hasher.digest128())
     }
 }
 
-/// With its length, so that no two lists of parts run together.
-fn add(hasher: &mut Xxh3, part: &[u8]) {
+/// Hashes a part prefixed by its length, so that different lists of parts have
+/// different input.
+fn hash_part(hasher: &mut Xxh3, part: &[u8]) {
     hasher.update(&(part.len() as u64).to_le_bytes());
     hasher.update(part);
 }
 
-/// It is not a digest as it is printed.
+/// Error for text that is not a digest of 32 hexadecimal digits.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0:?} is no digest of a request: 32 hexadecimal digits, as logs and status print them")]
 pub struct NoDigest(String);
@@ -45,8 +49,8 @@
 
     fn from_str(s: &str) -> Result<Self, NoDigest> {
         const DIGITS: usize = 32;
-        let fits = s.len() == DIGITS && s.bytes().all(|b| b.is_ascii_hexdigit());
-        let digest = u128::from_str_radix(s, 16).ok().filter(|_| fits);
+        let is_well_formed = s.len() == DIGITS && s.bytes().all(|b| b.is_ascii_hexdigit());
+        let digest = u128::from_str_radix(s, 16).ok().filter(|_| is_well_formed);
         digest.map(Self).ok_or_else(|| NoDigest(s.to_string()))
     }
 }
--- a/crates/deckwind-core/src/state/encoding.rs
+++ b/crates/deckwind-core/src/state/encoding.rs
@@ -1,25 +1,25 @@
-//! State and commands as bytes, with the version of their form: a replica must not
-//! guess at what another version wrote.
+//! Encoding of state and commands, with a leading version byte, so that a replica
+//! rejects data of another format version instead of misreading it.
 
 use serde::{Serialize, de::DeserializeOwned};
 use thiserror::Error;
 
-/// Version of what is in the log and in snapshots; goes up with every change of
-/// its form. Before the second there was no such byte, and what was written began
-/// with a time, whose first byte is above 127.
+/// Format version of log entries and snapshots; incremented with every change of the
+/// format. Version 1 had no version byte: its data starts with a timestamp, whose
+/// first byte is above 127.
 pub const STATE_VERSION: u8 = 4;
 
-/// Why state can't be read.
+/// Error from decoding state or a command.
 #[derive(Debug, PartialEq, Error)]
 pub enum UnreadableState {
-    /// Another version wrote it, or none that marked it.
-    #[error("it is of version {found:?}, this process reads {STATE_VERSION}")]
+    /// The data has another format version, or no version byte.
+    #[error("format version {found:?} is not supported; this process reads {STATE_VERSION}")]
     Version {
-        /// Its first byte.
+        /// First byte of the data; `None` if it is empty.
         found: Option<u8>,
     },
-    /// It is damaged.
-    #[error("it is damaged: {0}")]
+    /// The data is damaged.
+    #[error("the data is damaged: {0}")]
     Body(#[from] postcard::Error),
 }
 
--- a/crates/deckwind-core/src/state/instance_index.rs
+++ b/crates/deckwind-core/src/state/instance_index.rs
@@ -1,4 +1,4 @@
-//! Finds instances by address and by the revision that wrote them.
+//! Index of instances by address and by the revision that wrote them.
 
 use super::configuration::Versioned;
 use super::instances::{Instance, InstanceId};
@@ -7,85 +7,86 @@
 use std::net::SocketAddr;
 use std::ops::Bound;
 
-/// Ids of all instances, also of those that have left, by what they are asked for.
+/// Ids of all instances, including those that have left, by address and by revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct InstanceIndex {
     by_address: BTreeMap<SocketAddr, BTreeSet<InstanceId>>,
     by_revision: BTreeSet<(Revision, InstanceId)>,
-    /// Those that have left.
-    left: BTreeSet<(Revision, InstanceId)>,
+    /// Instances that have left, by the revision in which they left.
+    departed: BTreeSet<(Revision, InstanceId)>,
 }
 
 impl InstanceIndex {
-    /// Of these.
-    pub fn of(all: &BTreeMap<InstanceId, Versioned<Instance>>) -> Self {
+    /// Builds the index of these instances.
+    pub fn from_instances(all: &BTreeMap<InstanceId, Versioned<Instance>>) -> Self {
         let mut index = Self::default();
         all.iter().for_each(|(id, v)| index.insert(id, v));
         index
     }
 
-    /// Notes one that is not in it.
+    /// Adds an instance that is not in the index.
     pub fn insert(&mut self, id: &InstanceId, v: &Versioned<Instance>) {
         let key = (v.revision, id.clone());
         match &v.value {
             Some(instance) => {
-                let there = self.by_address.entry(instance.address).or_default();
-                there.insert(id.clone());
+                let ids = self.by_address.entry(instance.address).or_default();
+                ids.insert(id.clone());
             }
-            None => drop(self.left.insert(key.clone())),
+            None => drop(self.departed.insert(key.clone())),
         }
         self.by_revision.insert(key);
     }
 
-    /// Takes one out, as it was inserted.
+    /// Removes an instance; `v` must be the value that was inserted.
     pub fn remove(&mut self, id: &InstanceId, v: &Versioned<Instance>) {
         let key = (v.revision, id.clone());
         self.by_revision.remove(&key);
         let Some(instance) = &v.value else {
-            self.left.remove(&key);
+            self.departed.remove(&key);
             return;
         };
-        if let Some(there) = self.by_address.get_mut(&instance.address) {
-            there.remove(id);
-            if there.is_empty() {
+        if let Some(ids) = self.by_address.get_mut(&instance.address) {
+            ids.remove(id);
+            if ids.is_empty() {
                 self.by_address.remove(&instance.address);
             }
         }
     }
 
-    /// Those at an address that have not left.
-    pub fn at(&self, address: SocketAddr) -> impl Iterator<Item = &InstanceId> {
+    /// Iterates over the instances at an address that have not left.
+    pub fn at_address(&self, address: SocketAddr) -> impl Iterator<Item = &InstanceId> {
         self.by_address.get(&address).into_iter().flatten()
     }
 
-    /// Those that this revision wrote.
-    pub fn at_revision(&self, revision: Revision) -> impl Iterator<Item = &InstanceId> {
+    /// Iterates over the instances written by `revision`.
+    pub fn written_by(&self, revision: Revision) -> impl Iterator<Item = &InstanceId> {
         let first = (revision, InstanceId::new());
-        let from = self.by_revision.range(first..);
-        from.take_while(move |(r, _)| *r == revision)
+        let from_first = self.by_revision.range(first..);
+        from_first
+            .take_while(move |(r, _)| *r == revision)
             .map(|(_, id)| id)
     }
 
-    /// Those that were written later.
-    pub fn since(&self, since: Revision) -> impl Iterator<Item = &InstanceId> {
+    /// Iterates over the instances written after `since`.
+    pub fn written_after(&self, since: Revision) -> impl Iterator<Item = &InstanceId> {
         let first = Bound::Included((Revision(since.0.saturating_add(1)), InstanceId::new()));
         let later = self.by_revision.range((first, Bound::Unbounded));
         later.map(|(_, id)| id)
     }
 
-    /// The revision that was written last; zero if none was.
-    pub fn last(&self) -> Revision {
+    /// Returns the last revision that wrote an instance; zero if there is none.
+    pub fn last_revision(&self) -> Revision {
         let last = self.by_revision.last();
         last.map_or(Revision::ZERO, |(revision, _)| *revision)
     }
 
-    /// How many have left.
-    pub fn left(&self) -> usize {
-        self.left.len()
+    /// Returns the number of instances that have left.
+    pub fn departed_count(&self) -> usize {
+        self.departed.len()
     }
 
-    /// The one that left first.
-    pub fn oldest_left(&self) -> Option<&InstanceId> {
-        self.left.first().map(|(_, id)| id)
+    /// Returns the instance that left first.
+    pub fn oldest_departed(&self) -> Option<&InstanceId> {
+        self.departed.first().map(|(_, id)| id)
     }
 }
--- a/crates/deckwind-core/src/state/instances.rs
+++ b/crates/deckwind-core/src/state/instances.rs
@@ -1,17 +1,18 @@
-//! Targets that announce themselves: of each id the life that is known.
+//! Targets that announce themselves: the known incarnation of each target id.
 //!
 //! ```text
 //!  announced ready ──► announced draining ──► left
 //!       │  ▲                                   ▲
-//!       ▼  │ heard again                       │ another life at its address
+//!       ▼  │ announced again                   │ another target at its address
 //!     silent ──────────────────────────────────┘
 //! ```
 //!
-//! A target that starts again under its id is another life ([`Life`]): it begins
-//! as it announces itself, and what was agreed of the one before is gone.
+//! A target that restarts under its id is a new incarnation ([`Life`]): its first
+//! announcement replaces all state of the previous one.
 //!
 //! Each change goes through the log, so that what was acknowledged to a target
-//! (that nothing new will come) holds on every router within its lease.
+//! (for example that it gets no new requests) takes effect on every router within
+//! its lease.
 
 use super::configuration::Versioned;
 use super::instance_index::InstanceIndex;
@@ -24,52 +25,54 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Names a target, through all its lives where it keeps its id.
+/// Identifier of a target. A target that keeps its id across restarts has the same
+/// one in all its incarnations.
 pub type InstanceId = String;
 
-/// Whether an instance takes new work.
+/// Availability of an instance for new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum InstanceState {
-    /// It does.
+    /// Accepts new work.
     Ready,
-    /// It finishes what it has.
+    /// Finishes the work in progress and accepts no new work.
     Draining,
-    /// The leader has not heard from it for a while; routers may still reach it.
+    /// Has not announced itself to the leader for some time; routers may still reach
+    /// it.
     Silent,
 }
 
-/// An instance as agreed.
+/// Replicated record of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Its id.
+    /// Target id.
     pub id: InstanceId,
-    /// Pool that it serves.
+    /// Name of the pool that it belongs to.
     pub pool: String,
-    /// IP and port.
+    /// IP address and port.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre that it runs in.
     pub data_centre: DataCentre,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Availability for new work.
     pub state: InstanceState,
-    /// Kind of its accelerator, for engines that hold layers.
+    /// Accelerator kind, for engines that hold layers.
     pub accelerator: Option<String>,
-    /// Layers that it holds; empty for none.
+    /// Layers that it serves; empty if none.
     pub layers: LayerRange,
-    /// Layers that take its memory: more than it holds while it loads some, or
-    /// gives some up that requests still pass through.
+    /// Number of layers that occupy memory. It exceeds the number of layers served
+    /// while layers are loading, or while requests still use layers being unloaded.
     pub in_memory: u32,
-    /// Number of the announcement that said so; it rises with each one, so an
-    /// older one that arrives late is known.
+    /// Sequence number of the announcement. It increases with each announcement, so
+    /// that a late older one is recognized.
     pub announced: u64,
-    /// When this life of it started, Unix milliseconds by its own clock; nothing
-    /// where it doesn't say.
+    /// Start time of this incarnation, Unix milliseconds by the target's own clock;
+    /// `None` if the target does not report it.
     pub born: Option<u64>,
 }
 
 impl Instance {
-    /// The life that this is about.
+    /// Returns the incarnation that this record describes.
     pub fn life(&self) -> Life {
         Life {
             id: self.id.clone(),
@@ -78,61 +81,63 @@
     }
 }
 
-/// A change of the instances.
+/// A change of an instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum InstanceChange {
-    /// It announced itself so. An older announcement than the one that is known
-    /// changes nothing.
+    /// The instance announced itself. An announcement older than the known one has
+    /// no effect.
     Announced {
-        /// The instance.
+        /// The instance as announced.
         instance: Instance,
-        /// Whether the layers that are known of this life stay: an order to
-        /// change them is under way, and what it announces may be old.
+        /// Whether the recorded layers of this incarnation are kept, because an
+        /// order to change them is in progress and the announced ones may be stale.
         keep_layers: bool,
-        /// Lives that have fallen silent, and that it may follow though it tells
-        /// an earlier start.
+        /// Incarnations found silent, which this one may replace although it reports
+        /// an earlier start time.
         over: Vec<Life>,
     },
-    /// It holds these layers. Changes nothing if another life is known by now.
+    /// The instance holds these layers. Has no effect if another incarnation is
+    /// known by now.
     Holds {
-        /// The life.
+        /// The incarnation.
         life: Life,
-        /// What requests may count on.
+        /// Layers available to requests.
         layers: LayerRange,
-        /// Layers that take its memory.
+        /// Number of layers that occupy memory.
         in_memory: u32,
     },
-    /// The leader has not heard from it for a while. Changes nothing if another
-    /// life is known by now.
+    /// The instance has not announced itself to the leader for some time. Has no
+    /// effect if another incarnation is known by now.
     Silent(Life),
-    /// It has left. Changes nothing if a newer life is known by now.
+    /// The instance has left. Has no effect if a newer incarnation is known by now.
     Left(Life),
 }
 
-/// Instances that have left and are still remembered, so that a late
-/// announcement does not bring one back: days of a thousand restarts.
-const MAX_LEFT: usize = 4_096;
+/// Maximum number of instances that have left and are still recorded, so that a late
+/// announcement does not bring one back. Enough for several days of a thousand restarts
+/// each.
+const MAX_DEPARTED: usize = 4_096;
 
-/// All instances, each with the revision that wrote it.
+/// All instances, each with the revision that wrote it last.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "Written")]
 pub struct Instances {
-    /// Shared by copies of it until one of them changes.
+    /// Shared between clones until one of them is modified.
     all: Arc<BTreeMap<InstanceId, Versioned<Instance>>>,
-    /// Finds them by what changes and questions name.
+    /// Index for lookups by address and by revision.
     #[serde(skip)]
     index: Arc<InstanceIndex>,
-    /// Lives that are over, by id. Routers don't need them.
+    /// Ended incarnations by target id. Routers do not need them.
     ended: BTreeMap<InstanceId, EndedLives>,
-    /// Engines of layered pools that have held no layers so far. Routers can't
-    /// choose them, so they don't hear of them: of 3,000 engines 2,600 are spare.
-    /// Not in a snapshot: a replica that starts from one tells of all, which
-    /// costs bytes only.
+    /// Engines of layered pools that have never held layers. They are not sent to
+    /// routers, which cannot select them: of 3,000 engines 2,600 are spare. The set
+    /// is not in snapshots; a replica that starts from a snapshot sends all engines,
+    /// which only costs bandwidth.
     #[serde(skip)]
     unseen: BTreeSet<InstanceId>,
 }
 
-/// What of the instances is in a snapshot.
+/// The part of [`Instances`] stored in snapshots.
 #[derive(Deserialize)]
 struct Written {
     all: BTreeMap<InstanceId, Versioned<Instance>>,
@@ -141,7 +146,7 @@
 
 impl From<Written> for Instances {
     fn from(written: Written) -> Self {
-        let index = InstanceIndex::of(&written.all);
+        let index = InstanceIndex::from_instances(&written.all);
         Self {
             all: Arc::new(written.all),
             index: Arc::new(index),
@@ -152,38 +157,39 @@
 }
 
 impl Instances {
-    /// Those that have not left.
+    /// Iterates over the instances that have not left.
     pub fn iter(&self) -> impl Iterator<Item = &Instance> {
         self.all.values().filter_map(|v| v.value.as_ref())
     }
 
-    /// The one with this id, unless it has left.
+    /// Returns the instance with this id, unless it has left.
     pub fn get(&self, id: &str) -> Option<&Instance> {
         self.all.get(id)?.value.as_ref()
     }
 
-    /// Those at an address that have not left.
+    /// Iterates over the instances at an address that have not left.
     pub fn at(&self, address: SocketAddr) -> impl Iterator<Item = &Instance> {
-        let ids = self.index.at(address);
+        let ids = self.index.at_address(address);
         ids.filter_map(|id| self.get(id))
     }
 
-    /// Ids of all that was written after `since`, also of those that have left.
+    /// Iterates over the ids of all instances written after `since`, including those
+    /// that have left.
     pub fn written_since(&self, since: Revision) -> impl Iterator<Item = &InstanceId> {
-        self.index.since(since)
+        self.index.written_after(since)
     }
 
-    /// The revision that was written last.
+    /// Returns the last revision that wrote an instance; zero if there is none.
     pub fn written_upto(&self) -> Revision {
-        self.index.last()
+        self.index.last_revision()
     }
 
-    /// Whether it has been here and left.
+    /// Returns whether an instance with this id is recorded as having left.
     pub fn has_left(&self, id: &str) -> bool {
         self.all.get(id).is_some_and(|v| v.value.is_none())
     }
 
-    /// How a life stands to the one that is known under its id.
+    /// Compares an incarnation with the known one of the same target id.
     pub fn standing(&self, life: &Life) -> Standing {
         let known = self.get(&life.id).map(|i| i.born);
         match self.ended.get(&life.id) {
@@ -192,50 +198,52 @@
         }
     }
 
-    /// Lives that must be over for this announcement to count though it tells an
-    /// earlier start. `there` are the lives at its address.
-    pub fn doubted_by(&self, instance: &Instance, there: &[Life]) -> Vec<Life> {
+    /// Returns the incarnations that may be newer than the announced one, and therefore
+    /// must have ended before the announcement is accepted. `at_address` lists the
+    /// incarnations at its address.
+    pub fn doubted_by(&self, instance: &Instance, at_address: &[Life]) -> Vec<Life> {
         let known = self.get(&instance.id).map(Instance::life);
-        let doubtful = self.standing(&instance.life()) == Standing::Doubtful;
-        let others = there.iter().filter(|l| l.id != instance.id);
+        let is_doubtful = self.standing(&instance.life()) == Standing::Doubtful;
+        let others = at_address.iter().filter(|l| l.id != instance.id);
         let newer = others.filter(|l| may_be_older(instance.born, l.born));
-        let own = known.filter(|_| doubtful);
-        own.into_iter().chain(newer.cloned()).collect()
+        let known = known.filter(|_| is_doubtful);
+        known.into_iter().chain(newer.cloned()).collect()
     }
 
-    /// Whether an announcement names a pool that no release does, and would
-    /// change or end an instance that holds.
+    /// Returns whether an announcement names a pool that the release does not have,
+    /// and would modify or end a recorded instance.
     pub fn is_misplaced(&self, instance: &Instance, release: Option<&Release>) -> bool {
         if release.is_none_or(|r| r.pool(&instance.pool).is_some()) {
             return false;
         }
         let known = self.get(&instance.id);
-        let mut there = self.at(instance.address);
-        known.is_some_and(|i| i.pool != instance.pool) || there.any(|i| i.id != instance.id)
+        let mut at_address = self.at(instance.address);
+        known.is_some_and(|i| i.pool != instance.pool) || at_address.any(|i| i.id != instance.id)
     }
 
-    /// The lives that these changes end because newer ones of the same ids have
-    /// announced themselves; each with the newer one.
+    /// Returns the incarnations that these changes end because newer incarnations of
+    /// the same targets announced themselves, as pairs of old and new.
     pub fn ended_by(&self, changes: &[InstanceChange]) -> Vec<(Life, Life)> {
-        let ends = |change: &InstanceChange| {
+        let ended_by_change = |change: &InstanceChange| {
             let InstanceChange::Announced { instance, over, .. } = change else {
                 return None;
             };
             let known = self.get(&instance.id)?.life();
-            let newer = match self.standing(&instance.life()) {
+            let is_newer = match self.standing(&instance.life()) {
                 Standing::Newer => true,
                 Standing::Doubtful => over.contains(&known),
                 Standing::Known | Standing::Ended => false,
             };
-            newer.then(|| (known, instance.life()))
+            is_newer.then(|| (known, instance.life()))
         };
-        changes.iter().filter_map(ends).collect()
+        changes.iter().filter_map(ended_by_change).collect()
     }
 
-    /// Applies changes, in their order, as one revision. Another life at the
-    /// address of one that announced itself is over.
+    /// Applies changes in order, as one revision. An accepted announcement ends
+    /// incarnations of other targets at the same address.
     ///
-    /// `release` is the one in force. Answers whether routers see any of it.
+    /// `release` is the current release. Returns whether any of the changes must be
+    /// sent to routers.
     pub(super) fn apply(
         &mut self,
         changes: Vec<InstanceChange>,
@@ -250,7 +258,7 @@
         let mut lives = self.lives_at_addresses_of(announced);
         for change in changes {
             match change {
-                InstanceChange::Left(life) => self.left(&life, revision),
+                InstanceChange::Left(life) => self.apply_departure(&life, revision),
                 InstanceChange::Announced {
                     instance,
                     keep_layers,
@@ -259,8 +267,8 @@
                     if self.is_misplaced(&instance, release) {
                         continue;
                     }
-                    let there = lives.entry(instance.address).or_default();
-                    let mut doubted = self.doubted_by(&instance, there).into_iter();
+                    let at_address = lives.entry(instance.address).or_default();
+                    let mut doubted = self.doubted_by(&instance, at_address).into_iter();
                     if doubted.any(|life| !over.contains(&life)) {
                         continue;
                     }
@@ -268,38 +276,38 @@
                     if is_layered(&instance.pool) && !self.all.contains_key(&life.id) {
                         self.unseen.insert(life.id.clone());
                     }
-                    if self.announced(instance, keep_layers, revision) {
-                        self.end_other_lives(there, &life.id, address, revision);
-                        there.push(life);
+                    if self.apply_announcement(instance, keep_layers, revision) {
+                        self.end_other_lives(at_address, &life.id, address, revision);
+                        at_address.push(life);
                     }
                 }
                 InstanceChange::Holds {
                     life,
                     layers,
                     in_memory,
-                } => self.alter(&life, revision, |i| {
+                } => self.update_known(&life, revision, |i| {
                     i.layers = layers;
                     i.in_memory = in_memory;
                 }),
-                InstanceChange::Silent(life) => self.alter(&life, revision, |i| {
+                InstanceChange::Silent(life) => self.update_known(&life, revision, |i| {
                     if i.state == InstanceState::Ready {
                         i.state = InstanceState::Silent;
                     }
                 }),
             }
         }
-        self.forget_oldest();
-        let mut written = self.index.at_revision(revision);
+        self.evict_oldest_departed();
+        let mut written = self.index.written_by(revision);
         written.any(|id| !self.unseen.contains(id))
     }
 
-    /// Who is at the addresses of these instances.
+    /// Returns the incarnations at the addresses of these instances.
     pub fn lives_at_addresses_of<'a>(
         &self,
         announced: impl Iterator<Item = &'a Instance>,
     ) -> BTreeMap<SocketAddr, Vec<Life>> {
-        let there = |i: &Instance| (i.address, self.at(i.address).map(Instance::life).collect());
-        announced.map(there).collect()
+        let lives_at = |i: &Instance| (i.address, self.at(i.address).map(Instance::life).collect());
+        announced.map(lives_at).collect()
     }
 
     fn end_other_lives(
@@ -310,19 +318,25 @@
         revision: Revision,
     ) {
         for other in lives.drain(..).filter(|other| other.id != id) {
-            let is_there = self.get(&other.id).is_some_and(|o| o.address == address);
-            if is_there {
-                self.end(&other.id, revision);
+            let is_at_address = self.get(&other.id).is_some_and(|o| o.address == address);
+            if is_at_address {
+                self.end_known(&other.id, revision);
             }
         }
     }
 
-    /// Takes an announcement; false if a newer one is known, or its life is over.
-    /// One of a doubtful life comes here only once the known life is over.
-    fn announced(&mut self, mut instance: Instance, keep_layers: bool, revision: Revision) -> bool {
+    /// Applies an announcement. Returns false if a newer one is known or its
+    /// incarnation has ended. [`Standing::Doubtful`] occurs here only if the known
+    /// incarnation was found silent.
+    fn apply_announcement(
+        &mut self,
+        mut instance: Instance,
+        keep_layers: bool,
+        revision: Revision,
+    ) -> bool {
         match self.standing(&instance.life()) {
             Standing::Ended => return false,
-            Standing::Newer | Standing::Doubtful => self.end(&instance.id, revision),
+            Standing::Newer | Standing::Doubtful => self.end_known(&instance.id, revision),
             Standing::Known => {}
         }
         if let Some(known) = self.get(&instance.id) {
@@ -335,34 +349,39 @@
             }
         }
         if let Some(ended) = self.ended.get_mut(&instance.id) {
-            ended.forget(instance.born);
+            ended.remove(instance.born);
         }
         self.write(instance.id.clone(), Some(instance), revision);
         true
     }
 
-    /// A life has left: the one that is known, or one after it that was never
-    /// heard otherwise.
-    fn left(&mut self, life: &Life, revision: Revision) {
-        let stands = self.standing(life);
-        let ends = matches!(stands, Standing::Known | Standing::Newer);
-        if ends && self.get(&life.id).is_some() {
-            self.end(&life.id, revision);
+    /// Records that an incarnation left: either the known one, or a newer one that
+    /// never announced itself.
+    fn apply_departure(&mut self, life: &Life, revision: Revision) {
+        let standing = self.standing(life);
+        let ends_known = matches!(standing, Standing::Known | Standing::Newer);
+        if ends_known && self.get(&life.id).is_some() {
+            self.end_known(&life.id, revision);
             let ended = self.ended.entry(life.id.clone()).or_default();
-            ended.note(life.born);
+            ended.record(life.born);
         }
     }
 
-    /// Ends the life that is known under an id, if there is one.
-    fn end(&mut self, id: &str, revision: Revision) {
+    /// Ends the known incarnation of a target, if there is one.
+    fn end_known(&mut self, id: &str, revision: Revision) {
         let Some(born) = self.get(id).map(|i| i.born) else {
             return;
         };
-        self.ended.entry(id.to_string()).or_default().note(born);
+        self.ended.entry(id.to_string()).or_default().record(born);
         self.write(id.to_string(), None, revision);
     }
 
-    fn alter(&mut self, life: &Life, revision: Revision, change: impl FnOnce(&mut Instance)) {
+    fn update_known(
+        &mut self,
+        life: &Life,
+        revision: Revision,
+        change: impl FnOnce(&mut Instance),
+    ) {
         let known = self.get(&life.id).filter(|i| i.born == life.born);
         if let Some(mut instance) = known.cloned() {
             change(&mut instance);
@@ -370,8 +389,9 @@
         }
     }
 
-    /// Routers see from now on what these pools' engines are, also without layers.
-    pub(super) fn show(&mut self, revision: Revision, is_layered: impl Fn(&str) -> bool) {
+    /// Makes engines visible to routers whose pools are not layered (any more): routers
+    /// get these even if they hold no layers.
+    pub(super) fn show_unlayered(&mut self, revision: Revision, is_layered: impl Fn(&str) -> bool) {
         for id in std::mem::take(&mut self.unseen) {
             let Some(v) = self.all.get(&id) else {
                 continue;
@@ -401,11 +421,11 @@
         Arc::make_mut(&mut self.all).insert(id, v);
     }
 
-    fn forget_oldest(&mut self) {
-        if self.index.left() <= MAX_LEFT {
+    fn evict_oldest_departed(&mut self) {
+        if self.index.departed_count() <= MAX_DEPARTED {
             return;
         }
-        if let Some(id) = self.index.oldest_left().cloned() {
+        if let Some(id) = self.index.oldest_departed().cloned() {
             if let Some(old) = Arc::make_mut(&mut self.all).remove(&id) {
                 Arc::make_mut(&mut self.index).remove(&id, &old);
             }
@@ -414,22 +434,22 @@
         }
     }
 
-    /// What changed after `since` and routers see.
+    /// Returns the instances that changed after `since` and are sent to routers.
     pub fn since(&self, since: Revision) -> Vec<(InstanceId, Versioned<Instance>)> {
         let changed = self.written_since(since);
         let changed = changed.filter(|id| !self.unseen.contains(*id));
-        let with = |id: &InstanceId| Some((id.clone(), self.all.get(id)?.clone()));
-        changed.filter_map(with).collect()
+        let with_value = |id: &InstanceId| Some((id.clone(), self.all.get(id)?.clone()));
+        changed.filter_map(with_value).collect()
     }
 
-    /// Takes over changes; never goes back.
+    /// Merges changes. An instance is replaced only by a newer revision of it.
     pub fn merge(&mut self, changes: Vec<(InstanceId, Versioned<Instance>)>) {
         for (id, v) in changes {
-            let newer = self
+            let is_newer = self
                 .all
                 .get(&id)
                 .is_none_or(|old| old.revision < v.revision);
-            if newer {
+            if is_newer {
                 self.put(id, v);
             }
         }
--- a/crates/deckwind-core/src/state/lives.rs
+++ b/crates/deckwind-core/src/state/lives.rs
@@ -1,30 +1,31 @@
-//! Lives of targets: one process of a target, from its start to its end.
+//! Incarnations of targets.
 //!
-//! A target may start again under the id that it had. What was known of the life
-//! before holds no longer, so whatever is agreed, planned or counted names the
-//! life that it is about.
+//! An incarnation ([`Life`]) is one run of a target's process, from its start to its
+//! end. A target may restart under the same id, and state of the previous incarnation
+//! no longer applies. Replicated records, plans and counters therefore identify the
+//! incarnation that they refer to.
 //!
-//! Targets tell the time of their start, by clocks that may be wrong. A start
-//! told later is of a newer life. One told earlier may be a late word of a life
-//! that is over, or a new life on a clock that went back: it counts once the life
-//! that is known has fallen silent.
+//! Targets report their start time by clocks that may be wrong. A later start time
+//! identifies a newer incarnation. An earlier one may come from a delayed message of
+//! an ended incarnation, or from a new incarnation whose clock was set back; it is
+//! accepted once the known incarnation is silent.
 
 use super::instances::InstanceId;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Names one life of one target.
+/// Identifies one incarnation of a target.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Life {
     /// The target's id.
     pub id: InstanceId,
-    /// When it started, Unix milliseconds by its own clock. Nothing for targets
-    /// that don't say: all that such an id says is of one life.
+    /// Start time, Unix milliseconds by the target's own clock. `None` for targets
+    /// that do not report it: all messages of such an id belong to one incarnation.
     pub born: Option<u64>,
 }
 
 impl<T: Into<InstanceId>> From<T> for Life {
-    /// The life of a target that doesn't tell its start.
+    /// Creates the incarnation of a target that does not report its start time.
     fn from(id: T) -> Self {
         Self {
             id: id.into(),
@@ -42,29 +43,30 @@
     }
 }
 
-/// How a life stands to the one that is known under its id.
+/// Relation of an incarnation to the known one of the same target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It is the one that is known.
+    /// It is the known incarnation.
     Known,
-    /// It is newer, or there is none.
+    /// It is newer than the known incarnation, or none is known.
     Newer,
-    /// It is newer only if the one that is known is over.
+    /// It is newer only if the known incarnation has ended.
     Doubtful,
-    /// It is over.
+    /// It has ended.
     Ended,
 }
 
-/// Ended lives that are remembered of one id: a target that starts again each
-/// second has words of the last eight on their way at most.
+/// Maximum number of ended incarnations recorded per target. A target that restarts
+/// every second has messages of at most its last eight incarnations in flight.
 const MAX_ENDED: usize = 8;
 
-/// Starts of the lives of one id that are over, the latest end last.
+/// Start times of the ended incarnations of one target, ordered by their end.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct EndedLives(VecDeque<Option<u64>>);
 
 impl EndedLives {
-    pub fn note(&mut self, born: Option<u64>) {
+    /// Records an ended incarnation.
+    pub fn record(&mut self, born: Option<u64>) {
         self.0.retain(|b| *b != born);
         self.0.push_back(born);
         if self.0.len() > MAX_ENDED {
@@ -72,31 +74,32 @@
         }
     }
 
-    /// A life that ended is there again: it had only been silent.
-    pub fn forget(&mut self, born: Option<u64>) {
+    /// Removes an incarnation that was taken for ended, but was only silent.
+    pub fn remove(&mut self, born: Option<u64>) {
         self.0.retain(|b| *b != born);
     }
 
-    /// How a life that started at `said` stands, where the life `known` has not
-    /// left.
-    pub fn standing(&self, known: Option<Option<u64>>, said: Option<u64>) -> Standing {
-        let over = self.0.contains(&said);
+    /// Compares an incarnation that reports the start time `reported` with the known
+    /// one; `known` is `None` if no incarnation of the target is active.
+    pub fn standing(&self, known: Option<Option<u64>>, reported: Option<u64>) -> Standing {
+        let has_ended = self.0.contains(&reported);
         match known {
-            Some(known) if known == said => Standing::Known,
-            // Who told its start once tells it always.
-            Some(Some(_)) if said.is_none() => Standing::Ended,
-            None if said.is_none() && self.0.iter().any(Option::is_some) => Standing::Ended,
-            // The known life took over from it while it was silent.
-            Some(known) if over && said > known => Standing::Doubtful,
-            _ if over => Standing::Ended,
-            Some(known) if said < known => Standing::Doubtful,
+            Some(known) if known == reported => Standing::Known,
+            // A target that once reported its start time always reports it.
+            Some(Some(_)) if reported.is_none() => Standing::Ended,
+            None if reported.is_none() && self.0.iter().any(Option::is_some) => Standing::Ended,
+            // The known incarnation replaced it while it was silent.
+            Some(known) if has_ended && reported > known => Standing::Doubtful,
+            _ if has_ended => Standing::Ended,
+            Some(known) if reported < known => Standing::Doubtful,
             _ => Standing::Newer,
         }
     }
 }
 
-/// Whether a life that started at `said` may be older than another target's at
-/// the same address. Where one of them doesn't tell, the later word counts.
-pub(super) fn may_be_older(said: Option<u64>, other: Option<u64>) -> bool {
-    matches!((said, other), (Some(said), Some(other)) if said < other)
+/// Returns whether an incarnation that reports the start time `reported` may be older
+/// than that of another target at the same address. If either does not report a start
+/// time, the later message takes precedence and the result is false.
+pub(super) fn may_be_older(reported: Option<u64>, other: Option<u64>) -> bool {
+    matches!((reported, other), (Some(reported), Some(other)) if reported < other)
 }
--- a/crates/deckwind-core/src/state/mod.rs
+++ b/crates/deckwind-core/src/state/mod.rs
@@ -1,16 +1,17 @@
-//! The agreed state: what the control replicas' log adds up to.
+//! The replicated state: the result of applying the control replicas' log.
 //!
 //! ```text
 //!  Command ──(committed, in log order)──► StateMachine::apply ──► Reply
 //!                                           │ configuration   objects, each with its revision
-//!                                           │ claims          one row per not-repeatable request
-//!                                           │ repeats         what routers may send again
-//!                                           │ quarantine      requests under which targets end
+//!                                           │ claims          one row per non-idempotent request
+//!                                           │ repeats         retry budget granted to routers
+//!                                           │ quarantine      requests that crash targets
 //!                                           └ results         first reply to each operator request id
 //! ```
 //!
-//! `apply` is deterministic: the only time it sees is the `at_ms` that the
-//! leader wrote into the command. All tables are bounded and in the snapshot.
+//! `apply` is deterministic: the only time it reads is the `at_ms` that the
+//! leader wrote into the command. All tables are bounded and part of the
+//! snapshot.
 
 mod claims;
 mod command;
@@ -53,6 +54,6 @@
     AcceleratorKind, CallerLimits, EngineModel, KeyDigest, KeyHolder, Pool, PoolName, Published,
     Release, Route, RouteKind, Split,
 };
-pub use release_change::{Changed, ReleaseChange, ReleaseDelta, RoutePlace};
+pub use release_change::{Changed, ReleaseChange, ReleaseDelta, RouteKey};
 pub use repeats::{Allowance, AllowanceId, AllowanceKey, RepeatChange, RepeatLedger};
 pub use state_machine::StateMachine;
--- a/crates/deckwind-core/src/state/names.rs
+++ b/crates/deckwind-core/src/state/names.rs
@@ -1,9 +1,9 @@
-//! Names and numbers that identify objects.
+//! Types for names and revision numbers of objects.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-macro_rules! name {
+macro_rules! string_newtype {
     ($(#[$doc:meta])* $t:ident) => {
         $(#[$doc])*
         #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -11,7 +11,7 @@
         pub struct $t(String);
 
         impl $t {
-            /// The name as text.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -37,32 +37,32 @@
     };
 }
 
-name!(
-    /// A template: one per workload, written by operators.
+string_newtype!(
+    /// Name of a template. There is one per workload, written by operators.
     TemplateName
 );
-name!(
-    /// A client account.
+string_newtype!(
+    /// Name of a client account.
     AccountName
 );
-name!(
-    /// A target: a model engine or a plain service.
+string_newtype!(
+    /// Name of a target: a model engine or a plain service.
     TargetName
 );
-name!(
-    /// A VM that runs one of our processes.
+string_newtype!(
+    /// Name of a VM that runs a Deckwind process.
     VmName
 );
-name!(
-    /// A data centre.
+string_newtype!(
+    /// Name of a data centre.
     DataCentre
 );
-name!(
-    /// An operator's request id: a resend carries the same one.
+string_newtype!(
+    /// Id of an operator's request. A resend carries the same id.
     RequestId
 );
 
-/// A revision of the configuration; each accepted change takes the next one.
+/// Revision of the configuration, incremented by each accepted change.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -70,13 +70,13 @@
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// Before the first change.
+    /// Revision before the first change.
     pub const ZERO: Revision = Revision(0);
 
-    /// Above every revision.
+    /// Upper bound of all revisions.
     pub const MAX: Revision = Revision(u64::MAX);
 
-    /// The revision after this one.
+    /// Returns the next revision.
     pub fn next(self) -> Revision {
         Revision(self.0 + 1)
     }
--- a/crates/deckwind-core/src/state/objects.rs
+++ b/crates/deckwind-core/src/state/objects.rs
@@ -1,16 +1,16 @@
-//! The objects that operators write: templates, client accounts, targets.
+//! Objects written by operators: templates, client accounts and targets.
 
 use super::names::{AccountName, DataCentre, TargetName, TemplateName};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Order of service. A lower number goes first.
+/// Scheduling priority. Variants declared first are served first.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, Default,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// Gates and validators: somebody stands in front of one.
+    /// Gates and validators, where a person is waiting.
     Gate,
     /// Roster drafts and confirmations.
     Roster,
@@ -22,7 +22,7 @@
 }
 
 impl Priority {
-    /// All priorities, first served first.
+    /// All priorities, from highest to lowest.
     pub const ALL: [Priority; 4] = [
         Priority::Gate,
         Priority::Roster,
@@ -30,13 +30,13 @@
         Priority::Summary,
     ];
 
-    /// Position in [`Priority::ALL`].
+    /// Returns the position in [`Priority::ALL`].
     pub fn index(self) -> usize {
         self as usize
     }
 }
 
-/// Layers `first..last` of a model; `last` is not included.
+/// Half-open range `first..last` of model layers.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -48,28 +48,28 @@
 }
 
 impl LayerRange {
-    /// The range `first..last`.
+    /// Creates the range `first..last`.
     pub const fn new(first: u32, last: u32) -> Self {
         Self { first, last }
     }
 
-    /// Number of layers.
+    /// Returns the number of layers.
     pub fn len(self) -> u32 {
         self.last.saturating_sub(self.first)
     }
 
-    /// Whether the range holds no layer.
+    /// Returns whether the range contains no layers.
     pub fn is_empty(self) -> bool {
         self.last <= self.first
     }
 
-    /// Whether `layer` is in the range.
+    /// Returns whether `layer` is in the range.
     pub fn contains(self, layer: u32) -> bool {
         self.first <= layer && layer < self.last
     }
 }
 
-/// What a template's requests are.
+/// Kind of requests that a template describes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Workload {
@@ -80,20 +80,20 @@
         /// Number of layers of the model.
         layers: u32,
     },
-    /// Calls to a plain service, by template path.
+    /// Calls to a plain service, addressed by the template's path.
     Service {
-        /// Upper bound of one call, in milliseconds.
+        /// Timeout of one call, milliseconds.
         timeout_ms: u64,
     },
 }
 
-/// A service-level objective: which share of answers must be on time.
+/// A service-level objective: the share of answers that must be on time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Objective {
-    /// Share of answers on time, in 0..1.
+    /// Required share of answers on time, above 0 and below 1.
     pub share: f64,
-    /// Time to the first token or the whole answer, in milliseconds.
+    /// Time limit for the first token or the whole answer, milliseconds.
     pub within_ms: u64,
 }
 
@@ -106,54 +106,57 @@
     }
 }
 
-/// Values a template gives, which a client account may override.
+/// Request parameters set by a template; a client account may override them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Parameters {
-    /// Order of service.
+    /// Scheduling priority.
     pub priority: Option<Priority>,
     /// Version of the model.
     pub model_version: Option<String>,
-    /// Adapter loaded on top of the model.
+    /// Adapter applied to the model.
     pub adapter: Option<String>,
 }
 
 impl Parameters {
-    /// These parameters, with those that `over` sets taking their place.
-    pub fn overridden_by(&self, over: Option<&Parameters>) -> Parameters {
-        let Some(over) = over else {
+    /// Returns these parameters, with those that `overrides` sets replaced.
+    pub fn overridden_by(&self, overrides: Option<&Parameters>) -> Parameters {
+        let Some(overrides) = overrides else {
             return self.clone();
         };
         Parameters {
-            priority: over.priority.or(self.priority),
-            model_version: over.model_version.clone().or(self.model_version.clone()),
-            adapter: over.adapter.clone().or(self.adapter.clone()),
+            priority: overrides.priority.or(self.priority),
+            model_version: overrides
+                .model_version
+                .clone()
+                .or(self.model_version.clone()),
+            adapter: overrides.adapter.clone().or(self.adapter.clone()),
         }
     }
 }
 
-/// One workload.
+/// A template: the configuration of one workload.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Template {
-    /// Its name; also the path of a plain service.
+    /// Name of the template; also the path of a plain service.
     pub name: TemplateName,
-    /// What its requests are.
+    /// Kind of requests.
     pub workload: Workload,
-    /// Defaults for every client account.
+    /// Default parameters for all client accounts.
     #[serde(default)]
     pub parameters: Parameters,
-    /// Whether a request may run more than once.
+    /// Whether requests are idempotent and may run more than once.
     #[serde(default = "yes")]
     pub repeatable: bool,
-    /// What callers are promised.
+    /// Service-level objective.
     #[serde(default)]
     pub objective: Objective,
-    /// A request that can't start within this time is refused, milliseconds.
+    /// Time within which a request must start, milliseconds; it is refused otherwise.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// How long a router whose lease has run out may go on serving the last
-    /// revision, in milliseconds. Never used for not-repeatable requests.
+    /// Time for which a router with an expired lease may continue to serve the last
+    /// known revision, milliseconds. Does not apply to non-idempotent requests.
     #[serde(default)]
     pub serve_stale_ms: u64,
 }
@@ -166,13 +169,13 @@
     30_000
 }
 
-/// Bounds of one client account over all routers together.
+/// Limits of a client account, summed over all routers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AccountLimits {
-    /// Requests a second.
+    /// Rate limit, requests per second.
     pub requests_per_s: f64,
-    /// Weight in fair sharing.
+    /// Weight in fair scheduling.
     pub weight: u32,
 }
 
@@ -185,23 +188,23 @@
     }
 }
 
-/// A client account.
+/// A client account and its configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Account {
-    /// Its name.
+    /// Name of the account.
     pub name: AccountName,
-    /// SHA-256 of its bearer key, in hexadecimal. The key itself is not kept.
+    /// SHA-256 of the bearer key, in hexadecimal. The key itself is not stored.
     pub key_sha256: String,
-    /// Bounds over all routers.
+    /// Limits, summed over all routers.
     #[serde(default)]
     pub limits: AccountLimits,
-    /// Overrides by template.
+    /// Parameter overrides by template.
     #[serde(default)]
     pub parameters: BTreeMap<TemplateName, Parameters>,
 }
 
-/// What a target serves.
+/// Kind of a target, and what it serves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum TargetKind {
@@ -211,53 +214,53 @@
         model: String,
         /// Version of the model.
         version: String,
-        /// Adapters it has loaded.
+        /// Loaded adapters.
         #[serde(default)]
         adapters: Vec<String>,
-        /// Layers that it holds.
+        /// Layers that the engine holds.
         layers: LayerRange,
-        /// Kind of accelerator, for its cost.
+        /// Accelerator kind, used for cost estimates.
         accelerator: String,
     },
     /// A plain service.
     Service {
-        /// Template whose calls it answers.
+        /// Template whose calls the service answers.
         template: TemplateName,
     },
 }
 
-/// Where a target is in its life.
+/// Lifecycle status of a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TargetStatus {
-    /// Takes new work.
+    /// Accepts new work.
     #[default]
     Active,
-    /// Finishes what it has, takes nothing new.
+    /// Finishes the work in progress and accepts no new work.
     Leaving,
-    /// Gone.
+    /// Out of service.
     Retired,
 }
 
-/// A model engine or plain service that requests are sent to.
+/// A model engine or plain service that requests are forwarded to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Target {
-    /// Its name.
+    /// Name of the target.
     pub name: TargetName,
-    /// IP and port.
+    /// IP address and port.
     pub address: std::net::SocketAddr,
-    /// Where it stands.
+    /// Data centre that it runs in.
     pub data_centre: DataCentre,
-    /// What it serves.
+    /// Kind of the target, and what it serves.
     pub kind: TargetKind,
-    /// Where it is in its life.
+    /// Lifecycle status.
     #[serde(default)]
     pub status: TargetStatus,
-    /// Whether it refuses orders with an old fence.
+    /// Whether the target rejects orders with a stale fencing token.
     #[serde(default)]
     pub checks_fences: bool,
-    /// Requests or sessions that it serves at once.
+    /// Maximum number of concurrent requests or sessions.
     #[serde(default = "default_slots")]
     pub slots: u32,
 }
--- a/crates/deckwind-core/src/state/packed.rs
+++ b/crates/deckwind-core/src/state/packed.rs
@@ -1,4 +1,4 @@
-//! A delta as bytes, packed once and sent to many.
+//! Deltas in encoded form, compressed once and sent to many receivers.
 
 use super::configuration::Delta;
 use super::names::Revision;
@@ -7,18 +7,18 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Deltas up to this size go as they are: a changed target is some 70 bytes, and
-/// packing makes nothing of it.
-const PACK_ABOVE: usize = 512;
+/// Encoded deltas up to this size are sent uncompressed, bytes. A changed target takes
+/// some 70 bytes, which compression does not reduce.
+const COMPRESSION_THRESHOLD: usize = 512;
 
-/// Longest delta, bytes, once it is unpacked: that of a whole snapshot.
-const MOST_BYTES: u64 = 64 << 20;
+/// Maximum size of an uncompressed delta, bytes: the size of a whole snapshot.
+const MAX_DELTA_BYTES: u64 = 64 << 20;
 
-/// What a receiver lacks, ready to be sent.
+/// An encoded delta, compressed if that makes it shorter.
 ///
-/// Routes differ in a few bytes, so packing leaves a tenth of a large release:
-/// that decides how long a release takes to hundreds of routers, since all the
-/// copies leave through one leader's link.
+/// Routes differ in a few bytes only, so compression reduces a large release to a
+/// tenth. This determines how long a release takes to reach hundreds of routers,
+/// because the leader sends all copies over its own link.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PackedDelta {
     /// Revision that the receiver has after applying it.
@@ -27,65 +27,72 @@
     bytes: Arc<[u8]>,
 }
 
-/// Why a packed delta can't be read.
+/// Error from decoding a packed delta.
 #[derive(Debug, Error)]
 pub enum Unpackable {
-    /// Its bytes can't be inflated.
+    /// The bytes are not a valid deflate stream.
     #[error("a packed delta can't be inflated: {0}")]
     Inflate(#[from] std::io::Error),
-    /// It is longer than any state.
-    #[error("a packed delta is longer than {MOST_BYTES} bytes")]
+    /// The uncompressed delta exceeds the maximum size.
+    #[error("a packed delta is longer than {MAX_DELTA_BYTES} bytes")]
     TooLong,
-    /// What was packed is no delta.
+    /// The uncompressed bytes are not a valid delta.
     #[error("a packed delta is damaged: {0}")]
     Body(#[from] postcard::Error),
 }
 
 impl PackedDelta {
-    /// Packs a delta.
+    /// Encodes a delta, and compresses it if it is longer than 512 bytes and that makes
+    /// it shorter.
     pub fn of(delta: &Delta) -> Self {
         let plain = postcard::to_stdvec(delta).expect("deltas always serialize");
-        let packed = (plain.len() > PACK_ABOVE)
+        let compressed = (plain.len() > COMPRESSION_THRESHOLD)
             .then(|| deflate(&plain))
             .flatten();
         Self {
             to: delta.to,
-            deflated: packed.is_some(),
-            bytes: packed.unwrap_or(plain).into(),
+            deflated: compressed.is_some(),
+            bytes: compressed.unwrap_or(plain).into(),
         }
     }
 
-    /// Whether both lead from and to the same state.
+    /// Returns whether both contain the same delta. Compares by pointer first, since
+    /// copies share their bytes.
     pub fn is_same(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.bytes, &other.bytes) || self == other
     }
 
-    /// Its size, bytes.
+    /// Returns the size as sent, bytes.
     pub fn size(&self) -> usize {
         self.bytes.len()
     }
 
-    /// The delta.
+    /// Decodes the delta.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the bytes can't be inflated, are too long uncompressed, or are not a
+    /// valid delta.
     pub fn unpack(&self) -> Result<Delta, Unpackable> {
         if !self.deflated {
             return Ok(postcard::from_bytes(&self.bytes)?);
         }
         let mut plain = Vec::new();
         let inflater = flate2::read::DeflateDecoder::new(&self.bytes[..]);
-        inflater.take(MOST_BYTES + 1).read_to_end(&mut plain)?;
-        if plain.len() as u64 > MOST_BYTES {
+        inflater.take(MAX_DELTA_BYTES + 1).read_to_end(&mut plain)?;
+        if plain.len() as u64 > MAX_DELTA_BYTES {
             return Err(Unpackable::TooLong);
         }
         Ok(postcard::from_bytes(&plain)?)
     }
 }
 
-/// Nothing if the bytes can't be made shorter.
+/// Compresses bytes. Returns `None` if the result would not be shorter.
 fn deflate(plain: &[u8]) -> Option<Vec<u8>> {
     let level = flate2::Compression::fast();
-    let mut packed = Vec::new();
+    let mut compressed = Vec::new();
     flate2::read::DeflateEncoder::new(plain, level)
-        .read_to_end(&mut packed)
+        .read_to_end(&mut compressed)
         .ok()?;
-    (packed.len() < plain.len()).then_some(packed)
+    (compressed.len() < plain.len()).then_some(compressed)
 }
--- a/crates/deckwind-core/src/state/quarantine.rs
+++ b/crates/deckwind-core/src/state/quarantine.rs
@@ -1,19 +1,21 @@
-//! Contents under which targets have ended, and those that are no longer sent.
+//! Quarantine of poison requests: request contents that crash targets.
 //!
 //! ```text
-//!  a target ended under it ─► row: the lives that ended ──3 lives──► quarantined
-//!                              ▲  │                                     │
-//!                              │  └── served well somewhere: gone ◄─────┤
-//!                              └──── 10 min, or an hour: gone ◄─────────┘
+//!  a target crashed ─► row: the crashed incarnations ──3 crashes──► quarantined
+//!                        │                                              │
+//!                        ├── served successfully or lifted: removed ◄───┤
+//!                        └── expired: after 10 min; after 1 h ◄─────────┘
 //! ```
 //!
-//! One end says little: whatever else ran there ended with the target, and targets
-//! end by themselves. A content that was there each time, and was never served well,
-//! is sent to nobody until an hour has passed since the last end.
+//! A single crash is weak evidence: every request in progress on the target ends with
+//! it, and targets also crash for other reasons. A content that was present at three
+//! crashes, and was not served successfully in between, is not sent to any target until
+//! an hour has passed since its last crash.
 //!
-//! Where several were there, one may explain the ends of the others: streams move
-//! together from a target that ended to the next. A content all of whose ends are those
-//! of contents against which more speaks is not condemned.
+//! If several contents were present, one of them may explain the crashes of the others,
+//! because streams move together from a crashed target to the next. A content is
+//! not quarantined if each of its crashes is also one of a quarantined content with
+//! stronger evidence.
 
 use super::content::ContentDigest;
 use super::lives::Life;
@@ -21,97 +23,101 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Lives that end under a content before it is quarantined: what operators allow a
-/// request to end. Streams that move together from a target that ended may meet the
-/// next end together, so two are chance where such requests come in storms.
+/// Number of crashed incarnations after which a content is quarantined: the number of
+/// targets that operators allow a request to crash. Streams that move together from a
+/// crashed target may also meet the next crash together, so two crashes can be a
+/// coincidence during bursts of such requests.
 pub const ENDS_TO_QUARANTINE: usize = 3;
 
-/// Ends that are kept of one content: those of the tries that were under way when it was
-/// quarantined tell it from what was there beside it.
+/// Maximum number of crashes recorded per content. Those of attempts that were in
+/// progress when it was quarantined distinguish it from contents that were merely
+/// present.
 pub const MOST_ENDS: usize = 16;
 
-/// How long an end counts that is followed by no other: callers who ask again do so
-/// within minutes. Milliseconds.
-const ENDS_COUNT_FOR_MS: u64 = 10 * 60 * 1_000;
+/// Time until a content below the quarantine threshold expires after its last crash,
+/// milliseconds. Callers that retry do so within minutes.
+const SUSPECT_TTL_MS: u64 = 10 * 60 * 1_000;
 
-/// How long a content is quarantined after its last end. A request that always ends
-/// its target so ends three an hour at most; one that was quarantined by chance is
-/// served again after it. Milliseconds.
+/// Duration of a quarantine after the last crash, milliseconds. It limits a request that
+/// always crashes its target to three crashes an hour; a request that was quarantined by
+/// coincidence is served again afterwards.
 pub const QUARANTINED_FOR_MS: u64 = 60 * 60 * 1_000;
 
-/// Contents remembered, 150 bytes each: the ends of a data centre of 500 targets,
-/// with eight contents each.
-const MAX_ROWS: usize = 4_096;
+/// Maximum number of contents in the table, 150 bytes each. Sufficient for the crash of
+/// a data centre of 500 targets with eight contents each.
+const MAX_SUSPECTS: usize = 4_096;
 
-/// Contents that routers are told of, 17 bytes each.
+/// Maximum number of contents in the list sent to routers, 17 bytes each.
 const MAX_LISTED: usize = 1_024;
 
-/// What a router has seen of a content.
+/// An observation of a request content by a router, or a decision of an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SuspectChange {
-    /// This life ended while it had just begun to run it, or was about to.
+    /// An incarnation ended just before or just after it began to run the content.
     Ended {
-        /// The content.
+        /// Digest of the request content.
         content: ContentDigest,
-        /// The life.
+        /// The incarnation that ended.
         life: Life,
-        /// Whether an event of it had come from there.
+        /// Whether the router had received an event of the request from it.
         begun: bool,
     },
-    /// A target has run it and is there.
+    /// A target ran the content and is still available.
     Served(ContentDigest),
-    /// An operator has it served again.
+    /// An operator lifted the quarantine.
     Lift(ContentDigest),
 }
 
-/// Lives that ended under a content.
+/// Crashes of targets that ran a content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Suspect {
     ended: Vec<Life>,
-    /// At how many of them an event of it had come.
+    /// Number of these incarnations from which an event of the request had arrived.
     begun: u32,
-    /// When the last one did, by the leader's clock.
+    /// Time of the last crash by the leader's clock, milliseconds since the Unix epoch.
     last_ms: u64,
 }
 
 impl Suspect {
-    /// How much speaks against it beside others that were there. A content ends its
-    /// targets as they begin to run it: one of which no event ever came is at fault before
-    /// all others, then the one with more ends, then the one with fewer runs begun.
-    fn weight(&self) -> (bool, usize, Reverse<u32>) {
+    /// Returns the strength of the evidence against the content, for comparison with
+    /// other contents that were present. A poison request crashes its targets as they
+    /// begin to run it: contents of which no event ever arrived rank first, then those
+    /// with more crashes, then those with fewer runs that had produced an event.
+    fn evidence(&self) -> (bool, usize, Reverse<u32>) {
         (self.begun == 0, self.ended.len(), Reverse(self.begun))
     }
 
-    /// Whether it has enough ends to be quarantined.
-    fn is_full(&self) -> bool {
+    /// Returns whether the number of crashes reaches the quarantine threshold.
+    fn reaches_threshold(&self) -> bool {
         self.ended.len() >= ENDS_TO_QUARANTINE
     }
 
-    fn is_over(&self, now_ms: u64) -> bool {
-        let lasts = match self.is_full() {
+    fn is_expired(&self, now_ms: u64) -> bool {
+        let ttl_ms = match self.reaches_threshold() {
             true => QUARANTINED_FOR_MS,
-            false => ENDS_COUNT_FOR_MS,
+            false => SUSPECT_TTL_MS,
         };
-        now_ms.saturating_sub(self.last_ms) >= lasts
+        now_ms.saturating_sub(self.last_ms) >= ttl_ms
     }
 }
 
-/// All contents under which targets have ended. On control replicas only; routers
-/// have the [`SuspectList`].
+/// All request contents that crashed targets. Kept on control replicas only; routers
+/// get the [`SuspectList`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quarantine(BTreeMap<ContentDigest, Suspect>);
 
 impl Quarantine {
-    /// Applies what routers saw, as of `now_ms` by the leader's clock.
+    /// Applies changes as of `now_ms` by the leader's clock, after removing expired
+    /// rows.
     pub(super) fn apply(&mut self, changes: Vec<SuspectChange>, now_ms: u64) {
-        self.0.retain(|_, suspect| !suspect.is_over(now_ms));
+        self.0.retain(|_, suspect| !suspect.is_expired(now_ms));
         for change in changes {
             match change {
                 SuspectChange::Ended {
                     content,
                     life,
                     begun,
-                } => self.ended(content, life, begun, now_ms),
+                } => self.record_crash(content, life, begun, now_ms),
                 SuspectChange::Served(content) | SuspectChange::Lift(content) => {
                     self.0.remove(&content);
                 }
@@ -119,9 +125,9 @@
         }
     }
 
-    fn ended(&mut self, content: ContentDigest, life: Life, begun: bool, now_ms: u64) {
+    fn record_crash(&mut self, content: ContentDigest, life: Life, begun: bool, now_ms: u64) {
         if !self.0.contains_key(&content) {
-            self.make_room();
+            self.evict_if_full();
         }
         let suspect = self.0.entry(content).or_insert_with(|| Suspect {
             ended: Vec::new(),
@@ -136,110 +142,117 @@
         suspect.last_ms = now_ms;
     }
 
-    /// Of those with the fewest ends the oldest goes.
-    fn make_room(&mut self) {
-        if self.0.len() < MAX_ROWS {
+    /// If the table is full, removes the content with the fewest crashes; of several, the
+    /// one whose last crash is the oldest.
+    fn evict_if_full(&mut self) {
+        if self.0.len() < MAX_SUSPECTS {
             return;
         }
-        let least = self
+        let weakest = self
             .0
             .iter()
             .min_by_key(|(_, s)| (s.ended.len(), s.last_ms));
-        if let Some(content) = least.map(|(content, _)| *content) {
+        if let Some(content) = weakest.map(|(content, _)| *content) {
             self.0.remove(&content);
         }
     }
 
-    /// Whether something is there only because nobody has looked since.
+    /// Returns whether any row has expired. Expired rows are removed by the next
+    /// [`SuspectChange`] command.
     pub fn has_outdated(&self, now_ms: u64) -> bool {
-        self.0.values().any(|suspect| suspect.is_over(now_ms))
+        self.0.values().any(|suspect| suspect.is_expired(now_ms))
     }
 
-    /// What is quarantined: the lives that ended under each content, and how long it
-    /// stays so, milliseconds.
+    /// Iterates over the quarantined contents, each with the incarnations that crashed
+    /// and the remaining time of the quarantine, milliseconds.
     pub fn quarantined(&self, now_ms: u64) -> impl Iterator<Item = (ContentDigest, &[Life], u64)> {
-        let condemned = self.condemned();
-        let stands =
-            move |c: &ContentDigest, s: &Suspect| condemned.contains(c) && !s.is_over(now_ms);
-        let stand = self.0.iter().filter(move |(c, s)| stands(c, s));
-        stand.map(move |(content, s)| {
+        let culprits = self.culprits();
+        let is_quarantined =
+            move |c: &ContentDigest, s: &Suspect| culprits.contains(c) && !s.is_expired(now_ms);
+        let quarantined = self.0.iter().filter(move |(c, s)| is_quarantined(c, s));
+        quarantined.map(move |(content, s)| {
             let until = s.last_ms + QUARANTINED_FOR_MS;
             (*content, s.ended.as_slice(), until.saturating_sub(now_ms))
         })
     }
 
-    /// Contents with enough ends, but for those whose ends others explain.
-    fn condemned(&self) -> BTreeSet<ContentDigest> {
-        let full = self.0.iter().filter(|(_, s)| s.is_full());
-        let mut full: Vec<(&ContentDigest, &Suspect)> = full.collect();
-        full.sort_by_key(|(_, s)| Reverse(s.weight()));
-        let mut condemned: Vec<(&ContentDigest, &Suspect)> = Vec::new();
-        for (content, suspect) in full {
-            let explains = |life: &Life| {
-                let mut others = condemned
+    /// Returns the contents that reach the quarantine threshold, without those whose
+    /// crashes are all explained by contents with stronger evidence.
+    fn culprits(&self) -> BTreeSet<ContentDigest> {
+        let candidates = self.0.iter().filter(|(_, s)| s.reaches_threshold());
+        let mut candidates: Vec<(&ContentDigest, &Suspect)> = candidates.collect();
+        candidates.sort_by_key(|(_, s)| Reverse(s.evidence()));
+        let mut culprits: Vec<(&ContentDigest, &Suspect)> = Vec::new();
+        for (content, suspect) in candidates {
+            let is_explained = |life: &Life| {
+                let mut stronger = culprits
                     .iter()
-                    .filter(|(_, s)| s.weight() > suspect.weight());
-                others.any(|(_, other)| other.ended.contains(life))
+                    .filter(|(_, s)| s.evidence() > suspect.evidence());
+                stronger.any(|(_, other)| other.ended.contains(life))
             };
-            if !suspect.ended.iter().all(explains) {
-                condemned.push((content, suspect));
+            if !suspect.ended.iter().all(is_explained) {
+                culprits.push((content, suspect));
             }
         }
-        condemned.into_iter().map(|(content, _)| *content).collect()
+        culprits.into_iter().map(|(content, _)| *content).collect()
     }
 
-    /// What routers are to know: whoever may be quarantined by its next end. Where
-    /// there are too many, those with the most and latest ends.
-    pub(super) fn list(&self) -> SuspectList {
-        let near = ENDS_TO_QUARANTINE - 1;
-        let condemned = self.condemned();
-        let counts = |c: &ContentDigest, s: &Suspect| !s.is_full() || condemned.contains(c);
-        let near = self
+    /// Returns the list for routers: contents that are quarantined, or would be after one
+    /// more crash. If there are too many, those with the most crashes are listed, and of
+    /// these the most recent ones.
+    pub(super) fn suspect_list(&self) -> SuspectList {
+        let min_ends = ENDS_TO_QUARANTINE - 1;
+        let culprits = self.culprits();
+        let is_listed =
+            |c: &ContentDigest, s: &Suspect| !s.reaches_threshold() || culprits.contains(c);
+        let suspects = self
             .0
             .iter()
-            .filter(|(c, s)| s.ended.len() >= near && counts(c, s));
-        let mut near: Vec<_> = near.collect();
-        if near.len() > MAX_LISTED {
-            near.sort_by_key(|(_, s)| Reverse((s.ended.len(), s.last_ms)));
-            near.truncate(MAX_LISTED);
+            .filter(|(c, s)| s.ended.len() >= min_ends && is_listed(c, s));
+        let mut suspects: Vec<_> = suspects.collect();
+        if suspects.len() > MAX_LISTED {
+            suspects.sort_by_key(|(_, s)| Reverse((s.ended.len(), s.last_ms)));
+            suspects.truncate(MAX_LISTED);
         }
-        let listed = near
+        let listed = suspects
             .iter()
             .map(|(content, s)| (**content, s.ended.len() as u8));
         SuspectList(listed.collect())
     }
 }
 
-/// Contents that are quarantined, or would be with one more end, and the ends.
+/// Contents that are quarantined, or would be after one more crash, with the number of
+/// crashes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectList(BTreeMap<ContentDigest, u8>);
 
 impl SuspectList {
-    /// Targets that are known to have ended under a content; one alone isn't told.
+    /// Returns the number of crashes of a content; zero if it is not listed. A content
+    /// with a single crash is not listed.
     pub fn ends(&self, content: &ContentDigest) -> usize {
         self.0.get(content).map_or(0, |ends| usize::from(*ends))
     }
 
-    /// Contents in it.
+    /// Iterates over the listed contents.
     pub fn contents(&self) -> impl Iterator<Item = &ContentDigest> {
         self.0.keys()
     }
 
-    /// Contents that are sent to nobody.
+    /// Iterates over the quarantined contents, which are not sent to any target.
     pub fn quarantined(&self) -> impl Iterator<Item = &ContentDigest> {
-        let full = |ends: &u8| usize::from(*ends) >= ENDS_TO_QUARANTINE;
+        let reaches_threshold = |ends: &u8| usize::from(*ends) >= ENDS_TO_QUARANTINE;
         self.0
             .iter()
-            .filter(move |(_, ends)| full(ends))
+            .filter(move |(_, ends)| reaches_threshold(ends))
             .map(|(c, _)| c)
     }
 
-    /// How many contents are in it.
+    /// Returns the number of listed contents.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether the list is empty.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/deckwind-core/src/state/release.rs
+++ b/crates/deckwind-core/src/state/release.rs
@@ -1,30 +1,31 @@
-//! A release: routes, pools, keys and limits, published as one whole.
+//! Releases: routes, pools, keys and limits, published together as one document.
 //!
-//! Operators who keep their configuration as one numbered document publish it
-//! whole. The highest version holds, so a resend or an old version changes
-//! nothing. Single objects ([`super::objects`]) stay beside it.
+//! Operators that keep their configuration as one versioned document publish it as a
+//! whole. The highest version is current, so publishing the same or an older version
+//! again has no effect. Individually written objects ([`super::objects`]) exist beside
+//! the release.
 
 use super::names::AccountName;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Whether and how a route's requests may be repeated.
+/// Retry semantics of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Requests may run more than once.
     Repeatable,
-    /// Runs at most once for each request.
+    /// Each request runs at most once.
     Once,
-    /// A series of events.
+    /// Answers are streams of events.
     Stream {
-        /// Whether another target may go on after the last event.
+        /// Whether another target can resume the stream after the last event.
         resumable: bool,
     },
 }
 
 impl RouteKind {
-    /// Whether a request that may have run may be sent again.
+    /// Returns whether a request that may have run may be retried.
     pub fn may_repeat(self) -> bool {
         match self {
             RouteKind::Repeatable => true,
@@ -33,155 +34,158 @@
         }
     }
 
-    /// Whether answers are series of events.
+    /// Returns whether answers are streams of events.
     pub fn is_stream(self) -> bool {
         matches!(self, RouteKind::Stream { .. })
     }
 }
 
-/// A pool's part of a route's requests.
+/// Share of a route's requests that goes to one pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Split {
     /// Name of the pool.
     pub pool: PoolName,
-    /// Its weight among the route's pools.
+    /// Weight among the route's pools.
     pub weight: f64,
 }
 
-/// Requests of one host below one path, and where they go.
+/// A route: requests to one host below one path prefix, and their pools.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name of the route, for logs.
     pub name: String,
-    /// Host, in lower case, without a port.
+    /// Host name in lower case, without a port.
     pub host: String,
-    /// Path that its requests begin with.
+    /// Path prefix of the requests.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Retry semantics.
     pub kind: RouteKind,
-    /// Pools by weight.
+    /// Pools with their weights.
     pub split: Vec<Split>,
-    /// Longest time that a request may be held, milliseconds.
+    /// Timeout of a request, milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer is on time, milliseconds; for streams the
-    /// time to the first event.
+    /// Latency objective, milliseconds: time to the answer, or for streams to the first
+    /// event.
     pub objective_ms: u64,
-    /// Longest pause between two events that is still on time, milliseconds.
+    /// Maximum time between two events of a stream that meets the objective,
+    /// milliseconds.
     pub pause_ms: Option<u64>,
-    /// Rank; 0 goes first.
+    /// Scheduling priority; 0 is the highest.
     pub priority: u8,
-    /// Most targets that one request may be sent to.
+    /// Maximum number of targets that one request may be sent to.
     pub attempts: u32,
-    /// Whether it needs no key.
+    /// Whether requests need no key.
     pub open: bool,
 }
 
-/// Name of a pool of targets.
+/// Name of a pool.
 pub type PoolName = String;
 
-/// A kind of accelerator of an engine pool.
+/// An accelerator kind of an engine pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceleratorKind {
-    /// Its name.
+    /// Name of the kind.
     pub name: String,
-    /// Memory, MB.
+    /// Memory size, MB.
     pub memory_mb: f64,
-    /// How many times longer a step takes than on the reference.
+    /// Duration of a step relative to the reference accelerator.
     pub step_factor: f64,
-    /// How many times longer reading takes than on the reference.
+    /// Duration of reading a prompt relative to the reference accelerator.
     pub read_factor: f64,
 }
 
-/// What the engines of a pool run. Times are those of the reference
-/// accelerator with all layers.
+/// Model that the engines of a pool run. Times apply to the reference accelerator
+/// with all layers loaded.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineModel {
-    /// Layers of the model; 0 where every engine holds all of it.
+    /// Number of layers of the model; 0 if every engine holds the whole model.
     pub layers: u32,
     /// Size of one layer, MB.
     pub layer_mb: f64,
-    /// Bytes of cache that one token takes over all layers.
+    /// Cache size of one token over all layers, bytes.
     pub token_bytes: f64,
-    /// Most tokens that one engine keeps, whatever its memory.
+    /// Maximum number of tokens cached by one engine, independent of its memory.
     pub max_tokens: u64,
-    /// Requests that one engine takes at once.
+    /// Maximum number of concurrent requests of one engine.
     pub slots: u32,
-    /// Time of one step, milliseconds.
+    /// Duration of one step, milliseconds.
     pub step_ms: f64,
-    /// Time to load all layers, milliseconds.
+    /// Duration of loading all layers, milliseconds.
     pub load_ms: f64,
-    /// Loads at once before each slows the others.
+    /// Number of concurrent loads above which they slow each other down.
     pub loads_at_once: u32,
-    /// Mean tokens of a prompt.
+    /// Mean prompt length, tokens.
     pub usual_prompt: u64,
-    /// Mean tokens of an answer.
+    /// Mean answer length, tokens.
     pub usual_answer: u64,
-    /// Kinds of accelerators.
+    /// Accelerator kinds of the pool.
     pub kinds: Vec<AcceleratorKind>,
 }
 
 impl EngineModel {
-    /// The kind of this name.
+    /// Returns the accelerator kind with this name.
     pub fn kind(&self, name: &str) -> Option<&AcceleratorKind> {
         self.kinds.iter().find(|k| k.name == name)
     }
 
-    /// Bytes of cache of one token at one layer.
+    /// Returns the cache size of one token at one layer, bytes.
     pub fn layer_token_bytes(&self) -> f64 {
         self.token_bytes / f64::from(self.layers.max(1))
     }
 }
 
-/// Targets that serve the same requests.
+/// A pool of targets that serve the same requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pool {
-    /// Its name.
+    /// Name of the pool.
     pub name: PoolName,
-    /// Connections that one target takes from all callers together.
+    /// Maximum number of connections to one target, summed over all routers.
     pub max_connections: u32,
-    /// What its engines run; nothing for plain services.
+    /// Model that the engines run; `None` for plain services.
     pub engine: Option<EngineModel>,
 }
 
 impl Pool {
-    /// Idle connections that each of so many routers may keep to one target, at least
-    /// one: all of them together leave half of what the target takes to those in use.
+    /// Returns the maximum number of idle connections, at least one, that each of
+    /// `routers` routers may keep to one target. All idle connections together use at
+    /// most half of the target's connections; the rest is left to active ones.
     pub fn most_idle(&self, routers: u32) -> usize {
         let share = self.max_connections / 2 / routers.max(1);
         share.max(1) as usize
     }
 }
 
-/// SHA-256 of a key. The key itself goes to no router.
+/// SHA-256 of a key. The key itself is never sent to routers.
 pub type KeyDigest = [u8; 32];
 
 /// A client account with its keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeyHolder {
-    /// The account.
+    /// Name of the account.
     pub account: AccountName,
-    /// Digests of its keys.
+    /// Digests of the account's keys.
     pub keys: Vec<KeyDigest>,
-    /// Rank before that of the route; 0 goes first.
+    /// Scheduling priority, which takes precedence over that of the route; 0 is the
+    /// highest.
     pub priority: Option<u8>,
 }
 
-/// Bounds on what callers send.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Longest head, bytes.
+    /// Maximum size of a request head, bytes.
     pub head_bytes: u64,
-    /// Longest body, bytes.
+    /// Maximum size of a request body, bytes.
     pub body_bytes: u64,
-    /// Longest wait for a head, milliseconds.
+    /// Timeout for receiving a request head, milliseconds.
     pub head_ms: u64,
-    /// Longest rest of a connection, milliseconds.
+    /// Idle timeout of a connection, milliseconds.
     pub idle_ms: u64,
 }
 
 impl Default for CallerLimits {
-    /// What is served before any release says otherwise: common defaults of
-    /// HTTP servers.
+    /// Returns the limits that apply before the first release: common defaults of HTTP
+    /// servers.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -192,43 +196,48 @@
     }
 }
 
-/// All that operators publish as one whole.
+/// A release: the configuration that operators publish as a whole.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Release {
-    /// Its version; the highest holds.
+    /// Version of the release; the highest is current.
     pub version: u64,
     /// Routes.
     pub routes: Vec<Route>,
     /// Pools.
     pub pools: Vec<Pool>,
-    /// Accounts with their keys; nothing where no keys are asked for.
+    /// Accounts with their keys; `None` if requests need no keys.
     pub key_holders: Option<Vec<KeyHolder>>,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: CallerLimits,
 }
 
 impl Release {
-    /// The pool of this name.
+    /// Returns the pool with this name.
     pub fn pool(&self, name: &str) -> Option<&Pool> {
         self.pools.iter().find(|p| p.name == name)
     }
 
-    /// Whether the engines of this pool hold layers, and are chosen by them.
+    /// Returns whether the engines of this pool hold layers and are selected by them.
     pub fn is_layered(&self, pool: &str) -> bool {
         let engine = self.pool(pool).and_then(|p| p.engine.as_ref());
         engine.is_some_and(|model| model.layers > 0)
     }
 
-    /// Why it contradicts itself, if it does.
+    /// Checks the release for consistency.
+    ///
+    /// # Errors
+    ///
+    /// Returns the violated rule: pool names, pairs of host and path prefix, and keys
+    /// of accounts must be unique, and the values of each route valid.
     pub fn check(&self) -> Result<(), String> {
         let pools: BTreeSet<&str> = self.pools.iter().map(|p| p.name.as_str()).collect();
         if pools.len() < self.pools.len() {
             return Err("two pools have the same name".to_string());
         }
-        let mut places = BTreeSet::new();
+        let mut seen = BTreeSet::new();
         for route in &self.routes {
             check_route(route, &pools)?;
-            if !places.insert((&route.host, &route.path_prefix)) {
+            if !seen.insert((&route.host, &route.path_prefix)) {
                 return Err(format!(
                     "route {}: another route has the same host and path prefix",
                     route.name
@@ -239,10 +248,10 @@
     }
 
     fn check_keys(&self) -> Result<(), String> {
-        let mut owner: BTreeMap<KeyDigest, &AccountName> = BTreeMap::new();
+        let mut owners: BTreeMap<KeyDigest, &AccountName> = BTreeMap::new();
         for holder in self.key_holders.iter().flatten() {
             for key in &holder.keys {
-                let other = owner.insert(*key, &holder.account);
+                let other = owners.insert(*key, &holder.account);
                 if let Some(other) = other.filter(|o| **o != holder.account) {
                     return Err(format!(
                         "accounts {other} and {} share a key",
@@ -280,18 +289,18 @@
     Ok(())
 }
 
-/// A release with the document that it was read from, which operators read
-/// back as they sent it. Routers never get the document.
+/// A release with the document that it was read from. Operators can read the document
+/// back unchanged; it is never sent to routers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Published {
     /// The release.
     pub release: Release,
-    /// The document, byte for byte.
+    /// The unchanged bytes of the document.
     pub document: Vec<u8>,
 }
 
 impl Route {
-    /// How long one of its requests may be held.
+    /// Returns the timeout of a request.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
--- a/crates/deckwind-core/src/state/release_change.rs
+++ b/crates/deckwind-core/src/state/release_change.rs
@@ -1,8 +1,8 @@
-//! What changed in a release, for a receiver that holds an earlier one.
+//! Deltas of releases, for receivers that have an earlier release.
 //!
-//! A release of thousands of routes is published again for every change of one
-//! of them. Whoever holds the release of a known revision needs only the
-//! routes, pools and keys that were written or removed since.
+//! A release of thousands of routes is published again for every change of a single
+//! route. A receiver that has the release of a known revision only needs the routes,
+//! pools and keys that were written or removed since.
 
 use super::configuration::Versioned;
 use super::names::{AccountName, Revision};
@@ -11,50 +11,50 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Host and path prefix: no two routes of a release share them.
-pub type RoutePlace = (String, String);
+/// Host and path prefix, which are unique among the routes of a release.
+pub type RouteKey = (String, String);
 
-/// A release for a receiver that holds an earlier one, or none.
+/// A release as sent to a receiver that has an earlier release, or none.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ReleaseDelta {
-    /// All of it.
+    /// The whole release.
     Whole(Versioned<Arc<Release>>),
-    /// What changed.
+    /// Changes since an earlier release.
     Changes(ReleaseChange),
 }
 
 /// Parts of a release that were written or removed after `base`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ReleaseChange {
-    /// The receiver holds the release as of this revision or a later one.
+    /// Minimum revision of the receiver's state that the change applies to.
     pub base: Revision,
     /// Revision that wrote the release.
     pub revision: Revision,
     /// Version of the release.
     pub version: u64,
-    /// Bounds on callers.
+    /// Limits on callers.
     pub limits: CallerLimits,
-    /// Whether keys are asked for at all.
+    /// Whether requests need keys at all.
     pub asks_keys: bool,
-    /// Routes.
-    pub routes: Changed<RoutePlace, Route>,
-    /// Pools.
+    /// Changed routes.
+    pub routes: Changed<RouteKey, Route>,
+    /// Changed pools.
     pub pools: Changed<PoolName, Pool>,
-    /// Accounts with their keys.
+    /// Changed accounts with their keys.
     pub key_holders: Changed<AccountName, KeyHolder>,
 }
 
-/// Items of one kind that were written, and keys of those that were removed.
+/// Items of one kind that were written, and the keys of removed ones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Changed<K, T> {
-    /// As they are now.
+    /// Written items, with their current values.
     pub written: Vec<T>,
-    /// Those that are gone.
+    /// Keys of removed items.
     pub removed: Vec<K>,
 }
 
 impl<K: Ord, T> Changed<K, T> {
-    /// Brings `items` up to date. Doing so twice changes nothing.
+    /// Applies the changes to `items`. Applying them twice is idempotent.
     fn apply(self, items: &mut Vec<T>, key_of: impl Fn(&T) -> K) {
         let replaced: BTreeSet<K> = self.written.iter().map(&key_of).collect();
         let removed: BTreeSet<K> = self.removed.into_iter().collect();
@@ -70,7 +70,7 @@
     }
 }
 
-fn route_place(route: &Route) -> RoutePlace {
+fn route_key(route: &Route) -> RouteKey {
     (route.host.clone(), route.path_prefix.clone())
 }
 
@@ -83,12 +83,12 @@
 }
 
 impl ReleaseChange {
-    /// Brings a release that is at least that of `base` up to date.
+    /// Applies the change to a release of revision `base` or later.
     pub(super) fn apply(self, release: &mut Release) {
         release.version = self.version;
         release.limits = self.limits;
         if !self.routes.is_empty() {
-            self.routes.apply(&mut release.routes, route_place);
+            self.routes.apply(&mut release.routes, route_key);
         }
         if !self.pools.is_empty() {
             self.pools.apply(&mut release.pools, pool_name);
@@ -101,18 +101,19 @@
     }
 }
 
-/// Removed items that are remembered. Beyond them a receiver that lies far
-/// behind gets the whole release: some 100 bytes each, so 0.4 MB at most.
-const MOST_REMOVED: usize = 4_096;
+/// Maximum number of removed items on record, of some 100 bytes each, so at most
+/// 0.4 MB. When it is exceeded the record starts anew, and receivers that are further
+/// behind get the whole release.
+const MAX_REMOVED: usize = 4_096;
 
-/// Which revision wrote or removed each item of one kind.
+/// Revisions that wrote or removed the items of one kind.
 #[derive(Clone, Debug)]
-struct Marks<K> {
+struct ItemRevisions<K> {
     written: BTreeMap<K, Revision>,
     removed: BTreeMap<K, Revision>,
 }
 
-impl<K> Default for Marks<K> {
+impl<K> Default for ItemRevisions<K> {
     fn default() -> Self {
         Self {
             written: BTreeMap::new(),
@@ -121,8 +122,8 @@
     }
 }
 
-impl<K: Ord + Clone> Marks<K> {
-    fn note<T: PartialEq>(
+impl<K: Ord + Clone> ItemRevisions<K> {
+    fn record<T: PartialEq>(
         &mut self,
         old: &[T],
         new: &[T],
@@ -151,34 +152,34 @@
         items: &[T],
         key_of: impl Fn(&T) -> K,
     ) -> Changed<K, T> {
-        let later = |(k, r): (&K, &Revision)| (*r > since).then(|| k.clone());
-        let keys: BTreeSet<K> = self.written.iter().filter_map(later).collect();
+        let changed_after = |(k, r): (&K, &Revision)| (*r > since).then(|| k.clone());
+        let keys: BTreeSet<K> = self.written.iter().filter_map(changed_after).collect();
         let items = items.iter().filter(|_| !keys.is_empty());
         Changed {
             written: items
                 .filter(|t| keys.contains(&key_of(t)))
                 .cloned()
                 .collect(),
-            removed: self.removed.iter().filter_map(later).collect(),
+            removed: self.removed.iter().filter_map(changed_after).collect(),
         }
     }
 }
 
-/// Which revision wrote each part of the release that holds, since this process
-/// first handed state out.
+/// Revisions that wrote or removed the items of the current release, recorded since
+/// this process began to send state to others.
 ///
-/// It follows from the history, not from the state: it is in no snapshot, and
-/// two equal configurations may know it differently well. Only a leader keeps
-/// it: to apply a release of 1,640 routes takes 1.5 ms with it and 0.5 ms without
-/// (mean of 100), and a replica that starts applies all in its log before it can
-/// serve anybody.
+/// The record is local to a process, not part of the replicated state: it is not in
+/// snapshots, and equal configurations may have different records. Only a leader keeps
+/// it, because applying a release of 1,640 routes takes 1.5 ms with it and 0.5 ms
+/// without (mean of 100), and a starting replica applies its whole log before it can
+/// answer requests.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReleaseHistory {
-    /// All changes after this revision are known; nothing while none are noted.
-    known_after: Option<Revision>,
-    routes: Marks<RoutePlace>,
-    pools: Marks<PoolName>,
-    key_holders: Marks<AccountName>,
+    /// Revision after which the record is complete; `None` while recording is off.
+    complete_after: Option<Revision>,
+    routes: ItemRevisions<RouteKey>,
+    pools: ItemRevisions<PoolName>,
+    key_holders: ItemRevisions<AccountName>,
 }
 
 impl PartialEq for ReleaseHistory {
@@ -188,72 +189,81 @@
 }
 
 impl ReleaseHistory {
-    /// Notes changes from now on; `held` wrote the release that holds.
-    pub fn begin(&mut self, held: Revision) {
-        self.known_after.get_or_insert(held);
+    /// Starts recording; `current` is the revision that wrote the current release.
+    pub fn start_recording(&mut self, current: Revision) {
+        self.complete_after.get_or_insert(current);
     }
 
-    /// Forgets what it knows, and notes nothing until it begins again.
-    pub fn end(&mut self) {
+    /// Stops recording and clears the record.
+    pub fn stop_recording(&mut self) {
         *self = Self::default();
     }
 
-    /// A release takes the place of another one.
-    pub fn replaced(&mut self, old: &Release, new: &Release, revision: Revision) {
-        if self.known_after.is_none() {
+    /// Records the replacement of a release by a new one.
+    pub fn record_replacement(&mut self, old: &Release, new: &Release, revision: Revision) {
+        if self.complete_after.is_none() {
             return;
         }
-        if self.removed_items() > MOST_REMOVED || holders_repeat(old) || holders_repeat(new) {
+        if self.removed_count() > MAX_REMOVED
+            || has_duplicate_holders(old)
+            || has_duplicate_holders(new)
+        {
             *self = Self {
-                known_after: Some(revision),
+                complete_after: Some(revision),
                 ..Self::default()
             };
             return;
         }
         self.routes
-            .note(&old.routes, &new.routes, route_place, revision);
-        self.pools.note(&old.pools, &new.pools, pool_name, revision);
-        let (old, new) = (holders_of(old), holders_of(new));
-        self.key_holders.note(old, new, account_name, revision);
+            .record(&old.routes, &new.routes, route_key, revision);
+        self.pools
+            .record(&old.pools, &new.pools, pool_name, revision);
+        let (old, new) = (key_holders_of(old), key_holders_of(new));
+        self.key_holders.record(old, new, account_name, revision);
     }
 
-    fn removed_items(&self) -> usize {
+    fn removed_count(&self) -> usize {
         self.routes.removed.len() + self.pools.removed.len() + self.key_holders.removed.len()
     }
 
-    /// What a receiver lacks that has applied all up to `since`.
-    pub fn delta(&self, since: Revision, held: &Versioned<Arc<Release>>) -> Option<ReleaseDelta> {
-        if held.revision <= since {
+    /// Returns the delta for a receiver that has applied all revisions up to `since`, or
+    /// `None` if the release has not changed since.
+    pub fn delta(
+        &self,
+        since: Revision,
+        current: &Versioned<Arc<Release>>,
+    ) -> Option<ReleaseDelta> {
+        if current.revision <= since {
             return None;
         }
-        let release = held.value.as_ref();
-        let known = self.known_after.is_some_and(|after| after <= since);
-        let (Some(release), true) = (release, known && since > Revision::ZERO) else {
-            return Some(ReleaseDelta::Whole(held.clone()));
+        let release = current.value.as_ref();
+        let is_complete = self.complete_after.is_some_and(|after| after <= since);
+        let (Some(release), true) = (release, is_complete && since > Revision::ZERO) else {
+            return Some(ReleaseDelta::Whole(current.clone()));
         };
         Some(ReleaseDelta::Changes(ReleaseChange {
             base: since,
-            revision: held.revision,
+            revision: current.revision,
             version: release.version,
             limits: release.limits,
             asks_keys: release.key_holders.is_some(),
-            routes: self.routes.since(since, &release.routes, route_place),
+            routes: self.routes.since(since, &release.routes, route_key),
             pools: self.pools.since(since, &release.pools, pool_name),
             key_holders: self
                 .key_holders
-                .since(since, holders_of(release), account_name),
+                .since(since, key_holders_of(release), account_name),
         }))
     }
 }
 
-fn holders_of(release: &Release) -> &[KeyHolder] {
+fn key_holders_of(release: &Release) -> &[KeyHolder] {
     release.key_holders.as_deref().unwrap_or_default()
 }
 
-/// Whether an account is listed twice: its keys are then told apart by place,
-/// not by name.
-fn holders_repeat(release: &Release) -> bool {
-    let holders = holders_of(release);
+/// Returns whether an account is listed more than once. Its entries then differ by
+/// position, not by name, so the record by name does not apply.
+fn has_duplicate_holders(release: &Release) -> bool {
+    let holders = key_holders_of(release);
     let names: BTreeSet<&AccountName> = holders.iter().map(|h| &h.account).collect();
     names.len() < holders.len()
 }
--- a/crates/deckwind-core/src/state/repeats.rs
+++ b/crates/deckwind-core/src/state/repeats.rs
@@ -1,75 +1,78 @@
-//! Repeats that routers were given, as far as they may still count.
+//! Ledger of the retry budget granted to routers, as far as it may still count
+//! against the limit.
 //!
-//! Entries carry no clock that a later leader could trust. So what was given
-//! counts until a leader, who saw enough time pass, wrote that it is over.
+//! Log entries carry no clock that a later leader could rely on. A granted retry
+//! therefore counts until a leader that observed enough time pass has recorded its
+//! expiry.
 
 use super::claims::Holder;
 use super::release::PoolName;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Names an allowance; no number is used twice.
+/// Identifier of an allowance. Numbers are never reused.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct AllowanceId(pub u64);
 
-/// Whose repeats these are, and of which pool.
+/// Router process and pool that an allowance belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AllowanceKey {
-    /// The router's process.
+    /// The router process.
     pub holder: Holder,
-    /// The pool.
+    /// Pool whose requests may be retried.
     pub pool: PoolName,
 }
 
-/// Repeats of one pool that one process of a router was given.
+/// Retries for one pool that were granted to one router process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allowance {
-    /// Whose.
+    /// Router process and pool.
     pub key: AllowanceKey,
-    /// How many it was given, from its first on.
+    /// Total number of granted retries.
     pub issued: u64,
-    /// How many of them were used longer ago than the window.
+    /// Number of retries that were used before the start of the current window.
     pub spent_over: u64,
-    /// How many of them were given back.
+    /// Number of retries that were returned unused.
     pub back: u64,
 }
 
 impl Allowance {
-    /// How many still count.
+    /// Returns the number of retries that still count against the limit.
     pub fn counts(&self) -> u64 {
         self.issued.saturating_sub(self.spent_over + self.back)
     }
 }
 
-/// A change of what routers were given.
+/// A change of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RepeatChange {
-    /// A new allowance of so many.
+    /// Creates an allowance.
     Open {
-        /// Whose.
+        /// Router process and pool.
         key: AllowanceKey,
-        /// How many.
+        /// Number of granted retries.
         count: u64,
     },
-    /// So many more.
+    /// Adds retries to an allowance.
     Issue {
-        /// For this allowance.
+        /// The allowance.
         id: AllowanceId,
-        /// How many.
+        /// Number of additional retries.
         count: u64,
     },
-    /// So many of all that were given no longer count.
+    /// Updates the totals of retries that no longer count. Lower totals than recorded
+    /// have no effect.
     Over {
-        /// Of this allowance.
+        /// The allowance.
         id: AllowanceId,
-        /// Used.
+        /// Total number of retries used before the current window.
         spent: u64,
-        /// Given back.
+        /// Total number of returned retries.
         back: u64,
     },
-    /// Nothing of it counts any more, and nobody may use it.
+    /// Removes an allowance of which no retry counts any more and none may be used.
     Close(AllowanceId),
 }
 
@@ -82,7 +85,7 @@
 }
 
 impl RepeatLedger {
-    /// Applies changes.
+    /// Applies the changes of one log entry.
     pub fn apply(&mut self, changes: Vec<RepeatChange>) {
         self.changes += 1;
         for change in changes {
@@ -90,7 +93,7 @@
         }
     }
 
-    /// Entries that have changed it.
+    /// Returns the number of log entries applied so far.
     pub fn changes(&self) -> u64 {
         self.changes
     }
@@ -124,12 +127,12 @@
         }
     }
 
-    /// All allowances.
+    /// Iterates over all allowances.
     pub fn iter(&self) -> impl Iterator<Item = (AllowanceId, &Allowance)> {
         self.allowances.iter().map(|(id, a)| (*id, a))
     }
 
-    /// One allowance.
+    /// Returns the allowance with this id.
     pub fn get(&self, id: AllowanceId) -> Option<&Allowance> {
         self.allowances.get(&id)
     }
--- a/crates/deckwind-core/src/state/state_machine.rs
+++ b/crates/deckwind-core/src/state/state_machine.rs
@@ -1,4 +1,4 @@
-//! The state machine that committed commands go through.
+//! The replicated state machine, which applies committed commands.
 
 use super::claims::{Claim, ClaimLimits, ClaimStatus, ClaimTable};
 use super::command::{ApplyRequest, ClaimRequest, Command, CommandBody, Rejection, Reply};
@@ -10,30 +10,31 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Operator request ids that are remembered: a day's changes at the size of
-/// letter 1 (9,000), with room.
-const RESULTS_KEPT: usize = 16_384;
+/// Maximum number of recorded results of operator requests. A day has some 9,000 changes
+/// at the expected size; the rest is headroom.
+const MAX_RESULTS: usize = 16_384;
 
+/// Digest of an operator request and its reply, which a resend of the request gets again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct FirstResult {
+struct RecordedResult {
     digest: u64,
     reply: Reply,
 }
 
-/// The agreed state.
+/// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StateMachine {
     clock_ms: u64,
     configuration: Configuration,
     claims: ClaimTable,
-    results: BTreeMap<RequestId, FirstResult>,
+    results: BTreeMap<RequestId, RecordedResult>,
     results_order: VecDeque<RequestId>,
     repeats: RepeatLedger,
     quarantine: Quarantine,
 }
 
 impl StateMachine {
-    /// An empty state whose claims are bounded by `limits`.
+    /// Creates an empty state whose claim table is bounded by `limits`.
     pub fn new(limits: ClaimLimits) -> Self {
         Self {
             claims: ClaimTable::new(limits),
@@ -41,41 +42,42 @@
         }
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// Whether changes of releases are noted, for a process that hands them out;
-    /// see [`Configuration::note_changes`].
-    pub fn hand_out(&mut self, hands_out: bool) {
-        match hands_out {
-            true => self.configuration.note_changes(),
-            false => self.configuration.stop_noting_changes(),
+    /// Enables or disables the recording of release changes, which a process needs that
+    /// sends deltas to routers; see [`Configuration::record_changes`].
+    pub fn hand_out(&mut self, enable: bool) {
+        match enable {
+            true => self.configuration.record_changes(),
+            false => self.configuration.stop_recording_changes(),
         }
     }
 
-    /// The claims.
+    /// Returns the claim table.
     pub fn claims(&self) -> &ClaimTable {
         &self.claims
     }
 
-    /// The repeats that routers were given.
+    /// Returns the ledger of the retry budget granted to routers.
     pub fn repeats(&self) -> &RepeatLedger {
         &self.repeats
     }
 
-    /// Contents under which targets have ended.
+    /// Returns the request contents that crashed targets.
     pub fn quarantine(&self) -> &Quarantine {
         &self.quarantine
     }
 
-    /// The latest time that a command carried, milliseconds since the epoch.
+    /// Returns the highest timestamp of all applied commands, milliseconds since the Unix
+    /// epoch.
     pub fn clock_ms(&self) -> u64 {
         self.clock_ms
     }
 
-    /// Applies one committed command.
+    /// Applies a committed command and returns its reply.
     pub fn apply(&mut self, command: Command) -> Reply {
         self.clock_ms = self.clock_ms.max(command.at_ms);
         match command.body {
@@ -94,12 +96,13 @@
                 revision: self.configuration.change_instances(changes),
             },
             CommandBody::HolderGone(holder) => {
-                self.claims.holder_gone(&holder);
+                self.claims.mark_holder_gone(&holder);
                 Reply::Done
             }
             CommandBody::Suspects(changes) => {
                 self.quarantine.apply(changes, self.clock_ms);
-                self.configuration.list_suspects(self.quarantine.list());
+                self.configuration
+                    .set_suspects(self.quarantine.suspect_list());
                 let revision = self.configuration.revision();
                 Reply::Accepted { revision }
             }
@@ -122,7 +125,7 @@
     }
 
     fn apply_change(&mut self, req: ApplyRequest) -> Reply {
-        let digest = digest(&req);
+        let digest = request_digest(&req);
         if let Some(first) = self.results.get(&req.request_id) {
             if first.digest == digest {
                 return first.reply.clone();
@@ -134,7 +137,7 @@
             Ok(revision) => Reply::Accepted { revision },
             Err(rejection) => Reply::Rejected(rejection),
         };
-        self.remember(req.request_id, digest, reply.clone());
+        self.record_result(req.request_id, digest, reply.clone());
         reply
     }
 
@@ -146,28 +149,32 @@
         }
     }
 
-    fn remember(&mut self, id: RequestId, digest: u64, reply: Reply) {
-        if self.results_order.len() >= RESULTS_KEPT
+    fn record_result(&mut self, id: RequestId, digest: u64, reply: Reply) {
+        if self.results_order.len() >= MAX_RESULTS
             && let Some(oldest) = self.results_order.pop_front()
         {
             self.results.remove(&oldest);
         }
         self.results_order.push_back(id.clone());
-        self.results.insert(id, FirstResult { digest, reply });
+        self.results.insert(id, RecordedResult { digest, reply });
     }
 
-    /// The state as bytes, for a snapshot.
+    /// Encodes the state for a snapshot.
     pub fn to_snapshot(&self) -> Vec<u8> {
         to_bytes(self)
     }
 
-    /// The state out of a snapshot.
+    /// Decodes the state from a snapshot.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the snapshot has another format version or is damaged.
     pub fn from_snapshot(bytes: &[u8]) -> Result<Self, UnreadableState> {
         from_bytes(bytes)
     }
 }
 
-fn digest(req: &ApplyRequest) -> u64 {
+fn request_digest(req: &ApplyRequest) -> u64 {
     let bytes = postcard::to_stdvec(req).expect("a request always serializes");
     xxhash_rust::xxh3::xxh3_64(&bytes)
 }
