--- a/crates/deckwind-core/src/state/command.rs
+++ b/crates/deckwind-core/src/state/command.rs
@@ -84,10 +84,10 @@
     Publish(Box<Published>),
     /// Records targets that announced themselves, changed or left.
     Instances(Vec<InstanceChange>),
-    /// Records retry budget that was granted to routers or has expired.
+    /// Records retries that were granted to router processes, or no longer count.
     Repeats(Vec<RepeatChange>),
-    /// Records requests that crashed targets or were served. An empty list only
-    /// removes expired entries.
+    /// Records request contents that crashed targets or were served. An empty list
+    /// only removes expired entries.
     Suspects(Vec<SuspectChange>),
 }
 
--- a/crates/deckwind-core/src/state/instances.rs
+++ b/crates/deckwind-core/src/state/instances.rs
@@ -203,10 +203,10 @@
     /// incarnations at its address.
     pub fn doubted_by(&self, instance: &Instance, at_address: &[Life]) -> Vec<Life> {
         let known = self.get(&instance.id).map(Instance::life);
-        let is_doubtful = self.standing(&instance.life()) == Standing::Doubtful;
+        let is_unconfirmed = self.standing(&instance.life()) == Standing::Doubtful;
         let others = at_address.iter().filter(|l| l.id != instance.id);
         let newer = others.filter(|l| may_be_older(instance.born, l.born));
-        let known = known.filter(|_| is_doubtful);
+        let known = known.filter(|_| is_unconfirmed);
         known.into_iter().chain(newer.cloned()).collect()
     }
 
@@ -268,8 +268,8 @@
                         continue;
                     }
                     let at_address = lives.entry(instance.address).or_default();
-                    let mut doubted = self.doubted_by(&instance, at_address).into_iter();
-                    if doubted.any(|life| !over.contains(&life)) {
+                    let mut blocking = self.doubted_by(&instance, at_address).into_iter();
+                    if blocking.any(|life| !over.contains(&life)) {
                         continue;
                     }
                     let (life, address) = (instance.life(), instance.address);
--- a/crates/deckwind-core/src/state/lives.rs
+++ b/crates/deckwind-core/src/state/lives.rs
@@ -50,7 +50,7 @@
     Known,
     /// It is newer than the known incarnation, or none is known.
     Newer,
-    /// It is newer only if the known incarnation has ended.
+    /// It is unconfirmed: newer only if the known incarnation has ended.
     Doubtful,
     /// It has ended.
     Ended,
--- a/crates/deckwind-core/src/state/mod.rs
+++ b/crates/deckwind-core/src/state/mod.rs
@@ -4,7 +4,7 @@
 //!  Command ──(committed, in log order)──► StateMachine::apply ──► Reply
 //!                                           │ configuration   objects, each with its revision
 //!                                           │ claims          one row per non-idempotent request
-//!                                           │ repeats         retry budget granted to routers
+//!                                           │ repeats         retry allowances of routers
 //!                                           │ quarantine      requests that crash targets
 //!                                           └ results         first reply to each operator request id
 //! ```
--- a/crates/deckwind-core/src/state/quarantine.rs
+++ b/crates/deckwind-core/src/state/quarantine.rs
@@ -8,14 +8,14 @@
 //! ```
 //!
 //! A single crash is weak evidence: every request in progress on the target ends with
-//! it, and targets also crash for other reasons. A content that was present at three
-//! crashes, and was not served successfully in between, is not sent to any target until
-//! an hour has passed since its last crash.
+//! it, and targets also crash for other reasons. A request content that was present at
+//! three crashes, and was not served successfully in between, is not sent to any target
+//! until an hour has passed since its last crash.
 //!
-//! If several contents were present, one of them may explain the crashes of the others,
-//! because streams move together from a crashed target to the next. A content is
-//! not quarantined if each of its crashes is also one of a quarantined content with
-//! stronger evidence.
+//! If several request contents were present, one of them may explain the crashes of the
+//! others, because streams move together from a crashed target to the next. A request
+//! content is not quarantined if each of its crashes is also one of a quarantined request
+//! content with stronger evidence.
 
 use super::content::ContentDigest;
 use super::lives::Life;
@@ -23,19 +23,19 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Number of crashed incarnations after which a content is quarantined: the number of
-/// targets that operators allow a request to crash. Streams that move together from a
-/// crashed target may also meet the next crash together, so two crashes can be a
+/// Number of crashed incarnations after which a request content is quarantined: the
+/// number of targets that operators allow a request to crash. Streams that move together
+/// from a crashed target may also meet the next crash together, so two crashes can be a
 /// coincidence during bursts of such requests.
 pub const ENDS_TO_QUARANTINE: usize = 3;
 
-/// Maximum number of crashes recorded per content. Those of attempts that were in
-/// progress when it was quarantined distinguish it from contents that were merely
-/// present.
+/// Maximum number of crashes recorded per request content. Those of attempts that were
+/// in progress when it was quarantined distinguish it from request contents that were
+/// merely present.
 pub const MOST_ENDS: usize = 16;
 
-/// Time until a content below the quarantine threshold expires after its last crash,
-/// milliseconds. Callers that retry do so within minutes.
+/// Time until a request content below the quarantine threshold expires after its last
+/// crash, milliseconds. Callers that retry do so within minutes.
 const SUSPECT_TTL_MS: u64 = 10 * 60 * 1_000;
 
 /// Duration of a quarantine after the last crash, milliseconds. It limits a request that
@@ -43,17 +43,17 @@
 /// coincidence is served again afterwards.
 pub const QUARANTINED_FOR_MS: u64 = 60 * 60 * 1_000;
 
-/// Maximum number of contents in the table, 150 bytes each. Sufficient for the crash of
-/// a data centre of 500 targets with eight contents each.
+/// Maximum number of request contents in the table, 150 bytes each. Sufficient for the
+/// crash of a data centre of 500 targets with eight request contents each.
 const MAX_SUSPECTS: usize = 4_096;
 
-/// Maximum number of contents in the list sent to routers, 17 bytes each.
+/// Maximum number of request contents in the list sent to routers, 17 bytes each.
 const MAX_LISTED: usize = 1_024;
 
 /// An observation of a request content by a router, or a decision of an operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SuspectChange {
-    /// An incarnation ended just before or just after it began to run the content.
+    /// An incarnation ended just before or just after it began to run the request.
     Ended {
         /// Digest of the request content.
         content: ContentDigest,
@@ -62,13 +62,13 @@
         /// Whether the router had received an event of the request from it.
         begun: bool,
     },
-    /// A target ran the content and is still available.
+    /// A target ran the request and is still available.
     Served(ContentDigest),
     /// An operator lifted the quarantine.
     Lift(ContentDigest),
 }
 
-/// Crashes of targets that ran a content.
+/// Crashes of targets that ran a request content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Suspect {
     ended: Vec<Life>,
@@ -79,9 +79,9 @@
 }
 
 impl Suspect {
-    /// Returns the strength of the evidence against the content, for comparison with
-    /// other contents that were present. A poison request crashes its targets as they
-    /// begin to run it: contents of which no event ever arrived rank first, then those
+    /// Returns the strength of the evidence against the request content, for comparison
+    /// with others that were present. A poison request crashes its targets as they begin
+    /// to run it: request contents of which no event ever arrived rank first, then those
     /// with more crashes, then those with fewer runs that had produced an event.
     fn evidence(&self) -> (bool, usize, Reverse<u32>) {
         (self.begun == 0, self.ended.len(), Reverse(self.begun))
@@ -142,8 +142,8 @@
         suspect.last_ms = now_ms;
     }
 
-    /// If the table is full, removes the content with the fewest crashes; of several, the
-    /// one whose last crash is the oldest.
+    /// If the table is full, removes the request content with the fewest crashes; of
+    /// several, the one whose last crash is the oldest.
     fn evict_if_full(&mut self) {
         if self.0.len() < MAX_SUSPECTS {
             return;
@@ -163,8 +163,8 @@
         self.0.values().any(|suspect| suspect.is_expired(now_ms))
     }
 
-    /// Iterates over the quarantined contents, each with the incarnations that crashed
-    /// and the remaining time of the quarantine, milliseconds.
+    /// Iterates over the quarantined request contents, each with the incarnations that
+    /// crashed and the remaining time of the quarantine, milliseconds.
     pub fn quarantined(&self, now_ms: u64) -> impl Iterator<Item = (ContentDigest, &[Life], u64)> {
         let culprits = self.culprits();
         let is_quarantined =
@@ -176,8 +176,8 @@
         })
     }
 
-    /// Returns the contents that reach the quarantine threshold, without those whose
-    /// crashes are all explained by contents with stronger evidence.
+    /// Returns the request contents that reach the quarantine threshold, without those
+    /// whose crashes are all explained by others with stronger evidence.
     fn culprits(&self) -> BTreeSet<ContentDigest> {
         let candidates = self.0.iter().filter(|(_, s)| s.reaches_threshold());
         let mut candidates: Vec<(&ContentDigest, &Suspect)> = candidates.collect();
@@ -197,9 +197,9 @@
         culprits.into_iter().map(|(content, _)| *content).collect()
     }
 
-    /// Returns the list for routers: contents that are quarantined, or would be after one
-    /// more crash. If there are too many, those with the most crashes are listed, and of
-    /// these the most recent ones.
+    /// Returns the list for routers: request contents that are quarantined, or would be
+    /// after one more crash. If there are too many, those with the most crashes are
+    /// listed, and of these the most recent ones.
     pub(super) fn suspect_list(&self) -> SuspectList {
         let min_ends = ENDS_TO_QUARANTINE - 1;
         let culprits = self.culprits();
@@ -221,24 +221,24 @@
     }
 }
 
-/// Contents that are quarantined, or would be after one more crash, with the number of
-/// crashes.
+/// Request contents that are quarantined, or would be after one more crash, with the
+/// number of crashes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuspectList(BTreeMap<ContentDigest, u8>);
 
 impl SuspectList {
-    /// Returns the number of crashes of a content; zero if it is not listed. A content
+    /// Returns the number of crashes of a request content; zero if it is not listed. One
     /// with a single crash is not listed.
     pub fn ends(&self, content: &ContentDigest) -> usize {
         self.0.get(content).map_or(0, |ends| usize::from(*ends))
     }
 
-    /// Iterates over the listed contents.
+    /// Iterates over the listed request contents.
     pub fn contents(&self) -> impl Iterator<Item = &ContentDigest> {
         self.0.keys()
     }
 
-    /// Iterates over the quarantined contents, which are not sent to any target.
+    /// Iterates over the quarantined request contents, which are not sent to any target.
     pub fn quarantined(&self) -> impl Iterator<Item = &ContentDigest> {
         let reaches_threshold = |ends: &u8| usize::from(*ends) >= ENDS_TO_QUARANTINE;
         self.0
@@ -247,7 +247,7 @@
             .map(|(c, _)| c)
     }
 
-    /// Returns the number of listed contents.
+    /// Returns the number of listed request contents.
     pub fn len(&self) -> usize {
         self.0.len()
     }
--- a/crates/deckwind-core/src/state/repeats.rs
+++ b/crates/deckwind-core/src/state/repeats.rs
@@ -1,5 +1,5 @@
-//! Ledger of the retry budget granted to routers, as far as it may still count
-//! against the limit.
+//! The retry ledger: retry allowances of router processes, as far as they may still
+//! count against the retry budget of a pool.
 //!
 //! Log entries carry no clock that a later leader could rely on. A granted retry
 //! therefore counts until a leader that observed enough time pass has recorded its
@@ -10,13 +10,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Identifier of an allowance. Numbers are never reused.
+/// Identifier of a retry allowance. Numbers are never reused.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct AllowanceId(pub u64);
 
-/// Router process and pool that an allowance belongs to.
+/// Router process and pool that a retry allowance belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AllowanceKey {
     /// The router process.
@@ -25,7 +25,7 @@
     pub pool: PoolName,
 }
 
-/// Retries for one pool that were granted to one router process.
+/// A retry allowance: retries for one pool granted to one router process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allowance {
     /// Router process and pool.
@@ -39,16 +39,16 @@
 }
 
 impl Allowance {
-    /// Returns the number of retries that still count against the limit.
+    /// Returns the number of retries that still count against the retry budget.
     pub fn counts(&self) -> u64 {
         self.issued.saturating_sub(self.spent_over + self.back)
     }
 }
 
-/// A change of the ledger.
+/// A change of the retry ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RepeatChange {
-    /// Creates an allowance.
+    /// Creates a retry allowance.
     Open {
         /// Router process and pool.
         key: AllowanceKey,
@@ -76,7 +76,7 @@
     Close(AllowanceId),
 }
 
-/// All allowances that may still count.
+/// The retry ledger: all retry allowances that may still count.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RepeatLedger {
     last: u64,
--- a/crates/deckwind-core/src/state/state_machine.rs
+++ b/crates/deckwind-core/src/state/state_machine.rs
@@ -61,7 +61,7 @@
         &self.claims
     }
 
-    /// Returns the ledger of the retry budget granted to routers.
+    /// Returns the retry ledger.
     pub fn repeats(&self) -> &RepeatLedger {
         &self.repeats
     }
