--- a/crates/deckwind-core/src/control/cut_reports.rs
+++ b/crates/deckwind-core/src/control/cut_reports.rs
@@ -1,4 +1,5 @@
-//! Requests under which targets end, between routers and the log.
+//! Handling of reports about targets that ended while they ran a request. The replicated
+//! log records the contents of these requests.
 
 use super::control_core::ControlCore;
 use super::event::ControlAction;
@@ -8,14 +9,14 @@
 use crate::time::Instant;
 use std::time::Duration;
 
-/// Between two looks for what is outdated: it lasts ten minutes at least.
-const LOOK_EVERY: Duration = Duration::from_secs(5);
+/// Interval between checks for outdated suspects, which last ten minutes at least.
+const OUTDATED_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 impl ControlCore {
-    /// A router tells of runs that were cut. Targets that may be gone are asked at
-    /// once: a life that is known to be over 50 ms after its end, and not 3.6 s, is a
-    /// content known before its caller asks again. The answer comes once what is told
-    /// is agreed.
+    /// Handles a router's report of runs that a target's end cut short. Targets that may
+    /// be gone are checked at once: if the end of an incarnation is known after 50 ms
+    /// instead of 3.6 s, its content is known before the caller tries again. The report
+    /// is answered once its changes are committed.
     pub(super) fn runs_cut(
         &mut self,
         now: Instant,
@@ -33,7 +34,7 @@
         self.propose(now, body, Asker::Router(token), out);
     }
 
-    /// Has what is outdated go.
+    /// Proposes the removal of outdated suspects, if there are any.
     pub(super) fn drop_outdated_suspects(&mut self, now: Instant, out: &mut Vec<ControlAction>) {
         if !self.replica.may_answer(now) {
             return;
@@ -44,7 +45,7 @@
         if now < leading.next_suspects {
             return;
         }
-        leading.next_suspects = now + LOOK_EVERY;
+        leading.next_suspects = now + OUTDATED_CHECK_INTERVAL;
         if self.machine.quarantine().has_outdated(self.wall_ms) {
             let body = CommandBody::Suspects(Vec::new());
             self.propose(now, body, Asker::Nobody, out);
--- a/crates/deckwind-core/src/control/demand.rs
+++ b/crates/deckwind-core/src/control/demand.rs
@@ -1,12 +1,14 @@
-//! Demand of all accounts over all routers, kept as totals.
+//! Demand of client accounts, summed over all routers.
 //!
-//! A renewal names a few accounts; what a router said of the others stands. It
-//! costs the accounts that it names, not accounts × routers.
+//! A renewal lists only a few accounts; the router's last report for any other account
+//! stays valid. The cost of a renewal is therefore proportional to the accounts that it
+//! lists, not to accounts × routers.
 
 use crate::membership::{AccountDemand, AccountShare, share_of};
 use crate::state::{AccountName, Configuration, VmName};
 use std::collections::BTreeMap;
 
+/// Demand by router and client account, in requests per second.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DemandTable {
     by_router: BTreeMap<VmName, BTreeMap<AccountName, f64>>,
@@ -14,20 +16,20 @@
 }
 
 impl DemandTable {
-    /// Takes what a router says of some accounts.
+    /// Updates the demand of the accounts that a router reported.
     pub fn put(&mut self, vm: &VmName, demand: &[(AccountName, AccountDemand)]) {
-        let own = self.by_router.entry(vm.clone()).or_default();
+        let router_demand = self.by_router.entry(vm.clone()).or_default();
         for (account, d) in demand {
-            let before = own.insert(account.clone(), d.per_s).unwrap_or(0.0);
+            let before = router_demand.insert(account.clone(), d.per_s).unwrap_or(0.0);
             let total = self.totals.entry(account.clone()).or_default();
             *total = (*total + d.per_s - before).max(0.0);
             if d.per_s == 0.0 {
-                own.remove(account);
+                router_demand.remove(account);
             }
         }
     }
 
-    /// Forgets a router that is gone.
+    /// Removes a router whose lease ended.
     pub fn remove(&mut self, vm: &VmName) {
         for (account, per_s) in self.by_router.remove(vm).unwrap_or_default() {
             if let Some(total) = self.totals.get_mut(&account) {
@@ -36,7 +38,7 @@
         }
     }
 
-    /// A router's part of the limits of the accounts that it named.
+    /// Returns a router's share of the rate limit of each account in its `demand`.
     pub fn shares(
         &self,
         demand: &[(AccountName, AccountDemand)],
--- a/crates/deckwind-core/src/control/full_engines.rs
+++ b/crates/deckwind-core/src/control/full_engines.rs
@@ -1,4 +1,4 @@
-//! Engines that have just refused requests for want of room, for all routers.
+//! Engines that recently refused requests for lack of capacity, shared with all routers.
 
 use super::messages::EngineFull;
 use crate::state::VmName;
@@ -7,50 +7,51 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long routers are told of a refusal: they use it for 250 ms, and an answer
-/// to each comes within 100 ms.
-const TOLD_FOR: Duration = Duration::from_millis(200);
+/// Time for which routers are told of a refusal. They apply it for 250 ms, and each
+/// router gets an answer within 100 ms.
+const REFUSAL_TTL: Duration = Duration::from_millis(200);
 
-/// The last refusal of each engine, and who was told up to when.
+/// The last refusal of each engine, and when each router was last told of refusals.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FullTable {
-    last: BTreeMap<SocketAddr, Refusal>,
-    told: BTreeMap<VmName, Instant>,
+    latest: BTreeMap<SocketAddr, Refusal>,
+    told_at: BTreeMap<VmName, Instant>,
 }
 
 #[derive(Clone, Debug)]
 struct Refusal {
     at: Instant,
-    by: VmName,
+    reported_by: VmName,
     full: EngineFull,
 }
 
 impl FullTable {
-    /// A router told of refusals.
+    /// Records refusals that the router `by` reported.
     pub fn told(&mut self, now: Instant, by: &VmName, full: &[EngineFull]) {
-        self.last.retain(|_, r| now.since(r.at) < TOLD_FOR);
-        for one in full {
+        self.latest.retain(|_, r| now.since(r.at) < REFUSAL_TTL);
+        for engine in full {
             let refusal = Refusal {
                 at: now,
-                by: by.clone(),
-                full: *one,
+                reported_by: by.clone(),
+                full: *engine,
             };
-            self.last.insert(one.address, refusal);
+            self.latest.insert(engine.address, refusal);
         }
     }
 
-    /// What a router has not heard, of the others.
+    /// Returns the refusals that other routers reported and that this router hasn't been
+    /// told of yet.
     pub fn news_for(&mut self, now: Instant, vm: &VmName) -> Vec<EngineFull> {
-        let told = self.told.insert(vm.clone(), now);
+        let told_at = self.told_at.insert(vm.clone(), now);
         let news = |r: &&Refusal| {
-            let fresh = now.since(r.at) < TOLD_FOR && r.by != *vm;
-            fresh && told.is_none_or(|told| told < r.at)
+            let fresh = now.since(r.at) < REFUSAL_TTL && r.reported_by != *vm;
+            fresh && told_at.is_none_or(|told_at| told_at < r.at)
         };
-        self.last.values().filter(news).map(|r| r.full).collect()
+        self.latest.values().filter(news).map(|r| r.full).collect()
     }
 
-    /// Forgets a router that is gone.
+    /// Removes a router whose lease ended.
     pub fn remove(&mut self, vm: &VmName) {
-        self.told.remove(vm);
+        self.told_at.remove(vm);
     }
 }
--- a/crates/deckwind-core/src/control/in_use.rs
+++ b/crates/deckwind-core/src/control/in_use.rs
@@ -1,12 +1,13 @@
-//! What the streams of all routers hold at engines, kept as totals.
+//! Load that the streams of all routers put on each engine, kept as totals.
 //!
-//! A renewal costs what the router's streams have begun and ended since the last
-//! one. A grant costs the engines whose total has moved by a good part of what they
-//! keep since that router last heard: of its own data centre at a fine step, of
-//! others at a coarse one. Neither grows with routers times engines.
+//! The cost of a renewal is proportional to the streams that the router began and ended
+//! since its last one. The cost of a grant is proportional to the engines whose total
+//! changed by a significant part of their capacity since that router was last updated: a
+//! fine step for engines of its own data centre, a coarse one for others. Neither grows
+//! with routers × engines.
 //!
 //! ```text
-//!  total ──moved by a step──► told, with the next number ──► routers that know less
+//!  total ──changed by a step──► published under the next sequence number ──► routers that know less
 //! ```
 
 use super::messages::{EngineUse, UseNews, UseNumber};
@@ -16,57 +17,61 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Routers from which on a fine step is a twentieth of what an engine keeps. With
-/// fewer of them it is as much smaller, since each step is told to every router.
-const FULL_STEP_FROM: u64 = 250;
+/// Number of routers from which on a fine step is a twentieth of an engine's capacity.
+/// With fewer routers the step is proportionally smaller, since each step is sent to
+/// every router.
+const FULL_STEP_ROUTERS: u64 = 250;
 
-/// Fine steps, at their largest, in what an engine keeps.
-const FINE_STEPS: u64 = 20;
+/// Number of fine steps in an engine's capacity when a step has its full size.
+const FINE_STEPS_PER_CAPACITY: u64 = 20;
 
-/// How many fine steps a coarse one has: other data centres are chosen by their room
-/// as a whole.
-const COARSE: u64 = 5;
+/// Number of fine steps in a coarse one. Other data centres are chosen by their total
+/// free capacity, so less precision is needed.
+const FINE_STEPS_PER_COARSE: u64 = 5;
 
-/// What an engine has for streams.
+/// Capacity of an engine for streams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct EngineRoom {
-    /// Where it stands.
+    /// Data centre of the engine.
     pub data_centre: DataCentre,
-    /// Tokens times layers that it keeps.
+    /// Capacity of its memory, in tokens times the layers that keep them.
     pub keeps: u64,
-    /// Streams that may begin there.
+    /// Number of streams that may begin at it.
     pub slots: u32,
 }
 
-/// A total as it was last told, and the number under which.
+/// A total as last published, with its sequence number.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
+struct Published {
     held: Held,
-    number: u64,
+    sequence: u64,
 }
 
+/// Load on one engine, as it is now and as published at each step size.
 #[derive(Clone, Debug)]
-struct Row {
+struct EngineTotal {
     total: Held,
     room: EngineRoom,
-    fine: Told,
-    coarse: Told,
+    fine: Published,
+    coarse: Published,
 }
 
+/// Load of the streams of all routers, by engine.
 #[derive(Clone, Debug, Default)]
 pub(super) struct UseTable {
     by_router: BTreeMap<VmName, Vec<EngineUse>>,
-    rows: BTreeMap<SocketAddr, Row>,
-    /// Engines by data centre and by the number under which they were last told there.
+    totals: BTreeMap<SocketAddr, EngineTotal>,
+    /// Engines by data centre and by the sequence number under which their total was last
+    /// published to that data centre.
     fine: BTreeMap<DataCentre, BTreeSet<(u64, SocketAddr)>>,
-    /// The same for all other data centres.
+    /// The same for routers of all other data centres.
     coarse: BTreeSet<(u64, SocketAddr)>,
-    number: u64,
+    sequence: u64,
 }
 
 impl UseTable {
-    /// What a router's streams hold now; `room` tells what an engine has, if it is
-    /// known.
+    /// Replaces the load that a router's streams put on engines. `room` returns the
+    /// capacity of an engine if it is known.
     pub fn put(
         &mut self,
         vm: &VmName,
@@ -77,103 +82,104 @@
             return;
         }
         let before = self.by_router.insert(vm.clone(), uses.to_vec());
-        let mut moved = BTreeSet::new();
-        for one in before.into_iter().flatten() {
-            if let Some(row) = self.rows.get_mut(&one.address) {
-                row.total = without(row.total, one.held());
-                moved.insert(one.address);
+        let mut changed = BTreeSet::new();
+        for engine_use in before.into_iter().flatten() {
+            if let Some(entry) = self.totals.get_mut(&engine_use.address) {
+                entry.total = subtract(entry.total, engine_use.held());
+                changed.insert(engine_use.address);
             }
         }
-        for one in uses {
-            if let Some(row) = self.row(one.address, &room) {
-                row.total.layer_tokens += one.layer_tokens;
-                row.total.begun += one.begun;
-                moved.insert(one.address);
+        for engine_use in uses {
+            if let Some(entry) = self.total_of(engine_use.address, &room) {
+                entry.total.layer_tokens += engine_use.layer_tokens;
+                entry.total.begun += engine_use.begun;
+                changed.insert(engine_use.address);
             }
         }
-        self.tell(moved);
+        self.publish(changed);
     }
 
-    fn row(
+    fn total_of(
         &mut self,
         address: SocketAddr,
         room: &impl Fn(SocketAddr) -> Option<EngineRoom>,
-    ) -> Option<&mut Row> {
+    ) -> Option<&mut EngineTotal> {
         let room = room(address);
-        if let Some(row) = self.rows.get_mut(&address) {
+        if let Some(entry) = self.totals.get_mut(&address) {
             if let Some(room) = room {
-                move_to(&mut self.fine, address, row, room);
+                update_room(&mut self.fine, address, entry, room);
             }
         } else {
-            let row = Row {
+            let entry = EngineTotal {
                 total: Held::default(),
                 room: room?,
-                fine: Told::default(),
-                coarse: Told::default(),
+                fine: Published::default(),
+                coarse: Published::default(),
             };
-            self.rows.insert(address, row);
+            self.totals.insert(address, entry);
         }
-        self.rows.get_mut(&address)
+        self.totals.get_mut(&address)
     }
 
-    /// Forgets a router that is gone.
+    /// Removes a router whose lease ended.
     pub fn remove(&mut self, vm: &VmName) {
         let before = self.by_router.remove(vm).unwrap_or_default();
-        for one in &before {
-            if let Some(row) = self.rows.get_mut(&one.address) {
-                row.total = without(row.total, one.held());
+        for engine_use in &before {
+            if let Some(entry) = self.totals.get_mut(&engine_use.address) {
+                entry.total = subtract(entry.total, engine_use.held());
             }
         }
-        self.tell(before.iter().map(|one| one.address));
+        self.publish(before.iter().map(|engine_use| engine_use.address));
     }
 
-    /// Has totals told that have moved far enough.
-    fn tell(&mut self, moved: impl IntoIterator<Item = SocketAddr>) {
-        let routers = (self.by_router.len() as u64).min(FULL_STEP_FROM);
-        for address in moved {
-            let Some(row) = self.rows.get_mut(&address) else {
+    /// Publishes the totals that changed by more than a step.
+    fn publish(&mut self, changed: impl IntoIterator<Item = SocketAddr>) {
+        let routers = (self.by_router.len() as u64).min(FULL_STEP_ROUTERS);
+        for address in changed {
+            let Some(entry) = self.totals.get_mut(&address) else {
                 continue;
             };
-            let step = |of: u64| of * routers / (FULL_STEP_FROM * FINE_STEPS);
+            let step = |of: u64| of * routers / (FULL_STEP_ROUTERS * FINE_STEPS_PER_CAPACITY);
             let steps = Held {
-                layer_tokens: step(row.room.keeps),
-                begun: step(u64::from(row.room.slots)) as u32,
+                layer_tokens: step(entry.room.keeps),
+                begun: step(u64::from(entry.room.slots)) as u32,
             };
-            if has_moved(row.total, row.fine.held, steps) {
-                self.number += 1;
-                let centre = self.fine.entry(row.room.data_centre.clone()).or_default();
-                centre.remove(&(row.fine.number, address));
-                centre.insert((self.number, address));
-                row.fine = Told {
-                    held: row.total,
-                    number: self.number,
+            if exceeds_step(entry.total, entry.fine.held, steps) {
+                self.sequence += 1;
+                let centre = self.fine.entry(entry.room.data_centre.clone()).or_default();
+                centre.remove(&(entry.fine.sequence, address));
+                centre.insert((self.sequence, address));
+                entry.fine = Published {
+                    held: entry.total,
+                    sequence: self.sequence,
                 };
             }
             let steps = Held {
-                layer_tokens: steps.layer_tokens * COARSE,
-                begun: steps.begun * COARSE as u32,
+                layer_tokens: steps.layer_tokens * FINE_STEPS_PER_COARSE,
+                begun: steps.begun * FINE_STEPS_PER_COARSE as u32,
             };
-            if has_moved(row.total, row.coarse.held, steps) {
-                self.number += 1;
-                self.coarse.remove(&(row.coarse.number, address));
-                self.coarse.insert((self.number, address));
-                row.coarse = Told {
-                    held: row.total,
-                    number: self.number,
+            if exceeds_step(entry.total, entry.coarse.held, steps) {
+                self.sequence += 1;
+                self.coarse.remove(&(entry.coarse.sequence, address));
+                self.coarse.insert((self.sequence, address));
+                entry.coarse = Published {
+                    held: entry.total,
+                    sequence: self.sequence,
                 };
             }
         }
     }
 
-    /// What the streams of all routers hold at one engine, tokens times layers;
-    /// nothing if there is none.
+    /// Returns the tokens times layers that the streams of all routers hold at an engine,
+    /// or `None` if they hold nothing.
     pub fn at(&self, address: SocketAddr) -> Option<u64> {
-        let total = self.rows.get(&address).map(|row| row.total.layer_tokens);
+        let total = self.totals.get(&address).map(|entry| entry.total.layer_tokens);
         total.filter(|tokens| *tokens > 0)
     }
 
-    /// What a router in this data centre lacks that knows so much of what this leader
-    /// told; nothing if that is all.
+    /// Returns the totals published since `known` that matter to a router in this data
+    /// centre, or `None` if it is up to date. A router that knows nothing of this
+    /// leader's term gets all of them.
     pub fn news(
         &self,
         term: Term,
@@ -181,26 +187,26 @@
         known: Option<UseNumber>,
     ) -> Option<UseNews> {
         let known = known.filter(|known| known.term == term);
-        let number = known.map_or(0, |known| known.number);
-        if known.is_some() && number == self.number {
+        let known_sequence = known.map_or(0, |known| known.number);
+        if known.is_some() && known_sequence == self.sequence {
             return None;
         }
-        let from = (number + 1, SocketAddr::from(([0, 0, 0, 0], 0)));
+        let from = (known_sequence + 1, SocketAddr::from(([0, 0, 0, 0], 0)));
         let fine = self.fine.get(data_centre).into_iter();
-        let fine = fine.flat_map(|there| there.range(from..));
+        let fine = fine.flat_map(|engines| engines.range(from..));
         let fine = fine.filter_map(|(_, address)| {
-            let row = self.rows.get(address)?;
-            Some(EngineUse::new(*address, row.fine.held))
+            let entry = self.totals.get(address)?;
+            Some(EngineUse::new(*address, entry.fine.held))
         });
         let coarse = self.coarse.range(from..).filter_map(|(_, address)| {
-            let row = self.rows.get(address)?;
-            let elsewhere = row.room.data_centre != *data_centre;
-            elsewhere.then(|| EngineUse::new(*address, row.coarse.held))
+            let entry = self.totals.get(address)?;
+            let elsewhere = entry.room.data_centre != *data_centre;
+            elsewhere.then(|| EngineUse::new(*address, entry.coarse.held))
         });
         Some(UseNews {
             upto: UseNumber {
                 term,
-                number: self.number,
+                number: self.sequence,
             },
             all: known.is_none(),
             engines: fine.chain(coarse).collect(),
@@ -208,29 +214,30 @@
     }
 }
 
-/// Takes over what an engine has now. In another data centre nothing was told of it.
-fn move_to(
+/// Updates the capacity of an engine. If the engine is now in another data centre,
+/// nothing was published there yet.
+fn update_room(
     fine: &mut BTreeMap<DataCentre, BTreeSet<(u64, SocketAddr)>>,
     address: SocketAddr,
-    row: &mut Row,
+    entry: &mut EngineTotal,
     room: EngineRoom,
 ) {
-    if row.room.data_centre != room.data_centre {
-        if let Some(there) = fine.get_mut(&row.room.data_centre) {
-            there.remove(&(row.fine.number, address));
+    if entry.room.data_centre != room.data_centre {
+        if let Some(engines) = fine.get_mut(&entry.room.data_centre) {
+            engines.remove(&(entry.fine.sequence, address));
         }
-        row.fine = Told::default();
+        entry.fine = Published::default();
     }
-    row.room = room;
+    entry.room = room;
 }
 
-/// Whether a total has moved by more than these steps since it was told.
-fn has_moved(total: Held, told: Held, steps: Held) -> bool {
-    total.layer_tokens.abs_diff(told.layer_tokens) > steps.layer_tokens
-        || total.begun.abs_diff(told.begun) > steps.begun
+/// Returns whether a total differs from the published one by more than these steps.
+fn exceeds_step(total: Held, published: Held, steps: Held) -> bool {
+    total.layer_tokens.abs_diff(published.layer_tokens) > steps.layer_tokens
+        || total.begun.abs_diff(published.begun) > steps.begun
 }
 
-fn without(total: Held, part: Held) -> Held {
+fn subtract(total: Held, part: Held) -> Held {
     Held {
         layer_tokens: total.layer_tokens.saturating_sub(part.layer_tokens),
         begun: total.begun.saturating_sub(part.begun),
--- a/crates/deckwind-core/src/control/limit_desk.rs
+++ b/crates/deckwind-core/src/control/limit_desk.rs
@@ -1,24 +1,26 @@
-//! Keeps the limits that targets name, for all routers together.
+//! Enforces the rate limits that targets announce, over all routers.
 //!
-//! A target names the requests a second that it takes from all VMs. So one place
-//! gives out permits for it, at that rate, and a request without one isn't sent:
+//! A target announces the number of requests per second that it accepts from all VMs
+//! together. The leader alone issues permits for the target at that rate, and a request
+//! without a permit isn't sent:
 //!
 //! ```text
-//!  router ── permits wanted, limit as heard ──► LimitDesk (leader) ── paced by rate
-//!         ◄─ so many, from then on ────────────
+//!  router ── permits wanted, limit as received ──► LimitDesk (leader) ── paced by rate
+//!         ◄─ permits, each with its start time ───
 //! ```
 //!
-//! The bound: in any span of T a target is sent at most `rate` x (T + [`PERMIT_FOR`]) +
-//! [`BURST`] requests of routers that know of its limit. Permits are issued at `rate`,
-//! [`BURST`] at once after a pause, and each is used within [`PERMIT_FOR`] or never.
+//! Guarantee: in any time span T, routers that know the limit of a target send it at most
+//! `rate` × (T + [`PERMIT_FOR`]) + [`BURST`] requests. Permits are issued at `rate`, with
+//! up to [`BURST`] at once after a pause, and each is used within [`PERMIT_FOR`] or
+//! never.
 //!
-//! Nothing of this is agreed. One leader issues at a time, so the rate holds over
-//! changes of leader: a new one begins without a burst, and learns the limits from the
-//! routers, each of which tells what it has heard. Until it has heard of a limit it has
-//! nothing to issue, and routers that know of the limit send nothing without a permit.
+//! None of this state is replicated. Only one leader issues permits at a time, so the
+//! rate also holds over a change of leader: the new leader begins without a burst and
+//! learns the limits from the reports of the routers. Until it knows a limit it issues no
+//! permits, and routers that know of the limit send nothing without a permit.
 //!
-//! A limit ends, or rises, by an answer to a request that was permitted after the
-//! tighter limit was last told: answers overtake each other, and only such an answer
+//! A limit ends, or rises, only by an answer to a request that was permitted after the
+//! tighter limit was last announced. Answers overtake each other, and only such an answer
 //! was certainly written later.
 
 use super::limit_messages::{
@@ -31,114 +33,115 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long a permit may be used, from the moment from which it may be: a connection
-/// is made meanwhile.
+/// Time for which a permit may be used, counted from its start time. It covers
+/// establishing a connection.
 pub const PERMIT_FOR: Duration = Duration::from_millis(800);
 
-/// Permits that are issued at once after a pause: requests of callers come by chance,
-/// two at a time now and then.
+/// Maximum number of permits issued at once after a pause. Requests arrive at random, now
+/// and then two at a time.
 pub const BURST: u32 = 2;
 
-/// Longest wait that is promised for a permit: half of the shortest objective of callers,
-/// so that a request that waits for it can still be in time.
-const AHEAD: Duration = Duration::from_millis(50);
+/// Maximum time until a permit's start that the leader grants. Half of the shortest
+/// latency objective, so that a request that waits for its permit can still meet it.
+const MAX_PERMIT_WAIT: Duration = Duration::from_millis(50);
 
-/// Longest time after which a router that gets none is to ask again.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
+/// Maximum time after which a router that was denied permits is to ask again.
+const MAX_ASK_DELAY: Duration = Duration::from_secs(1);
 
-/// A target that names less is sent requests at this rate all the same: only an answer
-/// tells that its limit is over.
-const LEAST: Rate = Rate::from_millis(250);
+/// Minimum rate of permits, also for targets that announce less: only an answer can tell
+/// that the limit ended.
+const MIN_RATE: Rate = Rate::from_millis(250);
 
-/// Targets whose limits are kept: all that there are (3,300 in two years).
-const MOST: usize = 4_096;
+/// Maximum number of limits kept, enough for all targets (3,300 in two years).
+const MAX_LIMITS: usize = 4_096;
 
-/// How long a limit that is over is remembered: what routers heard of it before comes
-/// later, with their next renewals.
-const REMEMBERED: Duration = Duration::from_secs(10);
+/// Time for which an ended limit is kept. Routers may report what they received before
+/// the end with their next renewals.
+const ENDED_LIMIT_TTL: Duration = Duration::from_secs(10);
 
-/// Without a word of its target for so long a limit is forgotten; of one that is asked
-/// for, routers tell with every question.
-const SILENT: Duration = Duration::from_secs(600);
+/// Time after which a limit is removed if its target hasn't announced it again. While
+/// routers ask for permits, they report the limit with each request.
+const LIMIT_TTL: Duration = Duration::from_secs(600);
 
-/// What became of a limit by what a router told.
+/// Change of a limit caused by a router's report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitChange {
-    /// The target is limited now.
+    /// The target has become limited.
     Begins(Rate),
-    /// Its limit is another one.
+    /// The limit has another rate.
     Becomes(Rate),
-    /// It has none any more.
+    /// The target is no longer limited.
     Ends,
 }
 
 #[derive(Clone, Debug)]
-struct Limit {
-    /// Nothing once it is over.
+struct TargetLimit {
+    /// Rate limit, or `None` once it has ended.
     rate: Option<Rate>,
-    /// When the last answer that named a limit was heard, or later.
-    named: Instant,
-    /// When a limit as tight as this one, or tighter, was last named, or later.
-    tight: Instant,
-    /// When the permit was issued whose answer loosened it last: what was heard before
-    /// is out of date.
-    loosened: Instant,
+    /// Upper bound of the time at which the last answer with a limit arrived.
+    named_at: Instant,
+    /// The same for the last answer with a limit as tight as this one or tighter.
+    tight_at: Instant,
+    /// When the permit was issued whose answer last loosened or ended the limit. Answers
+    /// that arrived earlier are out of date.
+    loosened_at: Instant,
     /// When the next permit is due.
-    next: Instant,
-    /// When the last router that was denied is to ask again.
-    turn: Instant,
+    next_permit_at: Instant,
+    /// Earliest time at which the next router that is denied is to ask again.
+    next_ask_at: Instant,
 }
 
-impl Limit {
+impl TargetLimit {
     fn new(now: Instant, rate: Rate) -> Self {
         Self {
             rate: Some(rate),
-            named: now,
-            tight: now,
-            loosened: Instant::ZERO,
-            next: now + rate.max(LEAST).interval(),
-            turn: now,
+            named_at: now,
+            tight_at: now,
+            loosened_at: Instant::ZERO,
+            next_permit_at: now + rate.max(MIN_RATE).interval(),
+            next_ask_at: now,
         }
     }
 
     fn interval(&self) -> Duration {
-        self.rate.unwrap_or_default().max(LEAST).interval()
+        self.rate.unwrap_or_default().max(MIN_RATE).interval()
     }
 
-    /// One permit, and how long until it may be used; nothing if none is due soon.
+    /// Issues one permit and returns the time until its start, or `None` if no permit is
+    /// due within [`MAX_PERMIT_WAIT`].
     fn issue(&mut self, now: Instant) -> Option<Duration> {
         let interval = self.interval();
-        let due = self.next.max(now - interval * (BURST - 1));
+        let due = self.next_permit_at.max(now - interval * (BURST - 1));
         let wait = due.since(now);
-        if wait > AHEAD {
+        if wait > MAX_PERMIT_WAIT {
             return None;
         }
-        self.next = due + interval;
+        self.next_permit_at = due + interval;
         Some(wait)
     }
 
-    /// When a router that was denied is to ask again: each gets a turn of its own, so
-    /// that many routers don't ask for one permit.
+    /// Returns the time after which a router that was denied is to ask again. Each router
+    /// gets a time of its own, so that several don't ask for the same permit.
     fn deny(&mut self, now: Instant) -> Duration {
-        let due = self.next - AHEAD;
-        let turn = self.turn.max(due).max(now);
-        self.turn = turn + self.interval();
-        turn.since(now).min(ASK_AGAIN)
+        let due = self.next_permit_at - MAX_PERMIT_WAIT;
+        let ask_at = self.next_ask_at.max(due).max(now);
+        self.next_ask_at = ask_at + self.interval();
+        ask_at.since(now).min(MAX_ASK_DELAY)
     }
 }
 
-/// The leader's side of limits.
+/// Limits of all targets, and the permits issued for them.
 #[derive(Clone, Debug)]
 pub struct LimitDesk {
     term: Term,
-    limits: BTreeMap<LimitKey, Limit>,
+    limits: BTreeMap<LimitKey, TargetLimit>,
     changes: u64,
     permitted: u64,
     denied: u64,
 }
 
 impl LimitDesk {
-    /// Of a leader of this term: it knows of no limit yet.
+    /// Creates the state of the leader of this term, without any limit.
     pub fn new(term: Term) -> Self {
         Self {
             term,
@@ -149,10 +152,11 @@
         }
     }
 
-    /// A router told what it has heard of a target.
+    /// Records what a router received from a target. Returns the change of the limit, if
+    /// any.
     pub fn heard(&mut self, now: Instant, heard: &LimitHeard) -> Option<LimitChange> {
-        let named = self.named(now, heard);
-        let ended = self.named_none(heard);
+        let named = self.record_named(now, heard);
+        let ended = self.record_none_named(heard);
         for change in [named, ended].into_iter().flatten() {
             let listed = matches!(change, LimitChange::Begins(_) | LimitChange::Ends);
             self.changes += u64::from(listed);
@@ -160,76 +164,77 @@
         ended.or(named)
     }
 
-    fn named(&mut self, now: Instant, heard: &LimitHeard) -> Option<LimitChange> {
+    fn record_named(&mut self, now: Instant, heard: &LimitHeard) -> Option<LimitChange> {
         let rate = heard.rate;
-        // As it took a while to come here, no earlier than it was.
+        // The report was delayed on its way here, so the answer arrived at the router at
+        // this time or earlier.
         let at = now - heard.ago;
-        let permitted = self.own_time(heard.permitted);
+        let permitted = self.own_issue_time(heard.permitted);
         if !self.limits.contains_key(&heard.target) {
-            self.make_room();
-            let limit = Limit::new(now, rate);
+            self.evict_if_full();
+            let limit = TargetLimit::new(now, rate);
             self.limits.insert(heard.target.clone(), limit);
             return Some(LimitChange::Begins(rate));
         }
         let limit = self.limits.get_mut(&heard.target)?;
-        if at <= limit.loosened {
+        if at <= limit.loosened_at {
             return None;
         }
-        limit.named = limit.named.max(at);
+        limit.named_at = limit.named_at.max(at);
         match limit.rate {
             None => {
-                let loosened = limit.loosened;
-                *limit = Limit {
-                    loosened,
-                    ..Limit::new(now, rate)
+                let loosened_at = limit.loosened_at;
+                *limit = TargetLimit {
+                    loosened_at,
+                    ..TargetLimit::new(now, rate)
                 };
                 Some(LimitChange::Begins(rate))
             }
             Some(known) if rate <= known => {
-                limit.tight = limit.tight.max(at);
+                limit.tight_at = limit.tight_at.max(at);
                 limit.rate = Some(rate);
                 (rate < known).then_some(LimitChange::Becomes(rate))
             }
             Some(_) => {
-                let permitted = permitted.filter(|p| *p > limit.tight)?;
-                limit.loosened = permitted;
-                limit.tight = at;
+                let permitted = permitted.filter(|p| *p > limit.tight_at)?;
+                limit.loosened_at = permitted;
+                limit.tight_at = at;
                 limit.rate = Some(rate);
                 Some(LimitChange::Becomes(rate))
             }
         }
     }
 
-    /// Forgets the limit that was named longest ago where there are too many.
-    fn make_room(&mut self) {
-        if self.limits.len() < MOST {
+    /// Evicts the limit that was announced longest ago if the maximum is reached.
+    fn evict_if_full(&mut self) {
+        if self.limits.len() < MAX_LIMITS {
             return;
         }
-        let oldest = self.limits.iter().min_by_key(|(_, l)| l.named);
+        let oldest = self.limits.iter().min_by_key(|(_, l)| l.named_at);
         if let Some(target) = oldest.map(|(t, _)| t.clone()) {
             self.limits.remove(&target);
         }
     }
 
-    fn named_none(&mut self, heard: &LimitHeard) -> Option<LimitChange> {
-        let permitted = self.own_time(heard.none_named)?;
+    fn record_none_named(&mut self, heard: &LimitHeard) -> Option<LimitChange> {
+        let permitted = self.own_issue_time(heard.none_named)?;
         let limit = self.limits.get_mut(&heard.target)?;
-        if limit.rate.is_none() || permitted <= limit.named {
+        if limit.rate.is_none() || permitted <= limit.named_at {
             return None;
         }
         limit.rate = None;
-        limit.loosened = permitted;
+        limit.loosened_at = permitted;
         Some(LimitChange::Ends)
     }
 
-    /// When this leader issued a permit; nothing if another one did, whose clock can't be
-    /// compared.
-    fn own_time(&self, issued: Option<LeaderTime>) -> Option<Instant> {
+    /// Returns the issue time of a permit if this leader issued it. Clocks of other
+    /// leaders can't be compared.
+    fn own_issue_time(&self, issued: Option<LeaderTime>) -> Option<Instant> {
         let own = issued.filter(|p| p.term == self.term);
         own.map(|p| p.at)
     }
 
-    /// Issues what a router wants, as far as it is due.
+    /// Issues the permits that a router wants, as far as they are due.
     pub fn permit(&mut self, now: Instant, ask: &PermitAsk) -> PermitVerdict {
         let limit = self.limits.get_mut(&ask.heard.target);
         let Some(limit) = limit.filter(|l| l.rate.is_some()) else {
@@ -246,12 +251,13 @@
         PermitVerdict::Permitted(permits)
     }
 
-    /// Requests that were permitted, and that were denied when a router asked.
+    /// Returns the number of requests that were permitted and the number that were
+    /// denied.
     pub fn counts(&self) -> (u64, u64) {
         (self.permitted, self.denied)
     }
 
-    /// Now, for answers.
+    /// Returns the current time as put into answers.
     pub fn time(&self, now: Instant) -> LeaderTime {
         LeaderTime {
             term: self.term,
@@ -259,7 +265,7 @@
         }
     }
 
-    /// Names the list of limited targets.
+    /// Returns the revision of the list of limited targets.
     pub fn revision(&self) -> LimitRevision {
         LimitRevision {
             term: self.term,
@@ -267,43 +273,44 @@
         }
     }
 
-    /// Whether a router has another list. One that never had any lacks nothing where
-    /// there was none.
+    /// Returns whether a router's list differs from the current one. A router without a
+    /// list is up to date if no target has been limited in this term.
     pub fn has_news(&self, known: Option<LimitRevision>) -> bool {
         let none = known.is_none() && self.changes == 0;
         !none && known != Some(self.revision())
     }
 
-    /// All limited targets, for a router that has another list.
+    /// Returns all limited targets if a router's list differs from the current one.
     pub fn list_for(&self, now: Instant, known: Option<LimitRevision>) -> Option<LimitList> {
         if !self.has_news(known) {
             return None;
         }
         let revision = self.revision();
-        let named = |(target, limit): (&LimitKey, &Limit)| {
+        let named = |(target, limit): (&LimitKey, &TargetLimit)| {
             limit.rate.map(|rate| NamedLimit {
                 target: target.clone(),
                 rate,
-                ago: now.since(limit.named),
+                ago: now.since(limit.named_at),
             })
         };
         let limits = self.limits.iter().filter_map(named).collect();
         Some(LimitList { revision, limits })
     }
 
-    /// Forgets limits that are over, and those of targets that nobody hears any more.
+    /// Removes limits that ended, and those whose targets haven't announced them for
+    /// [`LIMIT_TTL`].
     pub fn forget(&mut self, now: Instant) {
         let before = self.limited();
         self.limits.retain(|_, limit| match limit.rate {
-            Some(_) => now.since(limit.named) < SILENT,
-            None => now.since(limit.loosened) < REMEMBERED,
+            Some(_) => now.since(limit.named_at) < LIMIT_TTL,
+            None => now.since(limit.loosened_at) < ENDED_LIMIT_TTL,
         });
         if self.limited() != before {
             self.changes += 1;
         }
     }
 
-    /// Targets that are limited now.
+    /// Returns the number of targets that are limited now.
     pub fn limited(&self) -> usize {
         self.limits.values().filter(|l| l.rate.is_some()).count()
     }
--- a/crates/deckwind-core/src/control/limits.rs
+++ b/crates/deckwind-core/src/control/limit_handlers.rs
@@ -1,4 +1,4 @@
-//! Limits between routers and the desk.
+//! Handling of limit reports and permit requests by [`ControlCore`].
 
 use super::control_core::ControlCore;
 use super::event::{ControlAction, LimitNote};
@@ -9,7 +9,7 @@
 use crate::time::Instant;
 
 impl ControlCore {
-    /// A router told with its renewal what it has heard.
+    /// Handles the limits that a router reports with a renewal.
     pub(super) fn limits_reported(
         &mut self,
         now: Instant,
@@ -18,11 +18,11 @@
         out: &mut Vec<ControlAction>,
     ) {
         for heard in &report.heard {
-            self.limit_heard(now, holder, heard, out);
+            self.record_limit(now, holder, heard, out);
         }
     }
 
-    fn limit_heard(
+    fn record_limit(
         &mut self,
         now: Instant,
         holder: &Holder,
@@ -42,7 +42,8 @@
         }
     }
 
-    /// A router wants to send requests to limited targets: what it heard counts first.
+    /// Handles a router's request for permits to send to limited targets. The limits that
+    /// come with the request are recorded first.
     pub(super) fn permits_wanted(
         &mut self,
         now: Instant,
@@ -53,7 +54,7 @@
     ) {
         let before = self.limit_desk().map(LimitDesk::revision);
         for ask in asks {
-            self.limit_heard(now, holder, &ask.heard, out);
+            self.record_limit(now, holder, &ask.heard, out);
         }
         let Some(leading) = &mut self.leading else {
             self.not_leader(token, out);
@@ -73,20 +74,20 @@
         }
     }
 
-    /// Whether a router has another list of limited targets than the leader.
+    /// Returns whether a router's list of limited targets differs from the leader's.
     pub(super) fn has_limits_for(&self, renewal: &Renewal) -> bool {
         let leading = self.leading.as_ref();
         leading.is_some_and(|l| l.limits.has_news(renewal.limits.known))
     }
 
-    /// Forgets limits that are over.
+    /// Removes limits that ended or are out of date.
     pub(super) fn forget_limits(&mut self, now: Instant) {
         if let Some(leading) = &mut self.leading {
             leading.limits.forget(now);
         }
     }
 
-    /// What this replica keeps of limits, where it leads.
+    /// Returns the limits that this replica keeps, or `None` if it isn't the leader.
     pub fn limit_desk(&self) -> Option<&LimitDesk> {
         self.leading.as_ref().map(|l| &l.limits)
     }
--- a/crates/deckwind-core/src/control/limit_messages.rs
+++ b/crates/deckwind-core/src/control/limit_messages.rs
@@ -1,4 +1,4 @@
-//! What routers and the leader tell each other of limits that targets name.
+//! Messages between routers and the leader about the rate limits that targets announce.
 
 use crate::rate::Rate;
 use crate::replication::Term;
@@ -9,17 +9,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The target that a limit is of: one life at one address.
+/// Target to which a limit applies: one incarnation at one address.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LimitKey {
-    /// Where it is.
+    /// Address of the target.
     pub address: SocketAddr,
-    /// Which life of it.
+    /// Incarnation of the target.
     pub life: Life,
 }
 
 impl LimitKey {
-    /// Of a target as it is known.
+    /// Returns the key of a known target.
     pub fn of(instance: &Instance) -> Self {
         Self {
             address: instance.address,
@@ -34,94 +34,94 @@
     }
 }
 
-/// A moment of one leader. Moments of different leaders can't be compared.
+/// Time by the clock of one leader. Times of different leaders can't be compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaderTime {
-    /// The leader's term.
+    /// Term of the leader.
     pub term: Term,
-    /// By its clock.
+    /// Time by the leader's clock.
     pub at: Instant,
 }
 
-/// What a router has heard of a target's limit.
+/// Limit of a target as a router received it in answers of the target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitHeard {
     /// The target.
     pub target: LimitKey,
-    /// The limit that it last named.
+    /// Last limit that the target announced.
     pub rate: Rate,
-    /// How long ago that was heard.
+    /// Time since the answer with that limit arrived.
     pub ago: Duration,
-    /// When the leader issued the permit of the request that was so answered: the
-    /// answer was written later. Nothing where there was no permit.
+    /// When the leader issued the permit of the request that was answered with the limit.
+    /// The answer was written later than that. `None` if the request had no permit.
     pub permitted: Option<LeaderTime>,
-    /// The same of an answer since that named none.
+    /// The same for an answer received since then that announced no limit.
     pub none_named: Option<LeaderTime>,
 }
 
-/// What a renewal tells of limits.
+/// Part of a renewal that is about limits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// The list of limited targets that the router has.
+    /// Revision of the list of limited targets that the router has.
     pub known: Option<LimitRevision>,
-    /// What it has heard since it last told.
+    /// Limits received since the router's last report.
     pub heard: Vec<LimitHeard>,
 }
 
-/// Names a list of limited targets: it changes when one is added or taken off.
+/// Revision of a list of limited targets. It changes when a target is added or removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitRevision {
     /// Term of the leader that keeps the list.
     pub term: Term,
-    /// Counts its changes.
+    /// Number of changes to the list in that term.
     pub changes: u64,
 }
 
-/// All limited targets, as the leader knows them.
+/// All limited targets known to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitList {
-    /// Names the list.
+    /// Revision of the list.
     pub revision: LimitRevision,
-    /// The targets.
+    /// Limits of the targets.
     pub limits: Vec<NamedLimit>,
 }
 
-/// A limit as the leader knows it.
+/// Limit of a target as known to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NamedLimit {
     /// The target.
     pub target: LimitKey,
-    /// The limit.
+    /// Rate limit of the target.
     pub rate: Rate,
-    /// How long ago an answer last named it.
+    /// Time since an answer last announced the limit.
     pub ago: Duration,
 }
 
-/// A router wants to send requests to a limited target.
+/// A router's request for permits to send to a limited target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitAsk {
-    /// The limit as the router knows it.
+    /// Limit as known to the router.
     pub heard: LimitHeard,
-    /// How many requests wait for a permit.
+    /// Number of requests that wait for a permit.
     pub wants: u32,
 }
 
-/// What a router may send to a target.
+/// Leader's decision on the permits for one target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitVerdict {
-    /// The target has no limit any more.
+    /// The target is not limited any more.
     Unlimited,
-    /// As many requests as there are entries: how long until each may be sent.
+    /// One permit per entry, with the time until its request may be sent.
     Permitted(Vec<Duration>),
-    /// None; worth asking again after this time.
+    /// No permits; the router should ask again after this time.
     Denied(Duration),
 }
 
-/// What the leader answers to a router that wants permits.
+/// Leader's answer to a router's request for permits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PermitAnswer {
-    /// When it answered.
+    /// Time of the answer.
     pub at: LeaderTime,
-    /// In the order of the question.
+    /// Decisions, in the order of the request.
     pub verdicts: Vec<PermitVerdict>,
 }
--- a/crates/deckwind-core/src/control/looks.rs
+++ b/crates/deckwind-core/src/control/looks.rs
@@ -1,17 +1,18 @@
-//! What a replica has looked at, for metrics and for tests of how its work grows.
+//! Counters of the rows that a replica scans, for metrics and for tests of how its work
+//! scales.
 
-/// Rows that were looked at, by kind: renewals and targets since the replica started,
-/// the others since it began to lead. Per event they must not grow with the number of
-/// routers or targets.
+/// Number of rows scanned, by kind. Renewals and targets are counted since the replica
+/// started, the others since it became the leader. The number of rows per event must not
+/// grow with the number of routers or targets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Looks {
-    /// Renewals that wait for their answer.
+    /// Renewals that wait for an answer.
     pub renewals: u64,
-    /// Routers' leases.
+    /// Leases of routers.
     pub leases: u64,
-    /// Targets as agreed.
+    /// Targets in the replicated state.
     pub targets: u64,
-    /// What routers hold and want of repeats.
+    /// Rows of the retry budget: routers' reports and allowances.
     pub repeats: u64,
     /// Engines, for the placement of layers.
     pub cards: u64,
--- a/crates/deckwind-core/src/control/orders.rs
+++ b/crates/deckwind-core/src/control/orders.rs
@@ -1,14 +1,14 @@
-//! Orders to engines: what a target's configuration asks of it.
+//! Orders that the leader sends to engine targets so that they match their configuration.
 //!
 //! ```text
-//!  a target is written ─► due ─► issued with a fence ─► under way ─► done
-//!                          ▲                               │ refused, late
-//!                          └───────────────────────────────┘
+//!  target written ─► due ─► issued with a fence ─► in flight ─► done
+//!                     ▲                               │ refused or timed out
+//!                     └───────────────────────────────┘
 //! ```
 //!
-//! Orders repeat what the configuration says, so giving one again changes
-//! nothing; a new leader gives all of them again with higher fences. See
-//! [`OrderIssuer`] for when an order may leave.
+//! An order restates what the configuration says and is therefore idempotent. A new
+//! leader issues all of them again with higher fences. See [`OrderIssuer`] for when an
+//! order may be sent.
 
 use crate::replication::{Fence, FenceCheck, OrderIssuer, Term};
 use crate::state::{Configuration, LayerRange, Revision, Target, TargetKind, TargetName};
@@ -18,124 +18,126 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a fenced order asks for.
+/// Action that a fenced order requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OrderKind {
-    /// Load a version of a model.
+    /// Loads a version of a model.
     LoadModel {
-        /// Model.
+        /// Name of the model.
         model: String,
-        /// Version.
+        /// Version of the model.
         version: String,
     },
-    /// Load an adapter.
+    /// Loads an adapter.
     LoadAdapter {
-        /// Adapter.
+        /// Name of the adapter.
         adapter: String,
     },
-    /// Hold other layers.
+    /// Changes the range of layers that the engine holds.
     ChangeLayers {
-        /// Layers.
+        /// Layers to hold.
         layers: LayerRange,
     },
 }
 
-/// An order with its fence.
+/// An order and its fence.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetOrder {
-    /// Rank of the order.
+    /// Fence that ranks this order against other orders.
     pub fence: Fence,
-    /// What it asks for.
+    /// Requested action.
     pub order: OrderKind,
 }
 
-/// Orders for one target, to be sent in this order.
+/// Orders for one target, in the order in which they are to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OrderBatch {
-    /// The target.
+    /// Name of the target.
     pub target: TargetName,
-    /// Where it is.
+    /// Address of the target.
     pub address: SocketAddr,
-    /// Revision of the target that they follow from.
+    /// Configuration revision from which the orders were derived.
     pub revision: Revision,
-    /// The orders.
+    /// Orders to send.
     pub orders: Vec<TargetOrder>,
-    /// When the connection must be closed, whatever was sent by then.
+    /// Time after which the connection must be closed, whether or not everything was
+    /// sent.
     pub within: Duration,
 }
 
-/// How long an order may be under way. Well below a leader's lease, so that
-/// orders to targets that don't check fences can leave inside it.
+/// Maximum time that an order may be in flight. Well below a leader's lease, so that
+/// orders to targets that don't check fences can be sent within the lease.
 pub const ORDER_FLIGHT: Duration = Duration::from_millis(200);
 
-/// Batches under way at once.
-const MOST_UNDER_WAY: usize = 16;
+/// Maximum number of batches in flight at once.
+const MAX_IN_FLIGHT_BATCHES: usize = 16;
 
-/// Pause before a batch that failed is given again.
-const AGAIN_AFTER: Duration = Duration::from_secs(1);
+/// Delay before a failed batch is issued again.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// Orders that a leader has to give.
+/// Queue of the orders that the leader has to issue.
 #[derive(Clone, Debug)]
 pub(super) struct OrderDesk {
     issuer: OrderIssuer,
-    seen: Revision,
+    queued_upto: Revision,
     due: BTreeMap<TargetName, Instant>,
-    under_way: BTreeSet<TargetName>,
+    in_flight: BTreeSet<TargetName>,
 }
 
 impl OrderDesk {
-    /// Of a leader of `term` since `since`, who has given none.
+    /// Creates the queue of the leader of `term`, which began to lead at `since` and has
+    /// issued no order yet.
     pub fn new(term: Term, since: Instant) -> Self {
         Self {
             issuer: OrderIssuer::new(term, since, ORDER_FLIGHT),
-            seen: Revision::ZERO,
+            queued_upto: Revision::ZERO,
             due: BTreeMap::new(),
-            under_way: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
         }
     }
 
-    /// Batches that may leave now.
+    /// Returns the batches that may be sent now and marks them as in flight.
     pub fn issue(
         &mut self,
         now: Instant,
         lease_until: Option<Instant>,
         cfg: &Configuration,
     ) -> Vec<OrderBatch> {
-        self.note_changes(now, cfg);
-        let room = MOST_UNDER_WAY.saturating_sub(self.under_way.len());
+        self.queue_changed_targets(now, cfg);
+        let free_slots = MAX_IN_FLIGHT_BATCHES.saturating_sub(self.in_flight.len());
         let ready: Vec<TargetName> = self
             .due
             .iter()
-            .filter(|(name, at)| **at <= now && !self.under_way.contains(*name))
+            .filter(|(name, at)| **at <= now && !self.in_flight.contains(*name))
             .map(|(name, _)| name.clone())
-            .take(room)
+            .take(free_slots)
             .collect();
         let batches = ready
             .iter()
-            .filter_map(|name| self.batch(now, lease_until, cfg, name));
+            .filter_map(|name| self.build_batch(now, lease_until, cfg, name));
         let batches: Vec<OrderBatch> = batches.collect();
         for batch in &batches {
             self.due.remove(&batch.target);
-            self.under_way.insert(batch.target.clone());
+            self.in_flight.insert(batch.target.clone());
         }
         batches
     }
 
-    fn note_changes(&mut self, now: Instant, cfg: &Configuration) {
-        if cfg.revision() == self.seen {
+    fn queue_changed_targets(&mut self, now: Instant, cfg: &Configuration) {
+        if cfg.revision() == self.queued_upto {
             return;
         }
-        for (name, written) in cfg.delta_since(self.seen).targets {
+        for (name, written) in cfg.delta_since(self.queued_upto).targets {
             match written.value.map(|t| t.kind) {
                 Some(TargetKind::Engine { .. }) => self.due.insert(name, now),
                 _ => self.due.remove(&name),
             };
         }
-        self.seen = cfg.revision();
+        self.queued_upto = cfg.revision();
     }
 
-    fn batch(
+    fn build_batch(
         &mut self,
         now: Instant,
         lease_until: Option<Instant>,
@@ -148,29 +150,30 @@
             false => FenceCheck::DoesNotCheck,
         };
         let mut orders = Vec::new();
-        for order in wanted(target) {
+        for order in orders_for(target) {
             let fence = self.issuer.issue(now, lease_until, check)?;
             orders.push(TargetOrder { fence, order });
         }
         Some(OrderBatch {
             target: name.clone(),
             address: target.address,
-            revision: self.seen,
+            revision: self.queued_upto,
             orders,
             within: ORDER_FLIGHT,
         })
     }
 
-    /// A batch is over; one that failed is given again after a while.
-    pub fn finished(&mut self, now: Instant, target: &TargetName, taken: bool) {
-        self.under_way.remove(target);
-        if !taken {
-            self.due.entry(target.clone()).or_insert(now + AGAIN_AFTER);
+    /// Records the end of a batch. A batch that was not `accepted` is issued again after
+    /// [`RETRY_DELAY`].
+    pub fn finished(&mut self, now: Instant, target: &TargetName, accepted: bool) {
+        self.in_flight.remove(target);
+        if !accepted {
+            self.due.entry(target.clone()).or_insert(now + RETRY_DELAY);
         }
     }
 }
 
-fn wanted(target: &Target) -> Vec<OrderKind> {
+fn orders_for(target: &Target) -> Vec<OrderKind> {
     let TargetKind::Engine {
         model,
         version,
--- a/crates/deckwind-core/src/control/pace.rs
+++ b/crates/deckwind-core/src/control/pace.rs
@@ -1,46 +1,47 @@
-//! How fast a leader hands out state.
+//! Rate limit on the state that a leader sends to routers.
 //!
-//! A large change goes to every router. All of it at once would stand in the
-//! queue of the leader's link before its heartbeats, and followers that miss
-//! those hold an election. Leases are never paced: they go without the state, for
-//! a bounded time.
+//! A large change goes to every router. Sent all at once, it would delay the leader's
+//! heartbeats in the queue of its link, and followers that miss heartbeats start an
+//! election. Leases are never rate limited: they are granted without the state, for a
+//! bounded time.
 
 use crate::time::Instant;
 use std::time::Duration;
 
-/// What may go out at once, as a time of the pace: the queue that state may
-/// make on the link.
-const BURST: Duration = Duration::from_millis(50);
+/// Burst size as a time at the limited rate. It bounds the queue that state may build up
+/// on the link.
+const BURST_DURATION: Duration = Duration::from_millis(50);
 
-/// Bytes that may still go out.
+/// Token bucket of bytes that may be sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Pace {
     bytes_per_s: f64,
-    left: f64,
-    at: Instant,
+    available: f64,
+    updated_at: Instant,
 }
 
 impl Pace {
-    /// Nothing has gone out yet.
+    /// Creates a bucket that is full at `now`.
     pub fn new(bytes_per_s: f64, now: Instant) -> Self {
         Self {
             bytes_per_s,
-            left: bytes_per_s * BURST.as_secs_f64(),
-            at: now,
+            available: bytes_per_s * BURST_DURATION.as_secs_f64(),
+            updated_at: now,
         }
     }
 
-    /// Takes what one answer needs, if anything is left. An answer larger than
-    /// a burst goes out alone.
+    /// Takes the bytes of one answer if any are available, and returns whether it did. An
+    /// answer that is larger than a burst may overdraw the bucket, which then has to
+    /// refill before the next answer.
     pub fn take(&mut self, now: Instant, bytes: usize) -> bool {
-        let passed = now.since(self.at).as_secs_f64();
-        self.at = now;
-        let most = self.bytes_per_s * BURST.as_secs_f64();
-        self.left = (self.left + passed * self.bytes_per_s).min(most);
-        if self.left <= 0.0 {
+        let passed = now.since(self.updated_at).as_secs_f64();
+        self.updated_at = now;
+        let capacity = self.bytes_per_s * BURST_DURATION.as_secs_f64();
+        self.available = (self.available + passed * self.bytes_per_s).min(capacity);
+        if self.available <= 0.0 {
             return false;
         }
-        self.left -= bytes as f64;
+        self.available -= bytes as f64;
         true
     }
 }
--- a/crates/deckwind-core/src/control/placement_desk.rs
+++ b/crates/deckwind-core/src/control/placement_desk.rs
@@ -1,14 +1,14 @@
-//! When the leader has engines hold other layers.
+//! Decides which layers each engine should hold and orders the changes.
 //!
-//! A chain that is whole stays as it is. One that lacks layers is planned anew
-//! over the engines that are there, once they have been the same for a while.
-//! An engine first holds what it has and what it is to have together, as far as
-//! its memory goes: giving layers up waits for the requests that pass through
-//! them, loading more does not. What is too much is given up later, when the
-//! chain has been whole for a while. What an engine is to give up is taken from
-//! the agreed state before the order leaves, so that no router counts on it.
+//! A complete chain stays as it is. A chain that lacks layers is planned again over the
+//! engines that are present, once they have stayed the same for a while. An engine first
+//! holds its old and new layers together as far as its memory allows: loading need not
+//! wait for requests, but unloading waits for the requests that use the layers. Surplus
+//! layers are unloaded later, when the chain has been complete for a while. Layers that
+//! an engine is to unload are removed from the replicated state before the order is sent,
+//! so that no router relies on them.
 
-use super::placement_cards::{CentreCards, PoolCards};
+use super::placement_groups::{PlacementGroup, PlacementGroups};
 use crate::routing::placement::{
     Card, Mend, common, is_whole, plan_chain, together, tokens_beside,
 };
@@ -18,60 +18,61 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// After a failed order, until the same engine gets another.
-const AGAIN_AFTER: Duration = Duration::from_millis(800);
+/// Delay after a failed order before the same engine gets another.
+const RETRY_DELAY: Duration = Duration::from_millis(800);
 
-/// How long a chain must have been whole before it is improved: what failed may
-/// come back, or fail again.
-const CALM: Duration = Duration::from_millis(1_000);
+/// Time for which a chain must have been complete before it is improved, since an engine
+/// that failed may come back or fail again.
+const MIN_COMPLETE_TIME: Duration = Duration::from_millis(1_000);
 
-/// Part of the tokens that an engine keeps at most, below which it gives up what
-/// is held twice.
-const SCARCE: f64 = 0.75;
+/// Fraction of an engine's maximum number of tokens. An engine with memory for fewer
+/// unloads layers that other engines hold as well.
+const SCARCE_TOKENS_FRACTION: f64 = 0.75;
 
-/// Between two looks at a data centre where something is amiss, for each engine there: such
-/// looks go through all of them, and take the same part of the processor with any number.
-const OPEN_AN_ENGINE: Duration = Duration::from_millis(1);
+/// Interval, for each engine of the group, between two checks of a group with an
+/// unfinished chain. A check visits all engines of the group, so checks take the same
+/// fraction of processor time for any number of engines.
+const CHECK_INTERVAL_PER_ENGINE: Duration = Duration::from_millis(1);
 
-/// Orders under way above which no further chain is begun: each is a connection from the
-/// leader, and its heartbeats wait for them. Some 0.1 s of a core.
-const MOST_UNDER_WAY: usize = 256;
+/// Number of orders in flight from which on no further chain is started. Each order is a
+/// connection from the leader and delays its heartbeats. These take some 0.1 s of a core.
+const MAX_IN_FLIGHT_ORDERS: usize = 256;
 
-/// Longest time that one order may take; loads are much shorter.
-const WITHIN: Duration = Duration::from_secs(15);
+/// Maximum time that an order may take. Loads are much shorter.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// What becomes of requests that pass through layers that an engine gives up.
+/// What happens to requests that use layers which an engine unloads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUp {
-    /// They end first, however long that takes.
+    /// The engine waits until they end, however long that takes.
     WhenUnused,
-    /// They are broken off: their chain serves nobody until more is loaded.
+    /// They are aborted. Their chain can't serve requests until more layers are loaded.
     AtOnce,
 }
 
-/// Have an engine hold exactly these layers.
+/// Order for an engine to hold exactly the given layers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlaceOrder {
-    /// The engine.
+    /// Id of the engine.
     pub id: InstanceId,
-    /// Where it is.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// Layers.
+    /// Layers to hold.
     pub layers: LayerRange,
-    /// Layers that it is believed to hold. If it holds others nothing is
-    /// ordered: another leader's order was carried out meanwhile.
+    /// Layers that the engine is expected to hold. If it holds others, nothing is done,
+    /// since an order of another leader was carried out in the meantime.
     pub believed: LayerRange,
-    /// What becomes of requests that pass through layers it gives up.
+    /// What happens to requests that use layers which the engine unloads.
     pub give_up: GiveUp,
-    /// Given up after this time.
+    /// Timeout of the order.
     pub within: Duration,
-    /// The life that it is for, by its start. If the engine is another one by now
-    /// the order is over.
+    /// Start time of the incarnation that the order is for. If the engine has restarted
+    /// since, the order is void.
     pub born: Option<u64>,
 }
 
 impl PlaceOrder {
-    /// The life that it is for.
+    /// Returns the incarnation that the order is for.
     pub fn life(&self) -> Life {
         Life {
             id: self.id.clone(),
@@ -80,65 +81,65 @@
     }
 }
 
-/// What the desk wants done.
+/// Changes and orders that the placement requires.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PlaceWork {
-    /// To be agreed before the orders leave.
+    /// Changes to commit before the orders are sent.
     pub changes: Vec<InstanceChange>,
-    /// Orders.
+    /// Orders to send.
     pub orders: Vec<PlaceOrder>,
 }
 
-/// What an order under way does to its engine.
+/// Effect of an order in flight on its engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Doing {
-    /// It loads layers.
+enum OrderEffect {
+    /// The engine loads layers.
     Loading,
-    /// It waits until the layers that it gives up are unused.
-    GivingUp,
+    /// The engine waits until the layers to unload are unused.
+    Unloading,
 }
 
-/// An order under way.
+/// An order in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct UnderWay {
-    /// Start of the life that it was given to.
+struct InFlightOrder {
+    /// Start time of the incarnation that got the order.
     born: Option<u64>,
-    doing: Doing,
-    /// Layers that the engine holds once it is done.
+    effect: OrderEffect,
+    /// Layers that the engine holds once the order is done.
     layers: LayerRange,
 }
 
-/// Orders given, and what came of them.
+/// Orders in flight and the delays after failed ones.
 #[derive(Clone, Debug, Default)]
-struct Orders {
-    under_way: BTreeMap<InstanceId, UnderWay>,
+struct IssuedOrders {
+    in_flight: BTreeMap<InstanceId, InFlightOrder>,
     not_before: BTreeMap<Life, Instant>,
 }
 
-impl Orders {
-    fn is_under_way(&self, life: &Life) -> bool {
-        let under_way = self.under_way.get(&life.id);
-        under_way.is_some_and(|u| u.born == life.born)
+impl IssuedOrders {
+    fn is_in_flight(&self, life: &Life) -> bool {
+        let in_flight = self.in_flight.get(&life.id);
+        in_flight.is_some_and(|order| order.born == life.born)
     }
 
-    fn doing(&self, card: &Card) -> Option<Doing> {
-        self.under_way.get(&card.id).map(|u| u.doing)
+    fn effect_on(&self, card: &Card) -> Option<OrderEffect> {
+        self.in_flight.get(&card.id).map(|order| order.effect)
     }
 
-    /// Forgets what was for lives that are over: nothing of it happens any more.
-    fn forget_ended(&mut self, now: Instant, instances: &Instances) {
-        self.under_way.retain(|id, under_way| {
+    /// Removes orders to incarnations that ended, and delays that are over.
+    fn prune(&mut self, now: Instant, instances: &Instances) {
+        self.in_flight.retain(|id, order| {
             let known = instances.get(id);
-            known.is_none_or(|i| i.born == under_way.born)
+            known.is_none_or(|i| i.born == order.born)
         });
         self.not_before.retain(|_, at| *at > now);
     }
 
-    /// Gives orders for these steps. Whether there were any.
-    fn give(
+    /// Issues orders for these steps and returns whether there were any.
+    fn issue(
         &mut self,
         now: Instant,
-        cards: &CentreCards,
+        group: &PlacementGroup,
         steps: impl IntoIterator<Item = (Card, LayerRange)>,
         give_up: GiveUp,
         work: &mut PlaceWork,
@@ -148,158 +149,158 @@
             if card.held == want || want.is_empty() {
                 continue;
             }
-            let Some(engine) = cards.engine(&card.id) else {
+            let Some(engine) = group.engine(&card.id) else {
                 continue;
             };
             let life = engine.life();
             let failed = self.not_before.get(&life).is_some_and(|at| *at > now);
-            if failed || self.is_under_way(&life) {
+            if failed || self.is_in_flight(&life) {
                 continue;
             }
             let kept = common(card.held, want);
-            let doing = match kept == want {
-                true => Doing::GivingUp,
-                false => Doing::Loading,
+            let effect = match kept == want {
+                true => OrderEffect::Unloading,
+                false => OrderEffect::Loading,
             };
-            let under_way = UnderWay {
+            let order = InFlightOrder {
                 born: life.born,
-                doing,
+                effect,
                 layers: want,
             };
-            self.under_way.insert(card.id.clone(), under_way);
+            self.in_flight.insert(card.id.clone(), order);
             work.orders.push(PlaceOrder {
                 id: card.id.clone(),
                 address: engine.address,
                 layers: want,
                 believed: card.held,
                 give_up,
-                within: WITHIN,
+                within: ORDER_TIMEOUT,
                 born: life.born,
             });
             work.changes.push(InstanceChange::Holds {
                 life,
                 layers: kept,
-                in_memory: in_memory(card.held, want, give_up),
+                in_memory: layers_in_memory(card.held, want, give_up),
             });
         }
         work.orders.len() > before
     }
 }
 
-/// What the leader knows of its orders to place layers.
+/// The leader's placement of layers: groups of engines and the orders issued to them.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementDesk {
-    orders: Orders,
-    cards: PoolCards,
+    orders: IssuedOrders,
+    groups: PlacementGroups,
 }
 
 impl PlacementDesk {
-    /// Whether an order to this life is under way: what it announces of its
-    /// layers meanwhile may be old.
+    /// Returns whether an order to this incarnation is in flight. The layers that it
+    /// announces meanwhile may be out of date.
     pub fn is_under_way(&self, life: &Life) -> bool {
-        self.orders.is_under_way(life)
+        self.orders.is_in_flight(life)
     }
 
-    /// Layers that an engine is ordered to hold, while the order is under way.
+    /// Returns the layers that an engine is ordered to hold while the order is in flight.
     pub fn ordered(&self, id: &str) -> Option<LayerRange> {
-        self.orders.under_way.get(id).map(|u| u.layers)
+        self.orders.in_flight.get(id).map(|order| order.layers)
     }
 
-    /// An order to this life has ended.
+    /// Records the end of an order to this incarnation.
     pub fn ended(&mut self, now: Instant, life: &Life, ok: bool) {
         if self.is_under_way(life) {
-            self.orders.under_way.remove(&life.id);
+            self.orders.in_flight.remove(&life.id);
         }
         if !ok {
-            let again = now + AGAIN_AFTER;
-            self.orders.not_before.insert(life.clone(), again);
-            self.cards.look_by(&life.id, again);
+            let retry_at = now + RETRY_DELAY;
+            self.orders.not_before.insert(life.clone(), retry_at);
+            self.groups.schedule_check(&life.id, retry_at);
         }
-        self.cards.look_by(&life.id, now);
+        self.groups.schedule_check(&life.id, now);
     }
 
-    /// Engines that its looks have gone through so far.
+    /// Returns the number of engines visited so far.
     pub fn looks(&self) -> u64 {
-        self.cards.looks()
+        self.groups.engines_visited()
     }
 
-    /// What is to be done now. Goes through data centres only in which something has
-    /// changed, or was to be waited for.
+    /// Returns the changes and orders that are required now. Visits only groups in which
+    /// something has changed or a scheduled check is due.
     pub fn work(&mut self, now: Instant, release: &Release, instances: &Instances) -> PlaceWork {
         let mut work = PlaceWork::default();
-        self.orders.forget_ended(now, instances);
-        self.cards.follow(now, release, instances);
-        for due in self.cards.take_due(now) {
-            let Some((model, mut cards)) = self.cards.take(&due) else {
+        self.orders.prune(now, instances);
+        self.groups.apply_changes(now, release, instances);
+        for due in self.groups.take_due(now) {
+            let Some((model, mut group)) = self.groups.take(&due) else {
                 continue;
             };
-            self.work_of(now, &model, &mut cards, &mut work);
-            self.cards.put_back(due, cards);
+            self.plan_group(now, &model, &mut group, &mut work);
+            self.groups.put_back(due, group);
         }
         work
     }
 
-    fn work_of(
+    fn plan_group(
         &mut self,
         now: Instant,
         model: &EngineModel,
-        cards: &mut CentreCards,
+        group: &mut PlacementGroup,
         work: &mut PlaceWork,
     ) {
-        let groups = cards.groups(model);
-        let whole = |group: &[Card]| is_whole(model.layers, group.iter().map(|c| c.held));
-        let all_whole = groups.iter().filter(|g| whole(g)).count();
-        let (mut open, mut ordered) = (false, false);
-        for (number, group) in groups.iter().enumerate() {
-            let whole = whole(group);
-            let others = all_whole - usize::from(whole);
-            let mend = match others {
+        let chains = group.chains(model);
+        let complete = |chain: &[Card]| is_whole(model.layers, chain.iter().map(|c| c.held));
+        let complete_count = chains.iter().filter(|chain| complete(chain)).count();
+        let (mut any_unfinished, mut any_ordered) = (false, false);
+        for (index, chain) in chains.iter().enumerate() {
+            let is_complete = complete(chain);
+            let other_complete = complete_count - usize::from(is_complete);
+            let mend = match other_complete {
                 0 => Mend::Soon,
                 _ => Mend::Well,
             };
-            let calm_at = cards.whole_since(now, number, whole) + CALM;
-            let scarce = group.iter().any(|c| is_scarce(model, c));
-            if whole && scarce && now < calm_at {
-                cards.look_by(calm_at);
+            let improve_at = group.complete_since(now, index, is_complete) + MIN_COMPLETE_TIME;
+            let scarce = chain.iter().any(|c| is_scarce(model, c));
+            if is_complete && scarce && now < improve_at {
+                group.schedule_check(improve_at);
             }
-            let good = whole && (now < calm_at || !scarce);
-            let doing = |c: &Card| self.orders.doing(c);
-            let blocked = match whole {
-                true => group.iter().any(|c| doing(c).is_some()),
-                false => group.iter().any(|c| doing(c) == Some(Doing::Loading)),
+            let is_done = is_complete && (now < improve_at || !scarce);
+            let effect = |c: &Card| self.orders.effect_on(c);
+            let blocked = match is_complete {
+                true => chain.iter().any(|c| effect(c).is_some()),
+                false => chain.iter().any(|c| effect(c) == Some(OrderEffect::Loading)),
             };
-            open |= !good;
-            if good || blocked {
+            any_unfinished |= !is_done;
+            if is_done || blocked {
                 continue;
             }
-            if self.orders.under_way.len() >= MOST_UNDER_WAY {
-                cards.look_by(now);
+            if self.orders.in_flight.len() >= MAX_IN_FLIGHT_ORDERS {
+                group.schedule_check(now);
                 continue;
             }
-            let Some(plan) = plan_chain(model, group, mend) else {
+            let Some(plan) = plan_chain(model, chain, mend) else {
                 continue;
             };
-            let steps: Vec<(Card, LayerRange)> = group.iter().cloned().zip(plan).collect();
-            let (steps, give_up) = match (whole, mend) {
-                (true, _) => (improvement(model, steps), GiveUp::WhenUnused),
-                // Requests go over the other chains, and over what this one's
-                // engines hold: none of it is taken from them.
-                (false, Mend::Well) => (additions(model, steps), GiveUp::WhenUnused),
-                (false, Mend::Soon) => (with_what_is_held(model, steps), GiveUp::AtOnce),
+            let steps: Vec<(Card, LayerRange)> = chain.iter().cloned().zip(plan).collect();
+            let (steps, give_up) = match (is_complete, mend) {
+                (true, _) => (improvement_steps(model, steps), GiveUp::WhenUnused),
+                // The other chains and the layers that this chain's engines already hold
+                // serve requests, so none of these layers are unloaded at once.
+                (false, Mend::Well) => (addition_steps(model, steps), GiveUp::WhenUnused),
+                (false, Mend::Soon) => (keep_held_layers(model, steps), GiveUp::AtOnce),
             };
-            ordered |= self.orders.give(now, cards, steps, give_up, work);
+            any_ordered |= self.orders.issue(now, group, steps, give_up, work);
         }
-        match (open, ordered) {
-            (_, true) => cards.look_by(now),
-            (true, false) => cards.look_by(now + OPEN_AN_ENGINE * cards.len() as u32),
+        match (any_unfinished, any_ordered) {
+            (_, true) => group.schedule_check(now),
+            (true, false) => group.schedule_check(now + CHECK_INTERVAL_PER_ENGINE * group.len() as u32),
             (false, false) => {}
         }
     }
 }
 
-/// Layers that take an engine's memory until it has gone from one range to
-/// another.
-fn in_memory(held: LayerRange, want: LayerRange, give_up: GiveUp) -> u32 {
+/// Returns the number of layers that take memory on an engine while it changes from one
+/// range to another.
+fn layers_in_memory(held: LayerRange, want: LayerRange, give_up: GiveUp) -> u32 {
     let both = held.len() + want.len() - common(held, want).len();
     match give_up {
         GiveUp::AtOnce => want.len(),
@@ -307,15 +308,16 @@
     }
 }
 
-/// Whether an engine keeps too few tokens beside its layers.
+/// Returns whether an engine has memory for too few tokens beside its layers.
 fn is_scarce(model: &EngineModel, card: &Card) -> bool {
-    let beside = tokens_beside(model, card.memory_mb, card.held.len());
-    !card.held.is_empty() && beside < SCARCE * model.max_tokens as f64
+    let free_tokens = tokens_beside(model, card.memory_mb, card.held.len());
+    !card.held.is_empty() && free_tokens < SCARCE_TOKENS_FRACTION * model.max_tokens as f64
 }
 
-/// What makes a whole chain with scarce memory keep more requests: more layers on cards that have room, or, once nothing is to be loaded, less on
-/// those that have little.
-fn improvement(model: &EngineModel, plan: Vec<(Card, LayerRange)>) -> Vec<(Card, LayerRange)> {
+/// Returns the steps that let a complete chain with scarce memory keep more requests:
+/// first more layers on engines with free memory, and once nothing is left to load, fewer
+/// layers on engines with little.
+fn improvement_steps(model: &EngineModel, plan: Vec<(Card, LayerRange)>) -> Vec<(Card, LayerRange)> {
     let loads = |(card, want): &(Card, LayerRange)| common(card.held, *want) != *want;
     if !plan.iter().any(loads) {
         return plan
@@ -323,18 +325,19 @@
             .filter(|(c, _)| is_scarce(model, c))
             .collect();
     }
-    let first = |(card, want): (Card, LayerRange)| {
+    let loading_step = |(card, want): (Card, LayerRange)| {
         let step = match card.held.is_empty() {
             true => want,
             false => together(model, &card, want)?,
         };
         Some((card, step))
     };
-    plan.into_iter().filter_map(first).collect()
+    plan.into_iter().filter_map(loading_step).collect()
 }
 
-/// Each card with what it holds beside what it is to hold, where there is room.
-fn with_what_is_held(
+/// Returns the plan with each engine's current layers added to its new ones where there
+/// is memory for both.
+fn keep_held_layers(
     model: &EngineModel,
     plan: Vec<(Card, LayerRange)>,
 ) -> Vec<(Card, LayerRange)> {
@@ -345,9 +348,10 @@
     plan.into_iter().map(step).collect()
 }
 
-/// Those cards that can hold what they are to hold beside what they hold. Only
-/// where there is none, the others too: they give layers up once nobody uses them.
-fn additions(model: &EngineModel, plan: Vec<(Card, LayerRange)>) -> Vec<(Card, LayerRange)> {
+/// Returns the steps of those engines that can hold their new layers beside the current
+/// ones. If there are none, returns the steps of all engines, which unload layers once
+/// they are unused.
+fn addition_steps(model: &EngineModel, plan: Vec<(Card, LayerRange)>) -> Vec<(Card, LayerRange)> {
     let adds = |(card, want): &(Card, LayerRange)| {
         let step = match card.held.is_empty() {
             true => *want,
@@ -357,7 +361,7 @@
     };
     let added: Vec<(Card, LayerRange)> = plan.iter().filter_map(adds).collect();
     match added.is_empty() {
-        true => with_what_is_held(model, plan),
+        true => keep_held_layers(model, plan),
         false => added,
     }
 }
--- a/crates/deckwind-core/src/control/repeat_desk.rs
+++ b/crates/deckwind-core/src/control/repeat_desk.rs
@@ -1,26 +1,28 @@
-//! Gives repeats out to routers, ahead of need and where they are wanted.
+//! Issues retries to routers from a shared retry budget, partly ahead of need.
+//!
+//! Retries of requests are called repeats in the protocol.
 //!
 //! ```text
-//!  router: holds, spent, given back, wanted ──► RepeatDesk ──► changes ──► log
-//!                                                   ▲                       │
-//!  router ◄── issued so far (with its lease) ───────┴──── ledger ◄── agreed─┘
+//!  router: held, spent, returned, wanted ──► RepeatDesk ──► changes ──► log
+//!                                                ▲                       │
+//!  router ◄── issued so far (with its lease) ────┴──── ledger ◄── committed
 //! ```
 //!
-//! The bound: within a window all routers together use no more than `most`
-//! repeats of a pool beyond the share of their own requests. Every repeat that
-//! is issued counts from the moment it is proposed until
+//! Guarantee: within a window all routers together use no more than `most` retries of a
+//! pool beyond the share of their own requests. Every issued retry counts from the moment
+//! it is proposed until one of these:
 //!
-//! - its router has given it back, or
-//! - a window after its router told that it was used, or when its router tells
-//!   that this is longer ago than the window, or
-//! - a window after its router can't use it any more: a lease's time after it
-//!   was last told of it.
+//! - its router has returned it
+//! - a window has passed since its router reported it as used, or the router reports that
+//!   the use is older than the window
+//! - a window has passed since its router can't use it any more, which is one lease
+//!   duration after the router was last told of it
 //!
-//! So whatever was used within the last window is counted now, and what counts
-//! is never more than `most`. A new leader counts all that the ledger holds as
-//! given out at the moment it begins.
+//! Whatever was used within the last window is therefore counted now, and the count never
+//! exceeds `most`. A new leader counts everything in the ledger as issued at the moment
+//! it begins to lead.
 
-use super::repeat_account::{Account, shares};
+use super::tracked_allowance::{TrackedAllowance, divide_proportionally};
 use super::repeat_messages::{PoolReport, RepeatGrant, RepeatReport};
 use crate::membership::LeaseTiming;
 use crate::state::{
@@ -30,462 +32,467 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Shortest time between two entries. One entry serves all routers that want
-/// some; routers hold some ahead, so that the first repeats wait for none.
-const ENTRY_EVERY: Duration = Duration::from_millis(100);
+/// Minimum time between two log entries. One entry serves all routers that want retries.
+/// Routers hold a reserve, so that the first retries need not wait for an entry.
+const MIN_ENTRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Shortest time between two looks at what routers lack.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// Minimum time between two scans for what routers lack.
+const MIN_SCAN_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How much longer that time is for each router, since a look goes through all of them:
-/// looks take the same part of the processor with any number.
-const LOOK_A_ROUTER: Duration = Duration::from_micros(50);
+/// Additional time between scans for each router. A scan visits all routers, so this
+/// keeps its processor time at the same fraction for any number of them.
+const SCAN_INTERVAL_PER_ROUTER: Duration = Duration::from_micros(50);
 
-/// Shortest time between two entries that only say what is over.
-const OVER_EVERY: Duration = Duration::from_secs(1);
+/// Minimum time between two log entries that only expire retries.
+const EXPIRY_ENTRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Part of the bound that routers hold ahead of need, in hundredths. What a
-/// router holds while it is killed is lost for a window.
-const STANDING_PERCENT: u64 = 30;
+/// Percentage of the budget that routers hold in reserve. What a router holds when it is
+/// killed is lost for a window.
+const RESERVE_PERCENT: u64 = 30;
 
-/// Most that a router holds ahead of need: what a lost engine asks of one router
-/// in the time of an entry and its answer.
-const STANDING_MOST: u64 = 4;
+/// Maximum number of retries that a router holds in reserve: what the loss of an engine
+/// requires of one router until the next entry is applied and its answer received.
+const MAX_RESERVE_PER_ROUTER: u64 = 4;
 
-/// Part of the bound that is kept for routers that hold none, one in so many.
-const KEPT_BACK: u64 = 8;
+/// Fraction of the budget, as a divisor, that is kept for routers that hold no retries.
+const HOLDBACK_DIVISOR: u64 = 8;
 
-/// With less than one in so many left, routers give back what they don't need.
-const SCARCE: u64 = 4;
+/// Fraction of the budget, as a divisor: with less than this left, routers return what
+/// they don't need.
+const SCARCE_DIVISOR: u64 = 4;
 
-/// How much longer than the window a use counts, one part in so many of it: it is
-/// sent after it was counted.
-const SENT_LATER: u32 = 20;
+/// Fraction of the window, as a divisor, for which a use counts longer than the window,
+/// because it is reported some time after it was counted.
+const REPORT_DELAY_DIVISOR: u32 = 20;
 
-/// What a router last told.
+/// Last report of a router.
 #[derive(Clone, Debug)]
-struct Told {
+struct LastReport {
     at: Instant,
     pools: Vec<PoolReport>,
 }
 
-/// Repeats of one pool as the leader counts them, for operators.
+/// Retries of one pool as counted by the leader, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RepeatCounts {
-    /// The pool.
+    /// Name of the pool.
     pub pool: PoolName,
-    /// Most that may count.
+    /// Maximum number of retries that may count.
     pub most: u64,
-    /// Issued, and not over.
+    /// Number of issued retries that still count.
     pub counts: u64,
-    /// Of these, unused in routers' hands.
+    /// Number of these that routers hold unused.
     pub unused: u64,
-    /// What routers lack.
+    /// Number of retries that routers lack.
     pub wanted: u64,
-    /// Routers that may use some.
+    /// Number of routers that may use retries.
     pub routers: usize,
 }
 
-/// The leader's side of repeats.
+/// Retry budget of all pools, as the leader issues it to routers.
 #[derive(Clone, Debug)]
 pub struct RepeatDesk {
     timing: LeaseTiming,
-    /// The least bound and the longest window that any router told.
-    bound: Option<(u64, Duration)>,
-    accounts: BTreeMap<AllowanceId, Account>,
-    /// Which of them are whose.
-    by_holder: BTreeMap<Holder, Vec<AllowanceId>>,
-    /// What counts of each pool.
-    counted: BTreeMap<PoolName, u64>,
-    told: BTreeMap<Holder, Told>,
-    /// The start of each VM that told last.
-    starts: BTreeMap<VmName, Holder>,
-    /// Routers that serve each pool.
+    /// Smallest maximum and longest window that any router reported.
+    budget: Option<(u64, Duration)>,
+    allowances: BTreeMap<AllowanceId, TrackedAllowance>,
+    /// Allowances of each router process.
+    ids_by_holder: BTreeMap<Holder, Vec<AllowanceId>>,
+    /// Number of retries that count, by pool.
+    outstanding: BTreeMap<PoolName, u64>,
+    last_reports: BTreeMap<Holder, LastReport>,
+    /// Router process of each VM that reported last.
+    current_holders: BTreeMap<VmName, Holder>,
+    /// Number of routers that serve each pool.
     serving: BTreeMap<PoolName, u64>,
-    /// An entry was proposed and not yet applied: one at a time, so that the
-    /// ledger holds all that was issued.
-    proposed: bool,
-    entry_at: Option<Instant>,
-    looked_at: Option<Instant>,
-    /// Who is served first where there are too few: another one each time.
-    turn: usize,
-    /// Routers that were issued more than they were told of. Asked for each renewal
-    /// that is held, at each round of answers.
-    news: BTreeSet<Holder>,
-    /// When what is over was last looked for.
-    aged_at: Option<Instant>,
-    looks: u64,
+    /// Whether an entry was proposed and is not yet applied. Only one may be pending, so
+    /// that the ledger holds everything that was issued.
+    is_entry_pending: bool,
+    last_entry_at: Option<Instant>,
+    last_scan_at: Option<Instant>,
+    /// Rotation of the routers, so that another one is served first each time when there
+    /// are too few retries.
+    rotation: usize,
+    /// Routers that were issued more than they were told of. Checked for each waiting
+    /// renewal at every round of answers.
+    unannounced: BTreeSet<Holder>,
+    /// Time of the last check for retries that no longer count.
+    last_expiry_at: Option<Instant>,
+    rows_scanned: u64,
 }
 
 impl RepeatDesk {
-    /// Of a leader that begins now, whose log is applied up to its own first
-    /// entry.
+    /// Creates the state of a leader that begins now and whose log is applied up to the
+    /// first entry of its term.
     pub fn new(now: Instant, timing: LeaseTiming, ledger: &RepeatLedger) -> Self {
         let mut desk = Self {
             timing,
-            bound: None,
-            accounts: BTreeMap::new(),
-            by_holder: BTreeMap::new(),
-            counted: BTreeMap::new(),
-            told: BTreeMap::new(),
-            starts: BTreeMap::new(),
+            budget: None,
+            allowances: BTreeMap::new(),
+            ids_by_holder: BTreeMap::new(),
+            outstanding: BTreeMap::new(),
+            last_reports: BTreeMap::new(),
+            current_holders: BTreeMap::new(),
             serving: BTreeMap::new(),
-            proposed: false,
-            entry_at: None,
-            looked_at: None,
-            turn: 0,
-            news: BTreeSet::new(),
-            aged_at: None,
-            looks: 0,
+            is_entry_pending: false,
+            last_entry_at: None,
+            last_scan_at: None,
+            rotation: 0,
+            unannounced: BTreeSet::new(),
+            last_expiry_at: None,
+            rows_scanned: 0,
         };
         desk.applied(now, ledger);
-        desk.close_older(now);
+        desk.close_superseded(now);
         desk
     }
 
-    /// Of several allowances of a router for one pool, all but the last one were
-    /// closed before: it can't use them.
-    fn close_older(&mut self, now: Instant) {
+    /// Closes all but the last of several allowances of a router for one pool. They were
+    /// closed before, and the router can't use them.
+    fn close_superseded(&mut self, now: Instant) {
         let mut newest = BTreeSet::new();
-        for account in self.accounts.values_mut().rev() {
-            if !newest.insert(account.key.clone()) {
-                account.close(now);
+        for tracked in self.allowances.values_mut().rev() {
+            if !newest.insert(tracked.key.clone()) {
+                tracked.close(now);
             }
         }
-        self.count_anew();
+        self.recount();
     }
 
-    /// Adds up what counts of each pool.
-    fn count_anew(&mut self) {
-        self.counted.clear();
-        for account in self.accounts.values() {
-            let pool = account.key.pool.clone();
-            *self.counted.entry(pool).or_default() += account.counts();
+    /// Recomputes the number of retries that count for each pool.
+    fn recount(&mut self) {
+        self.outstanding.clear();
+        for tracked in self.allowances.values() {
+            let pool = tracked.key.pool.clone();
+            *self.outstanding.entry(pool).or_default() += tracked.outstanding();
         }
     }
 
-    fn lasts(&self) -> Duration {
+    fn lease_duration(&self) -> Duration {
         self.timing.with_drift()
     }
 
-    fn counted_for(&self) -> Duration {
-        let window = self.bound.map_or(Duration::ZERO, |(_, window)| window);
-        let counted = window + window / SENT_LATER;
-        counted * (1_000 + self.timing.drift_per_mille) / 1_000
+    fn counting_period(&self) -> Duration {
+        let window = self.budget.map_or(Duration::ZERO, |(_, window)| window);
+        let period = window + window / REPORT_DELAY_DIVISOR;
+        period * (1_000 + self.timing.drift_per_mille) / 1_000
     }
 
-    /// The ledger has changed: an entry was applied. Routers that were issued more
-    /// than they were told of.
+    /// Updates the allowances after an entry was applied to the ledger. Returns the
+    /// routers that were issued more than they were told of.
     pub fn applied(&mut self, now: Instant, ledger: &RepeatLedger) -> Vec<Holder> {
-        self.proposed = false;
-        let until = now + self.lasts();
+        self.is_entry_pending = false;
+        let usable_until = now + self.lease_duration();
         for (id, allowance) in ledger.iter() {
-            let account = self.accounts.entry(id).or_insert_with(|| Account {
+            let tracked = self.allowances.entry(id).or_insert_with(|| TrackedAllowance {
                 key: allowance.key.clone(),
                 issued: 0,
-                over: allowance.spent_over,
+                expired: allowance.spent_over,
                 spent: allowance.spent_over,
-                back: allowance.back,
-                recent: VecDeque::new(),
-                until,
+                returned: allowance.back,
+                recent_uses: VecDeque::new(),
+                usable_until,
                 open: true,
-                told: 0,
+                announced: 0,
             });
-            account.issued = allowance.issued;
+            tracked.issued = allowance.issued;
         }
-        self.accounts.retain(|id, _| ledger.get(*id).is_some());
-        let accounts = self.accounts.values();
-        let news = accounts.filter(|a| a.open && a.told < a.issued);
-        self.news = news.map(|a| a.key.holder.clone()).collect();
-        self.by_holder.clear();
-        for (id, account) in &self.accounts {
-            let holder = account.key.holder.clone();
-            self.by_holder.entry(holder).or_default().push(*id);
+        self.allowances.retain(|id, _| ledger.get(*id).is_some());
+        let allowances = self.allowances.values();
+        let unannounced = allowances.filter(|a| a.open && a.announced < a.issued);
+        self.unannounced = unannounced.map(|a| a.key.holder.clone()).collect();
+        self.ids_by_holder.clear();
+        for (id, tracked) in &self.allowances {
+            let holder = tracked.key.holder.clone();
+            self.ids_by_holder.entry(holder).or_default().push(*id);
         }
-        self.count_anew();
-        self.news.iter().cloned().collect()
+        self.recount();
+        self.unannounced.iter().cloned().collect()
     }
 
-    /// A router told what it holds and wants.
+    /// Records a router's report of the retries that it holds and wants.
     pub fn reported(&mut self, now: Instant, holder: &Holder, report: &RepeatReport) {
-        let (most, window) = self.bound.unwrap_or((report.most, report.window));
-        self.bound = Some((most.min(report.most), window.max(report.window)));
+        let (most, window) = self.budget.unwrap_or((report.most, report.window));
+        self.budget = Some((most.min(report.most), window.max(report.window)));
         for pool in &report.pools {
-            let account = pool.allowance.and_then(|id| self.accounts.get_mut(&id));
-            if let Some(account) = account.filter(|a| a.key.holder == *holder) {
-                let before = account.counts();
-                account.reported(now, pool);
-                account.open &= pool.serves || account.counts() > 0;
-                let counted = self.counted.entry(account.key.pool.clone()).or_default();
-                *counted = (*counted + account.counts()).saturating_sub(before);
+            let tracked = pool.allowance.and_then(|id| self.allowances.get_mut(&id));
+            if let Some(tracked) = tracked.filter(|a| a.key.holder == *holder) {
+                let before = tracked.outstanding();
+                tracked.apply_report(now, pool);
+                tracked.open &= pool.serves || tracked.outstanding() > 0;
+                let outstanding = self.outstanding.entry(tracked.key.pool.clone()).or_default();
+                *outstanding = (*outstanding + tracked.outstanding()).saturating_sub(before);
             }
         }
-        let older = self.starts.insert(holder.vm.clone(), holder.clone());
+        let older = self.current_holders.insert(holder.vm.clone(), holder.clone());
         if let Some(older) = older.filter(|older| older != holder) {
-            self.forget(&older);
+            self.remove_report(&older);
         }
-        let told = Told {
+        let last_report = LastReport {
             at: now,
             pools: report.pools.clone(),
         };
-        count_served(&mut self.serving, &told, true);
-        if let Some(before) = self.told.insert(holder.clone(), told) {
-            count_served(&mut self.serving, &before, false);
+        update_serving(&mut self.serving, &last_report, true);
+        if let Some(before) = self.last_reports.insert(holder.clone(), last_report) {
+            update_serving(&mut self.serving, &before, false);
         }
     }
 
-    /// Forgets what a start of a router told.
-    fn forget(&mut self, holder: &Holder) {
-        if let Some(told) = self.told.remove(holder) {
-            count_served(&mut self.serving, &told, false);
+    /// Removes the report of a router process.
+    fn remove_report(&mut self, holder: &Holder) {
+        if let Some(last_report) = self.last_reports.remove(holder) {
+            update_serving(&mut self.serving, &last_report, false);
         }
     }
 
-    /// What a start of a router may use, with its allowances' ids.
-    fn open_of(&self, holder: &Holder) -> impl Iterator<Item = (AllowanceId, &Account)> {
-        let ids = self.by_holder.get(holder).into_iter().flatten();
-        let accounts = ids.filter_map(|id| Some((*id, self.accounts.get(id)?)));
-        accounts.filter(|(_, a)| a.open)
+    /// Returns the allowances that a router process may use.
+    fn open_allowances(&self, holder: &Holder) -> impl Iterator<Item = (AllowanceId, &TrackedAllowance)> {
+        let ids = self.ids_by_holder.get(holder).into_iter().flatten();
+        let allowances = ids.filter_map(|id| Some((*id, self.allowances.get(id)?)));
+        allowances.filter(|(_, a)| a.open)
     }
 
-    /// Repeats that a start of a router holds and has not used.
+    /// Returns the number of unused retries that a router process holds.
     pub fn unused_of(&self, holder: &Holder) -> u64 {
-        self.open_of(holder).map(|(_, a)| a.unused()).sum()
+        self.open_allowances(holder).map(|(_, a)| a.unused()).sum()
     }
 
-    /// What a router may use, for the answer that is sent to it now.
+    /// Returns the retries that a router may use, for an answer that is sent to it now.
     pub fn grants(&mut self, now: Instant, holder: &Holder) -> Vec<RepeatGrant> {
-        let until = now + self.lasts();
-        self.age(now);
-        let keeps = self.keeps(holder);
-        self.news.remove(holder);
-        let mine = self.open_of(holder);
-        let grant = |(id, account): (AllowanceId, &Account)| {
-            let pool = account.key.pool.clone();
+        let until = now + self.lease_duration();
+        self.expire(now);
+        let levels_to_keep = self.levels_to_keep(holder);
+        self.unannounced.remove(holder);
+        let open = self.open_allowances(holder);
+        let grant = |(id, tracked): (AllowanceId, &TrackedAllowance)| {
+            let pool = tracked.key.pool.clone();
             RepeatGrant {
-                keep: keeps.get(&pool).copied().unwrap_or_default(),
-                free_percent: self.free(&pool) * 100 / self.most().max(1),
+                keep: levels_to_keep.get(&pool).copied().unwrap_or_default(),
+                free_percent: self.available(&pool) * 100 / self.max_outstanding().max(1),
                 pool,
                 allowance: id,
-                issued: account.issued,
+                issued: tracked.issued,
             }
         };
-        let grants: Vec<RepeatGrant> = mine.map(grant).collect();
+        let grants: Vec<RepeatGrant> = open.map(grant).collect();
         for grant in &grants {
-            if let Some(account) = self.accounts.get_mut(&grant.allowance) {
-                account.until = until;
-                account.told = account.issued;
+            if let Some(tracked) = self.allowances.get_mut(&grant.allowance) {
+                tracked.usable_until = until;
+                tracked.announced = tracked.issued;
             }
         }
         grants
     }
 
-    /// Whether a router was issued more than it was told of.
+    /// Returns whether a router was issued more than it was told of.
     pub fn has_news(&self, holder: &Holder) -> bool {
-        self.news.contains(holder)
+        self.unannounced.contains(holder)
     }
 
-    /// Between two looks that go through all routers.
-    fn look_every(&self) -> Duration {
-        LOOK_EVERY.max(LOOK_A_ROUTER * self.told.len() as u32)
+    /// Returns the minimum time between two scans of all routers.
+    fn scan_interval(&self) -> Duration {
+        MIN_SCAN_INTERVAL.max(SCAN_INTERVAL_PER_ROUTER * self.last_reports.len() as u32)
     }
 
-    /// Rows that looks have gone through so far.
+    /// Returns the number of rows scanned so far.
     pub fn looks(&self) -> u64 {
-        self.looks
+        self.rows_scanned
     }
 
-    /// Takes what is over out of the counts, each [`Self::look_every`] at most: what
-    /// is looked for later counts for longer.
-    fn age(&mut self, now: Instant) {
-        let every = self.look_every();
-        if self.aged_at.is_some_and(|at| now.since(at) < every) {
+    /// Removes retries that no longer count, at most once per [`Self::scan_interval`]. A
+    /// later check only makes them count longer.
+    fn expire(&mut self, now: Instant) {
+        let interval = self.scan_interval();
+        if self.last_expiry_at.is_some_and(|at| now.since(at) < interval) {
             return;
         }
-        self.aged_at = Some(now);
-        self.looks += (self.accounts.len() + self.told.len()) as u64;
-        let counted_for = self.counted_for();
-        for account in self.accounts.values_mut() {
-            account.age(now, counted_for);
+        self.last_expiry_at = Some(now);
+        self.rows_scanned += (self.allowances.len() + self.last_reports.len()) as u64;
+        let counting_period = self.counting_period();
+        for tracked in self.allowances.values_mut() {
+            tracked.expire(now, counting_period);
         }
-        self.count_anew();
-        let lasts = self.lasts();
-        let over = self.told.iter().filter(|(_, t)| now.since(t.at) >= lasts);
-        let over: Vec<Holder> = over.map(|(holder, _)| holder.clone()).collect();
-        for holder in over {
-            self.forget(&holder);
-            if self.starts.get(&holder.vm) == Some(&holder) {
-                self.starts.remove(&holder.vm);
+        self.recount();
+        let lease_duration = self.lease_duration();
+        let stale = self.last_reports.iter().filter(|(_, t)| now.since(t.at) >= lease_duration);
+        let stale: Vec<Holder> = stale.map(|(holder, _)| holder.clone()).collect();
+        for holder in stale {
+            self.remove_report(&holder);
+            if self.current_holders.get(&holder.vm) == Some(&holder) {
+                self.current_holders.remove(&holder.vm);
             }
         }
     }
 
-    /// How many of a pool may still be issued.
-    fn free(&self, pool: &str) -> u64 {
-        let counted = self.counted.get(pool).copied().unwrap_or_default();
-        self.most().saturating_sub(counted)
+    /// Returns the number of retries of a pool that may still be issued.
+    fn available(&self, pool: &str) -> u64 {
+        let outstanding = self.outstanding.get(pool).copied().unwrap_or_default();
+        self.max_outstanding().saturating_sub(outstanding)
     }
 
-    fn most(&self) -> u64 {
-        self.bound.map_or(0, |(most, _)| most)
+    fn max_outstanding(&self) -> u64 {
+        self.budget.map_or(0, |(most, _)| most)
     }
 
-    /// What each router that serves a pool holds ahead of need.
-    fn standing(&self, pool: &str) -> u64 {
+    /// Returns the number of retries that each router that serves a pool holds in
+    /// reserve.
+    fn reserve_per_router(&self, pool: &str) -> u64 {
         let routers = self.serving.get(pool).copied().unwrap_or_default();
-        let part = self.most() * STANDING_PERCENT / 100 / routers.max(1);
-        part.min(STANDING_MOST)
+        let part = self.max_outstanding() * RESERVE_PERCENT / 100 / routers.max(1);
+        part.min(MAX_RESERVE_PER_ROUTER)
     }
 
-    fn keeps(&self, holder: &Holder) -> BTreeMap<PoolName, u64> {
-        let pools = self.told.get(holder).map_or(&[][..], |t| &t.pools);
+    fn levels_to_keep(&self, holder: &Holder) -> BTreeMap<PoolName, u64> {
+        let pools = self.last_reports.get(holder).map_or(&[][..], |t| &t.pools);
         let keep = |p: &PoolReport| {
-            let standing = match self.free(&p.pool) < self.most() / SCARCE {
-                true => self.standing(&p.pool).min(1),
-                false => self.standing(&p.pool),
+            let reserve = match self.available(&p.pool) < self.max_outstanding() / SCARCE_DIVISOR {
+                true => self.reserve_per_router(&p.pool).min(1),
+                false => self.reserve_per_router(&p.pool),
             };
-            (p.pool.clone(), p.level.max(standing))
+            (p.pool.clone(), p.level.max(reserve))
         };
         let served = pools.iter().filter(|p| p.serves);
         served.map(keep).collect()
     }
 
-    /// What is to be agreed now, if anything.
+    /// Returns the changes to propose now, if any.
     pub fn propose(&mut self, now: Instant, ledger: &RepeatLedger) -> Option<Vec<RepeatChange>> {
-        let since = self.entry_at.map(|at| now.since(at));
-        let looked = self.looked_at.map(|at| now.since(at));
-        let every = self.look_every();
-        let waits = since.is_some_and(|s| s < ENTRY_EVERY) || looked.is_some_and(|s| s < every);
-        if self.proposed || self.bound.is_none() || waits {
+        let since_entry = self.last_entry_at.map(|at| now.since(at));
+        let since_scan = self.last_scan_at.map(|at| now.since(at));
+        let interval = self.scan_interval();
+        let must_wait = since_entry.is_some_and(|s| s < MIN_ENTRY_INTERVAL) || since_scan.is_some_and(|s| s < interval);
+        if self.is_entry_pending || self.budget.is_none() || must_wait {
             return None;
         }
-        self.looked_at = Some(now);
-        self.looks += self.told.len() as u64;
-        self.age(now);
-        let mut changes = self.issues();
-        let over = self.overs(ledger);
-        let behind: u64 = over.iter().map(|(_, more)| more).sum();
-        let much = behind > 0 && since.is_none_or(|s| s >= OVER_EVERY);
-        if changes.is_empty() && !much {
+        self.last_scan_at = Some(now);
+        self.rows_scanned += self.last_reports.len() as u64;
+        self.expire(now);
+        let mut changes = self.issue_all();
+        let expired = self.expired_changes(ledger);
+        let unrecorded: u64 = expired.iter().map(|(_, more)| more).sum();
+        let is_expiry_due = unrecorded > 0 && since_entry.is_none_or(|s| s >= EXPIRY_ENTRY_INTERVAL);
+        if changes.is_empty() && !is_expiry_due {
             return None;
         }
-        changes.extend(over.into_iter().map(|(change, _)| change));
-        self.proposed = true;
-        self.entry_at = Some(now);
+        changes.extend(expired.into_iter().map(|(change, _)| change));
+        self.is_entry_pending = true;
+        self.last_entry_at = Some(now);
         Some(changes)
     }
 
-    /// All pools that some router serves.
-    fn pools(&self) -> BTreeSet<PoolName> {
+    /// Returns the pools that at least one router serves.
+    fn served_pools(&self) -> BTreeSet<PoolName> {
         self.serving.keys().cloned().collect()
     }
 
-    fn issues(&mut self) -> Vec<RepeatChange> {
+    fn issue_all(&mut self) -> Vec<RepeatChange> {
         let mut changes = Vec::new();
-        for pool in self.pools() {
-            changes.extend(self.issue_pool(&pool));
+        for pool in self.served_pools() {
+            changes.extend(self.issue_for_pool(&pool));
         }
         if !changes.is_empty() {
-            self.turn += 1;
+            self.rotation += 1;
         }
         changes
     }
 
-    /// First those who hold none, with what is held ahead of need; then the others
-    /// by what they lack, of what needn't be kept back.
-    fn issue_pool(&self, pool: &str) -> Vec<RepeatChange> {
-        let mut wants = self.wants(pool);
-        let free = self.free(pool);
-        if wants.is_empty() || free == 0 {
+    /// Issues retries of one pool: first a reserve for routers that hold none, then to
+    /// all routers in proportion to what they lack, except for the part that is held
+    /// back.
+    fn issue_for_pool(&self, pool: &str) -> Vec<RepeatChange> {
+        let mut shortfalls = self.shortfalls(pool);
+        let available = self.available(pool);
+        if shortfalls.is_empty() || available == 0 {
             return Vec::new();
         }
-        let turn = self.turn % wants.len();
-        wants.rotate_left(turn);
-        let first = self.standing(pool).max(1);
-        let has_none = |w: &Want| if w.unused == 0 { w.lacks.min(first) } else { 0 };
-        let lacks: Vec<u64> = wants.iter().map(has_none).collect();
-        let mut gets = shares(free, &lacks);
-        let left = free - gets.iter().sum::<u64>();
-        let left = left.saturating_sub(self.most() / KEPT_BACK);
-        let more = wants.iter().zip(&gets).map(|(w, got)| w.lacks - got);
-        let more = shares(left, &more.collect::<Vec<_>>());
-        gets.iter_mut().zip(more).for_each(|(g, m)| *g += m);
-        let issued = wants.into_iter().zip(gets).filter(|(_, count)| *count > 0);
+        let first = self.rotation % shortfalls.len();
+        shortfalls.rotate_left(first);
+        let reserve = self.reserve_per_router(pool).max(1);
+        let first_need = |s: &Shortfall| if s.unused == 0 { s.missing.min(reserve) } else { 0 };
+        let first_needs: Vec<u64> = shortfalls.iter().map(first_need).collect();
+        let mut parts = divide_proportionally(available, &first_needs);
+        let remaining = available - parts.iter().sum::<u64>();
+        let remaining = remaining.saturating_sub(self.max_outstanding() / HOLDBACK_DIVISOR);
+        let more = shortfalls.iter().zip(&parts).map(|(s, part)| s.missing - part);
+        let more = divide_proportionally(remaining, &more.collect::<Vec<_>>());
+        parts.iter_mut().zip(more).for_each(|(part, more)| *part += more);
+        let issued = shortfalls.into_iter().zip(parts).filter(|(_, count)| *count > 0);
         issued
-            .map(|(want, count)| want.issue(pool, count))
+            .map(|(shortfall, count)| shortfall.issue(pool, count))
             .collect()
     }
 
-    /// Routers that want to hold more than they do.
-    fn wants(&self, pool: &str) -> Vec<Want> {
-        let standing = self.standing(pool);
-        let open = self.accounts.iter();
+    /// Returns the routers that want to hold more retries than they do.
+    fn shortfalls(&self, pool: &str) -> Vec<Shortfall> {
+        let reserve = self.reserve_per_router(pool);
+        let open = self.allowances.iter();
         let open = open.filter(|(_, a)| a.open && a.key.pool == pool);
-        let open: BTreeMap<&Holder, (&AllowanceId, &Account)> =
+        let open: BTreeMap<&Holder, (&AllowanceId, &TrackedAllowance)> =
             open.map(|(id, a)| (&a.key.holder, (id, a))).collect();
-        let mut wants = Vec::new();
-        for (holder, told) in &self.told {
-            let Some(report) = told.pools.iter().find(|p| p.serves && p.pool == pool) else {
+        let mut shortfalls = Vec::new();
+        for (holder, last_report) in &self.last_reports {
+            let Some(report) = last_report.pools.iter().find(|p| p.serves && p.pool == pool) else {
                 continue;
             };
             let open = open.get(holder);
             let unused = open.map_or(0, |(_, a)| a.unused());
-            wants.push(Want {
+            shortfalls.push(Shortfall {
                 holder: holder.clone(),
                 id: open.map(|(id, _)| **id),
                 unused,
-                lacks: report.level.max(standing).saturating_sub(unused),
+                missing: report.level.max(reserve).saturating_sub(unused),
             });
         }
-        wants.retain(|w| w.lacks > 0);
-        wants
+        shortfalls.retain(|s| s.missing > 0);
+        shortfalls
     }
 
-    /// What the ledger doesn't know yet to be over, and how much it is.
-    fn overs(&mut self, ledger: &RepeatLedger) -> Vec<(RepeatChange, u64)> {
-        let mut overs = Vec::new();
-        for (id, account) in &self.accounts {
-            let agreed = ledger.get(*id).map_or(0, |a| a.spent_over + a.back);
-            let more = (account.over + account.back).saturating_sub(agreed);
-            let change = match !account.open && account.counts() == 0 {
+    /// Returns the expired retries that the ledger doesn't know of yet, with their
+    /// number.
+    fn expired_changes(&mut self, ledger: &RepeatLedger) -> Vec<(RepeatChange, u64)> {
+        let mut changes = Vec::new();
+        for (id, tracked) in &self.allowances {
+            let recorded = ledger.get(*id).map_or(0, |a| a.spent_over + a.back);
+            let more = (tracked.expired + tracked.returned).saturating_sub(recorded);
+            let change = match !tracked.open && tracked.outstanding() == 0 {
                 true => RepeatChange::Close(*id),
                 false if more > 0 => RepeatChange::Over {
                     id: *id,
-                    spent: account.over,
-                    back: account.back,
+                    spent: tracked.expired,
+                    back: tracked.returned,
                 },
                 false => continue,
             };
-            overs.push((change, more.max(1)));
+            changes.push((change, more.max(1)));
         }
-        overs
+        changes
     }
 
-    /// Counts for operators, by pool.
+    /// Returns the counts of each pool, for operators.
     pub fn counts(&self) -> Vec<RepeatCounts> {
         let counts = |pool: PoolName| {
-            let of_pool = self.accounts.values().filter(|a| a.key.pool == pool);
-            let of_pool: Vec<&Account> = of_pool.collect();
+            let of_pool = self.allowances.values().filter(|a| a.key.pool == pool);
+            let of_pool: Vec<&TrackedAllowance> = of_pool.collect();
             RepeatCounts {
-                most: self.most(),
-                counts: of_pool.iter().map(|a| a.counts()).sum(),
+                most: self.max_outstanding(),
+                counts: of_pool.iter().map(|a| a.outstanding()).sum(),
                 unused: of_pool.iter().map(|a| a.unused()).sum(),
-                wanted: self.wants(&pool).iter().map(|w| w.lacks).sum(),
+                wanted: self.shortfalls(&pool).iter().map(|s| s.missing).sum(),
                 routers: of_pool.iter().filter(|a| a.open).count(),
                 pool,
             }
         };
-        let mut pools = self.pools();
-        pools.extend(self.counted.keys().cloned());
+        let mut pools = self.served_pools();
+        pools.extend(self.outstanding.keys().cloned());
         pools.into_iter().map(counts).collect()
     }
 }
 
-/// Counts what a router told among those that serve its pools, or no longer does.
-fn count_served(serving: &mut BTreeMap<PoolName, u64>, told: &Told, counts: bool) {
-    for pool in told.pools.iter().filter(|p| p.serves) {
+/// Adds a router's report to the number of routers that serve its pools, or removes it.
+fn update_serving(serving: &mut BTreeMap<PoolName, u64>, report: &LastReport, is_added: bool) {
+    for pool in report.pools.iter().filter(|p| p.serves) {
         let routers = serving.entry(pool.pool.clone()).or_default();
-        *routers = match counts {
+        *routers = match is_added {
             true => *routers + 1,
             false => routers.saturating_sub(1),
         };
@@ -495,15 +502,15 @@
     }
 }
 
-/// A router that wants to hold more.
-struct Want {
+/// A router that wants to hold more retries.
+struct Shortfall {
     holder: Holder,
     id: Option<AllowanceId>,
     unused: u64,
-    lacks: u64,
+    missing: u64,
 }
 
-impl Want {
+impl Shortfall {
     fn issue(self, pool: &str, count: u64) -> RepeatChange {
         match self.id {
             Some(id) => RepeatChange::Issue { id, count },
--- a/crates/deckwind-core/src/control/repeats.rs
+++ b/crates/deckwind-core/src/control/repeat_handlers.rs
@@ -1,4 +1,4 @@
-//! Repeats between routers, the desk and the log.
+//! Handling of retry reports, grants and ledger entries by [`ControlCore`].
 
 use super::control_core::ControlCore;
 use super::event::ControlAction;
@@ -9,7 +9,7 @@
 use crate::time::Instant;
 
 impl ControlCore {
-    /// A router told what it holds and wants.
+    /// Handles a router's report of the retries that it holds and wants.
     pub(super) fn repeats_reported(
         &mut self,
         now: Instant,
@@ -23,8 +23,8 @@
         }
     }
 
-    /// The desk, if this replica may answer: its log is then applied up to its
-    /// first entry as a leader.
+    /// Returns the desk if this replica is a leader that may answer. Its log is then
+    /// applied up to the first entry of its term.
     fn repeat_desk(&mut self, now: Instant) -> Option<&mut RepeatDesk> {
         if !self.replica.may_answer(now) {
             return None;
@@ -32,11 +32,11 @@
         let ledger = self.machine.repeats();
         let timing = self.lease_timing;
         let leading = self.leading.as_mut()?;
-        let begin = || RepeatDesk::new(now, timing, ledger);
-        Some(leading.repeats.get_or_insert_with(begin))
+        let new_desk = || RepeatDesk::new(now, timing, ledger);
+        Some(leading.repeats.get_or_insert_with(new_desk))
     }
 
-    /// Has what routers lack agreed.
+    /// Proposes to issue the retries that routers lack.
     pub(super) fn issue_repeats(&mut self, now: Instant, out: &mut Vec<ControlAction>) {
         if !self.replica.may_answer(now) {
             return;
@@ -48,7 +48,8 @@
         }
     }
 
-    /// What routers were given has changed: those who wait hear of it.
+    /// Handles a change of the retry ledger: waiting renewals of routers that were issued
+    /// retries are answered.
     pub(super) fn repeats_agreed(&mut self, now: Instant, out: &mut Vec<ControlAction>) {
         let ledger = self.machine.repeats();
         let desk = self.leading.as_mut().and_then(|l| l.repeats.as_mut());
@@ -62,13 +63,14 @@
         }
     }
 
-    /// Repeats by pool, where this replica gives them out.
+    /// Returns the retry counts of each pool, or nothing if this replica doesn't issue
+    /// retries.
     pub fn repeat_counts(&self) -> Vec<RepeatCounts> {
         let desk = self.leading.as_ref().and_then(|l| l.repeats.as_ref());
         desk.map_or(Vec::new(), RepeatDesk::counts)
     }
 
-    /// Whether a router was given repeats of which it has not heard.
+    /// Returns whether a router was issued retries that it hasn't been told of.
     pub(super) fn has_repeats_for(&self, holder: &Holder) -> bool {
         let desk = self.leading.as_ref().and_then(|l| l.repeats.as_ref());
         desk.is_some_and(|d| d.has_news(holder))
--- a/crates/deckwind-core/src/control/repeat_messages.rs
+++ b/crates/deckwind-core/src/control/repeat_messages.rs
@@ -1,54 +1,57 @@
-//! What routers and the leader tell each other of repeats.
+//! Messages between routers and the leader about retries, which the protocol calls
+//! repeats.
 //!
-//! All counts run from the start of an allowance on and only grow: a message
-//! that is lost, late or doubled changes nothing.
+//! All counts of an allowance start at zero when it is opened and only grow, so a message
+//! that is lost, late or duplicated does no harm.
 
 use crate::state::{AllowanceId, PoolName};
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// What a router holds and wants.
+/// Retries that a router holds and wants.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RepeatReport {
-    /// Most repeats of one pool that all routers may be given within a window, as
-    /// its settings say.
+    /// Maximum number of retries of one pool that all routers together may be given
+    /// within a window, according to the router's settings.
     pub most: u64,
-    /// The window.
+    /// Length of the window.
     pub window: Duration,
-    /// Pools that it serves.
+    /// Retries by pool.
     pub pools: Vec<PoolReport>,
 }
 
-/// Of one pool.
+/// Retries of one pool that a router holds and wants.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PoolReport {
-    /// The pool.
+    /// Name of the pool.
     pub pool: PoolName,
-    /// The allowance that the counts are of; nothing if it has none.
+    /// Allowance to which the counts belong, or `None` if the router has none.
     pub allowance: Option<AllowanceId>,
-    /// Repeats that it has used.
+    /// Number of retries used.
     pub spent: u64,
-    /// Of these, used longer ago than the window, by its own clock.
+    /// Number of the used retries that are older than the window by the router's own
+    /// clock.
     pub over: u64,
-    /// Repeats that it has given back: it will never use them.
+    /// Number of retries that the router returned and will never use.
     pub back: u64,
-    /// How many it wants to hold.
+    /// Number of unused retries that the router wants to hold.
     pub level: u64,
-    /// Whether requests for the pool came to it within the window.
+    /// Whether the router received requests for the pool within the window.
     pub serves: bool,
 }
 
-/// What a router may use of one pool, until a lease's time after it asked.
+/// Retries of one pool that a router may use, until one lease duration after it asked.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RepeatGrant {
-    /// The pool.
+    /// Name of the pool.
     pub pool: PoolName,
-    /// The allowance.
+    /// Allowance to which the counts belong.
     pub allowance: AllowanceId,
-    /// Repeats, from its first on.
+    /// Number of retries issued since the allowance was opened.
     pub issued: u64,
-    /// Unused ones beyond these are better given back.
+    /// Number of unused retries to keep; the router should return any others.
     pub keep: u64,
-    /// What the leader may still issue to anybody, in hundredths of the bound.
+    /// Number of retries that the leader may still issue to any router, in percent of the
+    /// maximum.
     pub free_percent: u64,
 }
--- a/crates/deckwind-core/src/control/slow.rs
+++ b/crates/deckwind-core/src/control/slow.rs
@@ -1,9 +1,12 @@
-//! Engines that are slow, not gone.
+//! Detection of engines that are slow but alive.
 //!
-//! Streams through them pause, though every stage is there: routers say so, the
-//! leader asks the engines that several of them name for their pace, and tells
-//! all routers, so that what begins goes round them. An engine that was slow is asked
-//! again until it no longer is.
+//! Streams through a slow engine pause although every stage is reachable. Routers report
+//! such engines as hints. The leader asks an engine that got several hints for its pace
+//! and sends the result to all routers, so that new streams avoid it. A slow engine is
+//! asked again until it is no longer slow.
+//!
+//! The pace of an engine is the time that its work takes, as a percentage of the usual
+//! time.
 
 use super::control_core::ControlCore;
 use super::event::ControlAction;
@@ -15,67 +18,69 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Hints within [`HINT_FOR`] that make the leader ask an engine. On a calm day 32
-/// routers have 7 streams a second that pause for no reason, of a dozen engines
-/// each.
-const HINTS: usize = 3;
+/// Number of hints within [`HINT_TTL`] after which the leader asks an engine for its
+/// pace. Under normal load 32 routers report 7 streams a second that pause for no reason,
+/// each through a dozen engines.
+const MIN_HINTS: usize = 3;
 
-/// How long a hint counts.
-const HINT_FOR: Duration = Duration::from_millis(400);
+/// Time for which a hint counts.
+const HINT_TTL: Duration = Duration::from_millis(400);
 
-/// Between two questions to an engine: its report is 200 ms old.
-const ASK_EVERY: Duration = Duration::from_millis(700);
+/// Minimum time between two pace requests to an engine, whose report is 200 ms old.
+const PACE_REQUEST_INTERVAL: Duration = Duration::from_millis(700);
 
-/// How long an engine's pace holds: two questions, one of which may be lost.
-const PACE_FOR: Duration = Duration::from_millis(1_600);
+/// Time for which a reported pace is valid: two requests, one of which may be lost.
+const PACE_TTL: Duration = Duration::from_millis(1_600);
 
-/// From this pace on an engine is slow, in hundredths of the usual time. Twice
-/// leaves room for what reports count as slow besides.
-const SLOW_FROM: u32 = 200;
+/// Pace, in percent, from which an engine counts as slow. Twice the usual time leaves a
+/// margin for other delays that reports count as slowness.
+const SLOW_PERCENT: u32 = 200;
 
-/// What a leader knows of the pace of engines.
+/// What the leader knows about the pace of engines.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Paces {
     hints: BTreeMap<SocketAddr, Vec<Instant>>,
-    asked: BTreeMap<SocketAddr, Instant>,
+    requested_at: BTreeMap<SocketAddr, Instant>,
     slow: BTreeMap<SocketAddr, (u32, Instant)>,
 }
 
 impl Paces {
-    /// A router names engines that may be slow. Those that are to be asked.
-    fn hinted(&mut self, now: Instant, engines: &[SocketAddr]) -> Vec<SocketAddr> {
+    /// Records hints of a router about engines that may be slow. Returns the engines that
+    /// are to be asked for their pace.
+    fn record_hints(&mut self, now: Instant, engines: &[SocketAddr]) -> Vec<SocketAddr> {
         for engine in engines {
             self.hints.entry(*engine).or_default().push(now);
         }
         self.hints.retain(|_, hints| {
-            hints.retain(|at| now.since(*at) < HINT_FOR);
+            hints.retain(|at| now.since(*at) < HINT_TTL);
             !hints.is_empty()
         });
-        let many = self.hints.iter().filter(|(_, hints)| hints.len() >= HINTS);
-        let many: Vec<SocketAddr> = many.map(|(engine, _)| *engine).collect();
-        many.into_iter().filter(|e| self.may_ask(now, *e)).collect()
+        let hinted = self.hints.iter().filter(|(_, hints)| hints.len() >= MIN_HINTS);
+        let hinted: Vec<SocketAddr> = hinted.map(|(engine, _)| *engine).collect();
+        hinted.into_iter().filter(|e| self.begin_request(now, *e)).collect()
     }
 
-    /// Slow engines that are to be asked again.
+    /// Returns the slow engines that are to be asked for their pace again.
     fn due(&mut self, now: Instant) -> Vec<SocketAddr> {
-        self.asked.retain(|_, at| now.since(*at) < ASK_EVERY);
-        self.slow.retain(|_, (_, at)| now.since(*at) < PACE_FOR);
+        self.requested_at.retain(|_, at| now.since(*at) < PACE_REQUEST_INTERVAL);
+        self.slow.retain(|_, (_, at)| now.since(*at) < PACE_TTL);
         let slow: Vec<SocketAddr> = self.slow.keys().copied().collect();
-        slow.into_iter().filter(|e| self.may_ask(now, *e)).collect()
+        slow.into_iter().filter(|e| self.begin_request(now, *e)).collect()
     }
 
-    fn may_ask(&mut self, now: Instant, engine: SocketAddr) -> bool {
-        let before = self.asked.get(&engine);
-        if before.is_some_and(|at| now.since(*at) < ASK_EVERY) {
+    fn begin_request(&mut self, now: Instant, engine: SocketAddr) -> bool {
+        let before = self.requested_at.get(&engine);
+        if before.is_some_and(|at| now.since(*at) < PACE_REQUEST_INTERVAL) {
             return false;
         }
-        self.asked.insert(engine, now);
+        self.requested_at.insert(engine, now);
         true
     }
 
-    /// An engine told its pace. Whether routers should hear of it.
-    fn told(&mut self, now: Instant, engine: SocketAddr, percent: u32) -> bool {
-        let slow = percent >= SLOW_FROM;
+    /// Records the pace that an engine reported. Returns whether the engine became slow
+    /// or is no longer slow, so that routers have to be informed.
+    fn record_pace(&mut self, now: Instant, engine: SocketAddr, percent: u32) -> bool {
+        let slow = percent >= SLOW_PERCENT;
         let before = match slow {
             true => self.slow.insert(engine, (percent, now)),
             false => self.slow.remove(&engine),
@@ -83,18 +88,18 @@
         slow != before.is_some()
     }
 
-    /// Time that an engine's work takes, in thousandths of the usual one, if it is
-    /// slow.
+    /// Returns the pace of an engine in thousandths of the usual time, or `None` if it
+    /// isn't slow.
     pub fn per_mille(&self, now: Instant, engine: SocketAddr) -> Option<u32> {
         let known = self.slow.get(&engine);
-        let fresh = known.filter(|(_, at)| now.since(*at) < PACE_FOR);
+        let fresh = known.filter(|(_, at)| now.since(*at) < PACE_TTL);
         fresh.map(|(percent, _)| percent * 10)
     }
 
-    /// Engines that are slow.
+    /// Returns the engines that are slow, with their pace.
     pub fn slow(&self, now: Instant) -> Vec<EnginePace> {
         let fresh = self.slow.iter();
-        let fresh = fresh.filter(|(_, (_, at))| now.since(*at) < PACE_FOR);
+        let fresh = fresh.filter(|(_, (_, at))| now.since(*at) < PACE_TTL);
         let pace = |(address, (percent, _)): (&SocketAddr, &(u32, Instant))| EnginePace {
             address: *address,
             percent: *percent,
@@ -104,7 +109,8 @@
 }
 
 impl ControlCore {
-    /// A router has streams that pause though all stages are there.
+    /// Handles a router's report of streams that pause although all their stages are
+    /// reachable.
     pub(super) fn perhaps_slow(
         &mut self,
         now: Instant,
@@ -117,27 +123,27 @@
         let Some(leading) = &mut self.leading else {
             return;
         };
-        let ask = leading.paces.hinted(now, engines);
-        self.ask_pace(&ask, out);
+        let ask = leading.paces.record_hints(now, engines);
+        self.request_pace(&ask, out);
     }
 
-    /// Asks slow engines again.
+    /// Asks slow engines for their pace again.
     pub(super) fn follow_paces(&mut self, now: Instant, out: &mut Vec<ControlAction>) {
         let Some(leading) = &mut self.leading else {
             return;
         };
         let ask = leading.paces.due(now);
-        self.ask_pace(&ask, out);
+        self.request_pace(&ask, out);
     }
 
-    fn ask_pace(&self, engines: &[SocketAddr], out: &mut Vec<ControlAction>) {
+    fn request_pace(&self, engines: &[SocketAddr], out: &mut Vec<ControlAction>) {
         let instances = self.machine.configuration().instances();
         let named = engines.iter().flat_map(|address| instances.at(*address));
         let ready = named.filter(|i| i.state == InstanceState::Ready);
         out.extend(ready.map(|i| ControlAction::AskPace { address: i.address }));
     }
 
-    /// An engine has told its pace.
+    /// Handles the pace that an engine reported.
     pub(super) fn pace_told(
         &mut self,
         now: Instant,
@@ -148,7 +154,7 @@
         let Some(leading) = &mut self.leading else {
             return;
         };
-        if leading.paces.told(now, address, percent) {
+        if leading.paces.record_pace(now, address, percent) {
             self.wake_routers(now, Urgency::Urgent, out);
         }
     }
