--- a/crates/deckwind-core/src/control/full_engines.rs
+++ b/crates/deckwind-core/src/control/full_engines.rs
@@ -7,11 +7,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time for which routers are told of a refusal. They apply it for 250 ms, and each
+/// Time for which a refusal is sent to routers. They apply it for 250 ms, and each
 /// router gets an answer within 100 ms.
 const REFUSAL_TTL: Duration = Duration::from_millis(200);
 
-/// The last refusal of each engine, and when each router was last told of refusals.
+/// The last refusal of each engine, and when refusals were last sent to each router.
 #[derive(Clone, Debug, Default)]
 pub(super) struct FullTable {
     latest: BTreeMap<SocketAddr, Refusal>,
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Returns the refusals that other routers reported and that this router hasn't been
-    /// told of yet.
+    /// Returns the refusals that other routers reported and that weren't sent to this router
+    /// yet.
     pub fn news_for(&mut self, now: Instant, vm: &VmName) -> Vec<EngineFull> {
         let told_at = self.told_at.insert(vm.clone(), now);
         let news = |r: &&Refusal| {
--- a/crates/deckwind-core/src/control/repeat_desk.rs
+++ b/crates/deckwind-core/src/control/repeat_desk.rs
@@ -16,7 +16,7 @@
 //! - a window has passed since its router reported it as used, or the router reports that
 //!   the use is older than the window
 //! - a window has passed since its router can't use it any more, which is one lease
-//!   duration after the router was last told of it
+//!   duration after the last grant of it
 //!
 //! Whatever was used within the last window is therefore counted now, and the count never
 //! exceeds `most`. A new leader counts everything in the ledger as issued at the moment
@@ -113,7 +113,7 @@
     /// Rotation of the routers, so that another one is served first each time when there
     /// are too few retries.
     rotation: usize,
-    /// Routers that were issued more than they were told of. Checked for each waiting
+    /// Routers that were issued more than was announced to them. Checked for each waiting
     /// renewal at every round of answers.
     unannounced: BTreeSet<Holder>,
     /// Time of the last check for retries that no longer count.
@@ -179,7 +179,7 @@
     }
 
     /// Updates the allowances after an entry was applied to the ledger. Returns the
-    /// routers that were issued more than they were told of.
+    /// routers that were issued more than was announced to them.
     pub fn applied(&mut self, now: Instant, ledger: &RepeatLedger) -> Vec<Holder> {
         self.is_entry_pending = false;
         let usable_until = now + self.lease_duration();
@@ -284,7 +284,7 @@
         grants
     }
 
-    /// Returns whether a router was issued more than it was told of.
+    /// Returns whether a router was issued more than was announced to it.
     pub fn has_news(&self, holder: &Holder) -> bool {
         self.unannounced.contains(holder)
     }
--- a/crates/deckwind-core/src/control/repeat_handlers.rs
+++ b/crates/deckwind-core/src/control/repeat_handlers.rs
@@ -70,7 +70,7 @@
         desk.map_or(Vec::new(), RepeatDesk::counts)
     }
 
-    /// Returns whether a router was issued retries that it hasn't been told of.
+    /// Returns whether a router was issued retries that no grant has announced to it yet.
     pub(super) fn has_repeats_for(&self, holder: &Holder) -> bool {
         let desk = self.leading.as_ref().and_then(|l| l.repeats.as_ref());
         desk.is_some_and(|d| d.has_news(holder))
--- a/crates/deckwind-core/src/control/tracked_allowance.rs
+++ b/crates/deckwind-core/src/control/tracked_allowance.rs
@@ -22,11 +22,11 @@
     pub returned: u64,
     /// Retries used, with the time at which the leader learned of it, oldest first.
     pub recent_uses: VecDeque<(Instant, u64)>,
-    /// When the router can't use the allowance any more, unless it is told of it again.
+    /// When the router can't use the allowance any more, unless a grant announces it again.
     pub usable_until: Instant,
     /// Whether the grants of the router still include the allowance.
     pub open: bool,
-    /// Number of issued retries that the router was last told of.
+    /// Number of issued retries that the router was last granted.
     pub announced: u64,
 }
 
