--- a/crates/deckwind-core/src/control/cut_reports.rs
+++ b/crates/deckwind-core/src/control/cut_reports.rs
@@ -1,5 +1,5 @@
-//! Handling of reports about targets that ended while they ran a request. The replicated
-//! log records the contents of these requests.
+//! Handling of reports about targets that crashed while they ran a request. The contents
+//! of these requests are recorded as suspects in the replicated log.
 
 use super::control_core::ControlCore;
 use super::event::ControlAction;
@@ -13,10 +13,11 @@
 const OUTDATED_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 impl ControlCore {
-    /// Handles a router's report of runs that a target's end cut short. Targets that may
-    /// be gone are checked at once: if the end of an incarnation is known after 50 ms
-    /// instead of 3.6 s, its content is known before the caller tries again. The report
-    /// is answered once its changes are committed.
+    /// Handles a router's report of runs that were interrupted by the end of a target.
+    /// Targets that may be gone are checked at once: if the end of an incarnation is known
+    /// after 50 ms instead of 3.6 s, the request content under which it ended is known
+    /// before the caller tries again. The report is answered once its changes are
+    /// committed.
     pub(super) fn runs_cut(
         &mut self,
         now: Instant,
--- a/crates/deckwind-core/src/control/demand.rs
+++ b/crates/deckwind-core/src/control/demand.rs
@@ -20,7 +20,9 @@
     pub fn put(&mut self, vm: &VmName, demand: &[(AccountName, AccountDemand)]) {
         let router_demand = self.by_router.entry(vm.clone()).or_default();
         for (account, d) in demand {
-            let before = router_demand.insert(account.clone(), d.per_s).unwrap_or(0.0);
+            let before = router_demand
+                .insert(account.clone(), d.per_s)
+                .unwrap_or(0.0);
             let total = self.totals.entry(account.clone()).or_default();
             *total = (*total + d.per_s - before).max(0.0);
             if d.per_s == 0.0 {
--- a/crates/deckwind-core/src/control/in_use.rs
+++ b/crates/deckwind-core/src/control/in_use.rs
@@ -107,7 +107,7 @@
         let room = room(address);
         if let Some(entry) = self.totals.get_mut(&address) {
             if let Some(room) = room {
-                update_room(&mut self.fine, address, entry, room);
+                update_capacity(&mut self.fine, address, entry, room);
             }
         } else {
             let entry = EngineTotal {
@@ -173,7 +173,10 @@
     /// Returns the tokens times layers that the streams of all routers hold at an engine,
     /// or `None` if they hold nothing.
     pub fn at(&self, address: SocketAddr) -> Option<u64> {
-        let total = self.totals.get(&address).map(|entry| entry.total.layer_tokens);
+        let total = self
+            .totals
+            .get(&address)
+            .map(|entry| entry.total.layer_tokens);
         total.filter(|tokens| *tokens > 0)
     }
 
@@ -216,7 +219,7 @@
 
 /// Updates the capacity of an engine. If the engine is now in another data centre,
 /// nothing was published there yet.
-fn update_room(
+fn update_capacity(
     fine: &mut BTreeMap<DataCentre, BTreeSet<(u64, SocketAddr)>>,
     address: SocketAddr,
     entry: &mut EngineTotal,
--- a/crates/deckwind-core/src/control/limit_desk.rs
+++ b/crates/deckwind-core/src/control/limit_desk.rs
@@ -298,7 +298,7 @@
     }
 
     /// Removes limits that ended, and those whose targets haven't announced them for
-    /// [`LIMIT_TTL`].
+    /// `LIMIT_TTL`.
     pub fn forget(&mut self, now: Instant) {
         let before = self.limited();
         self.limits.retain(|_, limit| match limit.rate {
--- a/crates/deckwind-core/src/control/placement_desk.rs
+++ b/crates/deckwind-core/src/control/placement_desk.rs
@@ -30,7 +30,7 @@
 const SCARCE_TOKENS_FRACTION: f64 = 0.75;
 
 /// Interval, for each engine of the group, between two checks of a group with an
-/// unfinished chain. A check visits all engines of the group, so checks take the same
+/// unfinished chain. A check scans all engines of the group, so checks take the same
 /// fraction of processor time for any number of engines.
 const CHECK_INTERVAL_PER_ENGINE: Duration = Duration::from_millis(1);
 
@@ -219,12 +219,12 @@
         self.groups.schedule_check(&life.id, now);
     }
 
-    /// Returns the number of engines visited so far.
+    /// Returns the number of engines scanned so far.
     pub fn looks(&self) -> u64 {
-        self.groups.engines_visited()
+        self.groups.engines_scanned()
     }
 
-    /// Returns the changes and orders that are required now. Visits only groups in which
+    /// Returns the changes and orders that are required now. Scans only groups in which
     /// something has changed or a scheduled check is due.
     pub fn work(&mut self, now: Instant, release: &Release, instances: &Instances) -> PlaceWork {
         let mut work = PlaceWork::default();
@@ -267,7 +267,9 @@
             let effect = |c: &Card| self.orders.effect_on(c);
             let blocked = match is_complete {
                 true => chain.iter().any(|c| effect(c).is_some()),
-                false => chain.iter().any(|c| effect(c) == Some(OrderEffect::Loading)),
+                false => chain
+                    .iter()
+                    .any(|c| effect(c) == Some(OrderEffect::Loading)),
             };
             any_unfinished |= !is_done;
             if is_done || blocked {
@@ -292,7 +294,9 @@
         }
         match (any_unfinished, any_ordered) {
             (_, true) => group.schedule_check(now),
-            (true, false) => group.schedule_check(now + CHECK_INTERVAL_PER_ENGINE * group.len() as u32),
+            (true, false) => {
+                group.schedule_check(now + CHECK_INTERVAL_PER_ENGINE * group.len() as u32)
+            }
             (false, false) => {}
         }
     }
@@ -317,7 +321,10 @@
 /// Returns the steps that let a complete chain with scarce memory keep more requests:
 /// first more layers on engines with free memory, and once nothing is left to load, fewer
 /// layers on engines with little.
-fn improvement_steps(model: &EngineModel, plan: Vec<(Card, LayerRange)>) -> Vec<(Card, LayerRange)> {
+fn improvement_steps(
+    model: &EngineModel,
+    plan: Vec<(Card, LayerRange)>,
+) -> Vec<(Card, LayerRange)> {
     let loads = |(card, want): &(Card, LayerRange)| common(card.held, *want) != *want;
     if !plan.iter().any(loads) {
         return plan
@@ -337,10 +344,7 @@
 
 /// Returns the plan with each engine's current layers added to its new ones where there
 /// is memory for both.
-fn keep_held_layers(
-    model: &EngineModel,
-    plan: Vec<(Card, LayerRange)>,
-) -> Vec<(Card, LayerRange)> {
+fn keep_held_layers(model: &EngineModel, plan: Vec<(Card, LayerRange)>) -> Vec<(Card, LayerRange)> {
     let step = |(card, want): (Card, LayerRange)| {
         let step = together(model, &card, want).unwrap_or(want);
         (card, step)
--- a/crates/deckwind-core/src/control/placement_groups.rs
+++ b/crates/deckwind-core/src/control/placement_groups.rs
@@ -29,7 +29,7 @@
 /// engine stays slow.
 const MAX_INITIAL_SETTLE_TIME: Duration = Duration::from_secs(10);
 
-/// Maximum number of engines visited in one pass, not counting the first data centre. A
+/// Maximum number of engines scanned in one pass, not counting the first data centre. A
 /// pass delays heartbeats.
 const MAX_ENGINES_PER_PASS: usize = 1_000;
 
@@ -152,7 +152,7 @@
     groups: BTreeMap<GroupKey, PlacementGroup>,
     /// Last group that was checked.
     last_checked: Option<GroupKey>,
-    engines_visited: u64,
+    engines_scanned: u64,
 }
 
 impl PlacementGroups {
@@ -172,7 +172,7 @@
         }
         let changed = instances.written_since(since.unwrap_or(Revision::ZERO));
         for id in changed {
-            self.engines_visited += 1;
+            self.engines_scanned += 1;
             self.apply_instance(now, id, instances.get(id), &mut membership_changes);
         }
         self.applied_upto = Some(instances.written_upto());
@@ -182,8 +182,17 @@
     /// Restarts the settling time of data centres whose engines joined or left. While
     /// engines join any data centre of a pool, data centres of the pool that hold no
     /// layers yet wait as well, since engines of a pool start together.
-    fn update_settling(&mut self, now: Instant, is_initial: bool, membership_changes: &MembershipChanges) {
-        let joined = |pool: &str| membership_changes.iter().any(|(key, joined)| *joined && key.0 == pool);
+    fn update_settling(
+        &mut self,
+        now: Instant,
+        is_initial: bool,
+        membership_changes: &MembershipChanges,
+    ) {
+        let joined = |pool: &str| {
+            membership_changes
+                .iter()
+                .any(|(key, joined)| *joined && key.0 == pool)
+        };
         let growing: Vec<String> = self.models.keys().filter(|p| joined(p)).cloned().collect();
         for (key, group) in self.groups.iter_mut().filter(|(key, _)| key.1.is_some()) {
             let lost = match (membership_changes.get(key), is_initial) {
@@ -193,7 +202,11 @@
                 (None, _) if growing.contains(&key.0) && group.holds_no_layers() => false,
                 (None, _) => continue,
             };
-            let wait = if lost { SETTLE_TIME_AFTER_LOSS } else { SETTLE_TIME };
+            let wait = if lost {
+                SETTLE_TIME_AFTER_LOSS
+            } else {
+                SETTLE_TIME
+            };
             group.extend_settling(now, wait);
         }
     }
@@ -221,7 +234,8 @@
         let (Some((pool, dc)), Some((_, engine))) = (location, new) else {
             return;
         };
-        self.location_of.insert(id.clone(), (pool.clone(), dc.clone()));
+        self.location_of
+            .insert(id.clone(), (pool.clone(), dc.clone()));
         let key = (pool, Some(dc));
         let group = self.groups.entry(key.clone()).or_default();
         let known = group.engines.insert(id.clone(), engine.clone());
@@ -260,9 +274,9 @@
         }
     }
 
-    /// Returns the number of engines visited so far.
-    pub fn engines_visited(&self) -> u64 {
-        self.engines_visited
+    /// Returns the number of engines scanned so far.
+    pub fn engines_scanned(&self) -> u64 {
+        self.engines_scanned
     }
 
     /// Returns the groups that are due for a check, round-robin after the last one
@@ -326,7 +340,7 @@
         let mut group = self.groups.remove(key)?;
         group.next_check = None;
         group.settling = None;
-        self.engines_visited += group.engines.len() as u64;
+        self.engines_scanned += group.engines.len() as u64;
         Some((model, group))
     }
 
--- a/crates/deckwind-core/src/control/repeat_desk.rs
+++ b/crates/deckwind-core/src/control/repeat_desk.rs
@@ -1,4 +1,5 @@
-//! Issues retries to routers from a shared retry budget, partly ahead of need.
+//! Issues retry allowances to routers from the retry budget of each pool, partly ahead of
+//! need.
 //!
 //! Retries of requests are called repeats in the protocol.
 //!
@@ -22,8 +23,8 @@
 //! exceeds `most`. A new leader counts everything in the ledger as issued at the moment
 //! it begins to lead.
 
-use super::tracked_allowance::{TrackedAllowance, divide_proportionally};
 use super::repeat_messages::{PoolReport, RepeatGrant, RepeatReport};
+use super::tracked_allowance::{TrackedAllowance, divide_proportionally};
 use crate::membership::LeaseTiming;
 use crate::state::{
     AllowanceId, AllowanceKey, Holder, PoolName, RepeatChange, RepeatLedger, VmName,
@@ -39,7 +40,7 @@
 /// Minimum time between two scans for what routers lack.
 const MIN_SCAN_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Additional time between scans for each router. A scan visits all routers, so this
+/// Additional time between scans for each router. A scan goes through all routers, so this
 /// keeps its processor time at the same fraction for any number of them.
 const SCAN_INTERVAL_PER_ROUTER: Duration = Duration::from_micros(50);
 
@@ -184,17 +185,20 @@
         self.is_entry_pending = false;
         let usable_until = now + self.lease_duration();
         for (id, allowance) in ledger.iter() {
-            let tracked = self.allowances.entry(id).or_insert_with(|| TrackedAllowance {
-                key: allowance.key.clone(),
-                issued: 0,
-                expired: allowance.spent_over,
-                spent: allowance.spent_over,
-                returned: allowance.back,
-                recent_uses: VecDeque::new(),
-                usable_until,
-                open: true,
-                announced: 0,
-            });
+            let tracked = self
+                .allowances
+                .entry(id)
+                .or_insert_with(|| TrackedAllowance {
+                    key: allowance.key.clone(),
+                    issued: 0,
+                    expired: allowance.spent_over,
+                    spent: allowance.spent_over,
+                    returned: allowance.back,
+                    recent_uses: VecDeque::new(),
+                    usable_until,
+                    open: true,
+                    announced: 0,
+                });
             tracked.issued = allowance.issued;
         }
         self.allowances.retain(|id, _| ledger.get(*id).is_some());
@@ -220,11 +224,16 @@
                 let before = tracked.outstanding();
                 tracked.apply_report(now, pool);
                 tracked.open &= pool.serves || tracked.outstanding() > 0;
-                let outstanding = self.outstanding.entry(tracked.key.pool.clone()).or_default();
+                let outstanding = self
+                    .outstanding
+                    .entry(tracked.key.pool.clone())
+                    .or_default();
                 *outstanding = (*outstanding + tracked.outstanding()).saturating_sub(before);
             }
         }
-        let older = self.current_holders.insert(holder.vm.clone(), holder.clone());
+        let older = self
+            .current_holders
+            .insert(holder.vm.clone(), holder.clone());
         if let Some(older) = older.filter(|older| older != holder) {
             self.remove_report(&older);
         }
@@ -246,7 +255,10 @@
     }
 
     /// Returns the allowances that a router process may use.
-    fn open_allowances(&self, holder: &Holder) -> impl Iterator<Item = (AllowanceId, &TrackedAllowance)> {
+    fn open_allowances(
+        &self,
+        holder: &Holder,
+    ) -> impl Iterator<Item = (AllowanceId, &TrackedAllowance)> {
         let ids = self.ids_by_holder.get(holder).into_iter().flatten();
         let allowances = ids.filter_map(|id| Some((*id, self.allowances.get(id)?)));
         allowances.filter(|(_, a)| a.open)
@@ -303,7 +315,10 @@
     /// later check only makes them count longer.
     fn expire(&mut self, now: Instant) {
         let interval = self.scan_interval();
-        if self.last_expiry_at.is_some_and(|at| now.since(at) < interval) {
+        if self
+            .last_expiry_at
+            .is_some_and(|at| now.since(at) < interval)
+        {
             return;
         }
         self.last_expiry_at = Some(now);
@@ -314,7 +329,10 @@
         }
         self.recount();
         let lease_duration = self.lease_duration();
-        let stale = self.last_reports.iter().filter(|(_, t)| now.since(t.at) >= lease_duration);
+        let stale = self
+            .last_reports
+            .iter()
+            .filter(|(_, t)| now.since(t.at) >= lease_duration);
         let stale: Vec<Holder> = stale.map(|(holder, _)| holder.clone()).collect();
         for holder in stale {
             self.remove_report(&holder);
@@ -360,7 +378,8 @@
         let since_entry = self.last_entry_at.map(|at| now.since(at));
         let since_scan = self.last_scan_at.map(|at| now.since(at));
         let interval = self.scan_interval();
-        let must_wait = since_entry.is_some_and(|s| s < MIN_ENTRY_INTERVAL) || since_scan.is_some_and(|s| s < interval);
+        let must_wait = since_entry.is_some_and(|s| s < MIN_ENTRY_INTERVAL)
+            || since_scan.is_some_and(|s| s < interval);
         if self.is_entry_pending || self.budget.is_none() || must_wait {
             return None;
         }
@@ -370,7 +389,8 @@
         let mut changes = self.issue_all();
         let expired = self.expired_changes(ledger);
         let unrecorded: u64 = expired.iter().map(|(_, more)| more).sum();
-        let is_expiry_due = unrecorded > 0 && since_entry.is_none_or(|s| s >= EXPIRY_ENTRY_INTERVAL);
+        let is_expiry_due =
+            unrecorded > 0 && since_entry.is_none_or(|s| s >= EXPIRY_ENTRY_INTERVAL);
         if changes.is_empty() && !is_expiry_due {
             return None;
         }
@@ -408,15 +428,30 @@
         let first = self.rotation % shortfalls.len();
         shortfalls.rotate_left(first);
         let reserve = self.reserve_per_router(pool).max(1);
-        let first_need = |s: &Shortfall| if s.unused == 0 { s.missing.min(reserve) } else { 0 };
+        let first_need = |s: &Shortfall| {
+            if s.unused == 0 {
+                s.missing.min(reserve)
+            } else {
+                0
+            }
+        };
         let first_needs: Vec<u64> = shortfalls.iter().map(first_need).collect();
         let mut parts = divide_proportionally(available, &first_needs);
         let remaining = available - parts.iter().sum::<u64>();
         let remaining = remaining.saturating_sub(self.max_outstanding() / HOLDBACK_DIVISOR);
-        let more = shortfalls.iter().zip(&parts).map(|(s, part)| s.missing - part);
+        let more = shortfalls
+            .iter()
+            .zip(&parts)
+            .map(|(s, part)| s.missing - part);
         let more = divide_proportionally(remaining, &more.collect::<Vec<_>>());
-        parts.iter_mut().zip(more).for_each(|(part, more)| *part += more);
-        let issued = shortfalls.into_iter().zip(parts).filter(|(_, count)| *count > 0);
+        parts
+            .iter_mut()
+            .zip(more)
+            .for_each(|(part, more)| *part += more);
+        let issued = shortfalls
+            .into_iter()
+            .zip(parts)
+            .filter(|(_, count)| *count > 0);
         issued
             .map(|(shortfall, count)| shortfall.issue(pool, count))
             .collect()
@@ -431,7 +466,11 @@
             open.map(|(id, a)| (&a.key.holder, (id, a))).collect();
         let mut shortfalls = Vec::new();
         for (holder, last_report) in &self.last_reports {
-            let Some(report) = last_report.pools.iter().find(|p| p.serves && p.pool == pool) else {
+            let Some(report) = last_report
+                .pools
+                .iter()
+                .find(|p| p.serves && p.pool == pool)
+            else {
                 continue;
             };
             let open = open.get(holder);
--- a/crates/deckwind-core/src/control/slow.rs
+++ b/crates/deckwind-core/src/control/slow.rs
@@ -1,6 +1,6 @@
 //! Detection of engines that are slow but alive.
 //!
-//! Streams through a slow engine pause although every stage is reachable. Routers report
+//! Streams through a slow engine stall although every stage is reachable. Routers report
 //! such engines as hints. The leader asks an engine that got several hints for its pace
 //! and sends the result to all routers, so that new streams avoid it. A slow engine is
 //! asked again until it is no longer slow.
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 /// Number of hints within [`HINT_TTL`] after which the leader asks an engine for its
-/// pace. Under normal load 32 routers report 7 streams a second that pause for no reason,
+/// pace. Under normal load 32 routers report 7 streams a second that stall for no reason,
 /// each through a dozen engines.
 const MIN_HINTS: usize = 3;
 
@@ -36,7 +36,7 @@
 /// margin for other delays that reports count as slowness.
 const SLOW_PERCENT: u32 = 200;
 
-/// What the leader knows about the pace of engines.
+/// Hints about slow engines, and the paces that engines reported.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Paces {
     hints: BTreeMap<SocketAddr, Vec<Instant>>,
@@ -55,17 +55,26 @@
             hints.retain(|at| now.since(*at) < HINT_TTL);
             !hints.is_empty()
         });
-        let hinted = self.hints.iter().filter(|(_, hints)| hints.len() >= MIN_HINTS);
+        let hinted = self
+            .hints
+            .iter()
+            .filter(|(_, hints)| hints.len() >= MIN_HINTS);
         let hinted: Vec<SocketAddr> = hinted.map(|(engine, _)| *engine).collect();
-        hinted.into_iter().filter(|e| self.begin_request(now, *e)).collect()
+        hinted
+            .into_iter()
+            .filter(|e| self.begin_request(now, *e))
+            .collect()
     }
 
     /// Returns the slow engines that are to be asked for their pace again.
     fn due(&mut self, now: Instant) -> Vec<SocketAddr> {
-        self.requested_at.retain(|_, at| now.since(*at) < PACE_REQUEST_INTERVAL);
+        self.requested_at
+            .retain(|_, at| now.since(*at) < PACE_REQUEST_INTERVAL);
         self.slow.retain(|_, (_, at)| now.since(*at) < PACE_TTL);
         let slow: Vec<SocketAddr> = self.slow.keys().copied().collect();
-        slow.into_iter().filter(|e| self.begin_request(now, *e)).collect()
+        slow.into_iter()
+            .filter(|e| self.begin_request(now, *e))
+            .collect()
     }
 
     fn begin_request(&mut self, now: Instant, engine: SocketAddr) -> bool {
@@ -109,7 +118,7 @@
 }
 
 impl ControlCore {
-    /// Handles a router's report of streams that pause although all their stages are
+    /// Handles a router's report of streams that stall although all their stages are
     /// reachable.
     pub(super) fn perhaps_slow(
         &mut self,
--- a/crates/deckwind-core/src/control/tracked_allowance.rs
+++ b/crates/deckwind-core/src/control/tracked_allowance.rs
@@ -1,4 +1,4 @@
-//! Allowance of one router for retries of one pool, as the leader tracks it.
+//! Retry allowance of one router process for one pool, as the leader tracks it.
 
 use super::repeat_messages::PoolReport;
 use crate::state::AllowanceKey;
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// An allowance with the leader's estimate of how much of it still counts.
+/// A retry allowance with the leader's count of how much of it still counts.
 #[derive(Clone, Debug)]
 pub(super) struct TrackedAllowance {
     /// Router and pool of the allowance.
@@ -106,7 +106,8 @@
     if total <= free {
         return shortfalls.to_vec();
     }
-    let proportional = |shortfall: &u64| (u128::from(*shortfall) * u128::from(free) / u128::from(total)) as u64;
+    let proportional =
+        |shortfall: &u64| (u128::from(*shortfall) * u128::from(free) / u128::from(total)) as u64;
     let mut parts: Vec<u64> = shortfalls.iter().map(proportional).collect();
     let mut remainder = free - parts.iter().sum::<u64>();
     for (part, shortfall) in parts.iter_mut().zip(shortfalls) {
