--- a/crates/deckwind-core/src/router/denied.rs
+++ b/crates/deckwind-core/src/router/denied.rs
@@ -1,41 +1,41 @@
-//! Why a request was not served. None of these requests was run.
+//! Reasons for refusing a request. A refused request was not run.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 use thiserror::Error;
 
-/// Stable codes of refusals, as callers see them.
+/// Stable refusal codes, as sent to callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, Error)]
 #[serde(rename_all = "kebab-case")]
 pub enum DeniedCode {
-    /// The bearer key is no account's.
+    /// The bearer key belongs to no account.
     #[error("the bearer key is not known here")]
     UnknownKey,
-    /// No such template.
+    /// The template does not exist.
     #[error("there is no such template")]
     UnknownTemplate,
-    /// The template is for another kind of request.
+    /// The template serves another kind of request.
     #[error("the template serves another kind of request")]
     WrongTemplate,
-    /// The account is over its limit.
+    /// The account is over its rate limit.
     #[error("the account is over its limit")]
     OverLimit,
-    /// It could not start before its deadline.
+    /// The request could not start before its deadline.
     #[error("it could not be started before its deadline")]
     Deadline,
-    /// Too many requests wait already.
+    /// The queue is full.
     #[error("too many requests wait already")]
     QueueFull,
-    /// This router's lease has run out.
+    /// This router's lease has expired.
     #[error("this router is cut off from the control replicas")]
     NoLease,
-    /// The router is stopping.
+    /// The router is shutting down.
     #[error("this router is stopping")]
     Draining,
-    /// Targets have ended under it, with whichever id it came.
+    /// Targets have ended while running this request's content, under any request ID.
     #[error("targets have ended under this request")]
     Quarantined,
-    /// No targets can run it at the moment.
+    /// No target can run the request at the moment.
     #[error("no targets can run it at the moment")]
     NoTargets,
 }
@@ -43,14 +43,14 @@
 /// A refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Denied {
-    /// Why.
+    /// Reason for the refusal.
     pub code: DeniedCode,
-    /// When another try helps; nothing if none does.
+    /// Time after which a retry may succeed, or `None` if no retry can.
     pub retry_after: Option<Duration>,
 }
 
 impl Denied {
-    /// A refusal that no later try changes.
+    /// Creates a refusal that no retry can change.
     pub fn for_good(code: DeniedCode) -> Self {
         Self {
             code,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A refusal that a later try may change.
+    /// Creates a refusal that a retry after `retry_after` may change.
     pub fn for_now(code: DeniedCode, retry_after: Duration) -> Self {
         Self {
             code,
--- a/crates/deckwind-core/src/router/mod.rs
+++ b/crates/deckwind-core/src/router/mod.rs
@@ -1,5 +1,5 @@
-//! A router's decisions, put together: lease, limits, admission, choice of
-//! targets, retries and service levels.
+//! The decisions of a router: lease, rate limits, admission, target selection, retries
+//! and service levels.
 //!
 //! ```text
 //!  key ─► account ─► lease ─► limit ─► pool (admission) ─► plan ─► … ─► finish
--- a/crates/deckwind-core/src/router/pools.rs
+++ b/crates/deckwind-core/src/router/pools.rs
@@ -1,7 +1,7 @@
-//! The pools of a router: how many places each has, and who holds them.
+//! Admission pools of a router: their capacities and the tickets in them.
 
 use super::denied::{Denied, DeniedCode};
-use super::router_core::{ELSEWHERE, RouterCore};
+use super::router_core::{RETRY_ELSEWHERE_AFTER, RouterCore};
 use super::work::{Admitted, Entered, Placed, Work};
 use crate::admission::{Admission, Offer, Refused, RefusedWhy, Ticket, TicketId};
 use crate::routing::GroupKey;
@@ -10,47 +10,49 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Targets that serve the same requests, with their places.
+/// Identifies the targets that serve the same requests and share their capacity.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) enum PoolKey {
     Chat(GroupKey),
     Service(TemplateName),
 }
 
-/// A ticket's pool and priority, and when it got its place.
+/// The pool and priority of a ticket, and when it got its slot; while it is queued,
+/// when it was offered.
 #[derive(Clone, Debug)]
-pub(super) struct HeldPlace {
+pub(super) struct TicketState {
     pub pool: PoolKey,
     pub priority: Priority,
     pub since: Instant,
 }
 
-/// Between two sizings of the pools by the health of their targets.
-const SIZE_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which pool capacities are recomputed from the health of targets.
+const RESIZE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl RouterCore {
-    /// Gives each pool this router's part of its targets' places: those of the
-    /// least provided layer. Targets that are suspended have none.
-    pub(super) fn size_pools(&mut self, now: Instant) {
-        self.sized_at = now;
-        let mut places: BTreeMap<PoolKey, u32> = BTreeMap::new();
+    /// Sets each pool's capacity to this router's share of its targets' slots. For a
+    /// chain, the boundary with the fewest slots counts. Suspended targets do not
+    /// count.
+    pub(super) fn resize_pools(&mut self, now: Instant) {
+        self.pools_resized_at = now;
+        let mut shares: BTreeMap<PoolKey, u32> = BTreeMap::new();
         for (template, _) in self.lease.configuration().templates() {
             let pools: Vec<PoolKey> = match &template.workload {
                 Workload::Service { .. } => vec![PoolKey::Service(template.name.clone())],
                 Workload::Chat { model, .. } => self.chat_pools(model),
             };
             for pool in pools {
-                let total = self.places_of(now, &pool);
-                let mine = total.div_ceil(self.routers).max(1);
-                places.insert(pool, mine);
+                let total = self.pool_capacity(now, &pool);
+                let own_share = total.div_ceil(self.routers).max(1);
+                shares.insert(pool, own_share);
             }
         }
-        for (pool, mine) in places {
+        for (pool, own_share) in shares {
             let admission = self.cfg.admission;
             self.pools
                 .entry(pool)
-                .or_insert_with(|| Admission::new(admission, mine))
-                .set_places(mine);
+                .or_insert_with(|| Admission::new(admission, own_share))
+                .set_places(own_share);
         }
     }
 
@@ -60,14 +62,19 @@
         groups.map(|g| PoolKey::Chat(g.clone())).collect()
     }
 
-    fn places_of(&self, now: Instant, pool: &PoolKey) -> u32 {
+    fn pool_capacity(&self, now: Instant, pool: &PoolKey) -> u32 {
         match pool {
-            PoolKey::Chat(group) => self.fleet.chain_places(now, group),
-            PoolKey::Service(template) => self.fleet.service_places(now, template),
+            PoolKey::Chat(group) => self.fleet.chain_capacity(now, group),
+            PoolKey::Service(template) => self.fleet.service_capacity(now, template),
         }
     }
 
-    /// Asks for a place in the request's pool.
+    /// Requests a slot in the request's pool.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`DeniedCode::NoTargets`] if the pool does not exist, and the refusal of
+    /// admission control if the request can't be queued.
     pub fn place(&mut self, now: Instant, entered: &Entered) -> Result<Placed, Denied> {
         let pool = match &entered.work {
             Work::Chat(chat) => PoolKey::Chat(chat.group.clone()),
@@ -83,55 +90,59 @@
             cost: 1.0,
         };
         let Some(admission) = self.pools.get_mut(&pool) else {
-            return Err(Denied::for_now(DeniedCode::NoTargets, ELSEWHERE));
+            return Err(Denied::for_now(
+                DeniedCode::NoTargets,
+                RETRY_ELSEWHERE_AFTER,
+            ));
         };
         match admission.offer(now, ticket) {
             Offer::Refused(refused) => Err(denied(refused)),
             offer => {
-                let place = HeldPlace {
+                let state = TicketState {
                     pool,
                     priority: entered.priority,
                     since: now,
                 };
-                self.tickets.insert(entered.id, place);
+                self.tickets.insert(entered.id, state);
                 let start = offer == Offer::Start;
                 Ok(if start { Placed::Start } else { Placed::Wait })
             }
         }
     }
 
-    /// A request that had its place is over; others may start.
+    /// Releases the slot or the queue position of a request. Returns the requests that
+    /// can start now.
     pub fn leave(&mut self, now: Instant, id: TicketId) -> Vec<Admitted> {
-        let Some(place) = self.tickets.remove(&id) else {
+        let Some(state) = self.tickets.remove(&id) else {
             return Vec::new();
         };
-        let Some(admission) = self.pools.get_mut(&place.pool) else {
+        let Some(admission) = self.pools.get_mut(&state.pool) else {
             return Vec::new();
         };
         if !admission.cancel(id) {
-            admission.finished(place.priority, now.since(place.since));
+            admission.finished(state.priority, now.since(state.since));
         }
         let started = start_waiting(admission, now);
-        self.note_started(now, started)
+        self.record_started(now, started)
     }
 
-    /// Counts the time of those that have just got their place from now on.
-    fn note_started(&mut self, now: Instant, admitted: Vec<Admitted>) -> Vec<Admitted> {
+    /// Restarts the slot time of the requests that have just started.
+    fn record_started(&mut self, now: Instant, admitted: Vec<Admitted>) -> Vec<Admitted> {
         for one in &admitted {
             if let Admitted::Start(id) = one
-                && let Some(place) = self.tickets.get_mut(id)
+                && let Some(state) = self.tickets.get_mut(id)
             {
-                place.since = now;
+                state.since = now;
             }
         }
         admitted
     }
 
-    /// Refuses what waits and can no longer start in time; call it ten times a
-    /// second.
+    /// Starts queued requests that have a slot and refuses those that can no longer
+    /// start before their deadline. To be called ten times a second.
     pub fn tick(&mut self, now: Instant) -> Vec<Admitted> {
-        if now.since(self.sized_at) >= SIZE_EVERY {
-            self.size_pools(now);
+        if now.since(self.pools_resized_at) >= RESIZE_INTERVAL {
+            self.resize_pools(now);
         }
         let mut out = Vec::new();
         for admission in self.pools.values_mut() {
@@ -141,7 +152,7 @@
                 out.push(Admitted::Denied(ticket.id, denied(refused)));
             }
         }
-        self.note_started(now, out)
+        self.record_started(now, out)
     }
 }
 
--- a/crates/deckwind-core/src/router/router_core.rs
+++ b/crates/deckwind-core/src/router/router_core.rs
@@ -1,7 +1,7 @@
-//! The router's decisions over its whole state.
+//! The router's state and the decisions based on it.
 
 use super::denied::{Denied, DeniedCode};
-use super::pools::{HeldPlace, PoolKey};
+use super::pools::{PoolKey, TicketState};
 use super::work::{ChatWork, Entered, ServiceWork, Work};
 use crate::admission::{AccountLimiter, Admission, AdmissionConfig, RetryBudget, TicketId};
 use crate::burn::{BurnMeter, BurnReport};
@@ -24,50 +24,50 @@
 use std::net::IpAddr;
 use std::time::Duration;
 
-/// What a router is told once.
+/// The static configuration of a router.
 #[derive(Clone, Debug)]
 pub struct RouterConfig {
-    /// Lease.
+    /// Timing of the lease.
     pub lease: LeaseTiming,
-    /// Microseconds a layer, by accelerator kind.
+    /// Time per layer by accelerator kind, in microseconds.
     pub costs: BTreeMap<String, f64>,
-    /// One-way microseconds, by data centre.
+    /// One-way latency by data centre, in microseconds.
     pub links: BTreeMap<DataCentre, f64>,
-    /// Bounds of each pool.
+    /// Limits of each pool.
     pub admission: AdmissionConfig,
-    /// Seed of its samples.
+    /// Seed for random sampling.
     pub seed: u64,
 }
 
 /// Kinds of objects that a delta changes.
 #[derive(Clone, Copy)]
-struct Changed {
+struct ChangedKinds {
     accounts: bool,
     targets: bool,
     any: bool,
 }
 
-/// Accounts named in one renewal: bounds its size, whatever the number of
-/// accounts.
-const DEMANDS_TOLD: usize = 8;
+/// Maximum number of accounts reported per lease renewal. Bounds the size of a renewal,
+/// whatever the number of accounts.
+const MAX_REPORTED_DEMANDS: usize = 8;
 
-/// How long a caller is told to wait when this router can't serve it but
-/// another may.
-pub(super) const ELSEWHERE: Duration = Duration::from_secs(1);
+/// Retry delay for callers that this router can't serve at the moment but another may.
+pub(super) const RETRY_ELSEWHERE_AFTER: Duration = Duration::from_secs(1);
 
-/// A step that takes this many times what was expected is late.
-const LATE_FACTOR: f64 = 10.0;
+/// Factor by which a step must exceed its expected time to count as late.
+const LATE_STEP_FACTOR: f64 = 10.0;
 
-/// So is one that takes this many times the longest usual step of the target.
-const LATE_OVER_USUAL: f64 = 2.0;
+/// Factor by which a step must also exceed the target's usual step times to count as
+/// late.
+const LATE_OVER_BOUND_FACTOR: f64 = 2.0;
 
-/// Shortest time after which a step counts as late.
-const MIN_STEP_LIMIT: Duration = Duration::from_millis(400);
+/// Minimum time after which a step counts as late.
+const MIN_STEP_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Longest such time.
-const MAX_STEP_LIMIT: Duration = Duration::from_secs(10);
+/// Maximum time after which a step counts as late.
+const MAX_STEP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// All that a router decides. Behind one lock; every call is short.
+/// The state behind a router's decisions. Guarded by one lock, so every call is short.
 pub struct RouterCore {
     pub(super) cfg: RouterConfig,
     pub(super) lease: RouterLeaseState,
@@ -82,20 +82,20 @@
     retries: RetryBudget,
     burn: BurnMeter,
     rng: ChaCha8Rng,
-    pub(super) tickets: HashMap<TicketId, HeldPlace>,
+    pub(super) tickets: HashMap<TicketId, TicketState>,
     next_ticket: u64,
     draining: bool,
-    pub(super) sized_at: Instant,
+    pub(super) pools_resized_at: Instant,
 }
 
 impl RouterCore {
-    /// A router without lease or configuration.
+    /// Creates a router without a lease or a configuration.
     pub fn new(cfg: RouterConfig, now: Instant) -> Self {
         let policy = Box::new(Estimated::new(cfg.seed));
         Self::with_policy(cfg, policy, now)
     }
 
-    /// A router that chooses chains in another way, for measurements.
+    /// Creates a router with another chain selection policy, for measurements.
     pub fn with_policy(cfg: RouterConfig, policy: Box<dyn Policy>, now: Instant) -> Self {
         Self {
             lease: RouterLeaseState::new(cfg.lease),
@@ -113,27 +113,28 @@
             tickets: HashMap::new(),
             next_ticket: 1,
             draining: false,
-            sized_at: now,
+            pools_resized_at: now,
             cfg,
         }
     }
 
-    /// The configuration in force here.
+    /// Returns the configuration that this router has applied.
     pub fn configuration(&self) -> &Configuration {
         self.lease.configuration()
     }
 
-    /// The lease.
+    /// Returns the state of the lease.
     pub fn lease(&self) -> &RouterLeaseState {
         &self.lease
     }
 
-    /// The targets.
+    /// Returns the targets.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Takes a grant of the leader's.
+    /// Applies a lease grant from the leader, with the configuration changes, rate
+    /// shares and number of routers that come with it.
     pub fn granted(
         &mut self,
         grant: LeaseGrant,
@@ -142,7 +143,7 @@
         shares: Vec<(AccountName, AccountShare)>,
         routers: u32,
     ) {
-        let changed = Changed {
+        let changed = ChangedKinds {
             accounts: !delta.accounts.is_empty(),
             targets: !delta.targets.is_empty(),
             any: delta.to > self.lease.applied(),
@@ -154,20 +155,20 @@
         if new_leader {
             self.limiter.forget_told();
         }
-        let other_count = self.routers != routers.max(1);
+        let router_count_changed = self.routers != routers.max(1);
         self.routers = routers.max(1);
         self.shares
             .extend(shares.into_iter().map(|(a, s)| (a, s.per_s)));
         self.apply_configuration(changed);
-        if changed.any || other_count {
-            self.size_pools(now);
+        if changed.any || router_count_changed {
+            self.resize_pools(now);
         }
         self.set_rates(now);
     }
 
-    /// Rebuilds what follows from the kinds of objects that changed: an index
-    /// over thousands of targets is not made anew for a template.
-    fn apply_configuration(&mut self, changed: Changed) {
+    /// Rebuilds the state derived from the kinds of objects that changed. The index
+    /// over thousands of targets is not rebuilt for a changed template.
+    fn apply_configuration(&mut self, changed: ChangedKinds) {
         let cfg = self.lease.configuration();
         if changed.accounts {
             self.accounts = cfg
@@ -185,13 +186,17 @@
 
     fn set_rates(&mut self, now: Instant) {
         for (account, _) in self.lease.configuration().accounts() {
-            let even = account.limits.requests_per_s / f64::from(self.routers);
-            let rate = self.shares.get(&account.name).copied().unwrap_or(even);
+            let even_share = account.limits.requests_per_s / f64::from(self.routers);
+            let rate = self
+                .shares
+                .get(&account.name)
+                .copied()
+                .unwrap_or(even_share);
             self.limiter.set_rate(now, &account.name, rate);
         }
     }
 
-    /// Takes the platform's list.
+    /// Applies the platform's list of VMs.
     pub fn platform_listed(
         &mut self,
         sequence: u64,
@@ -204,29 +209,39 @@
 
     fn mark_leaving(&mut self) {
         let platform = &self.platform;
-        self.fleet.mark_vms(|ip| platform.is_leaving(ip));
+        self.fleet.mark_leaving_vms(|ip| platform.is_leaving(ip));
     }
 
-    /// The account whose bearer key has this SHA-256, in hexadecimal.
+    /// Returns the account whose bearer key has this SHA-256, in hexadecimal.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`DeniedCode::NoLease`] if no accounts are known yet, and
+    /// [`DeniedCode::UnknownKey`] if none has this key.
     pub fn authenticate(&self, key_sha256: &str) -> Result<AccountName, Denied> {
         if self.accounts.is_empty() {
-            return Err(Denied::for_now(DeniedCode::NoLease, ELSEWHERE));
+            return Err(Denied::for_now(DeniedCode::NoLease, RETRY_ELSEWHERE_AFTER));
         }
         let account = self.accounts.get(key_sha256).cloned();
         account.ok_or(Denied::for_good(DeniedCode::UnknownKey))
     }
 
-    /// Stops taking new requests.
+    /// Stops accepting new requests.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// Whether callers should be sent here.
+    /// Returns whether callers should be sent to this router.
     pub fn is_ready(&self, now: Instant) -> bool {
         !self.draining && self.lease.is_live(now)
     }
 
-    /// Checks a request and gives it a ticket. It holds no place yet.
+    /// Checks a request and gives it a ticket. The request does not occupy a slot yet.
+    ///
+    /// # Errors
+    ///
+    /// Returns a refusal if the router is draining, the template or account is unknown,
+    /// the lease does not allow serving, or the account is over its rate limit.
     pub fn enter(
         &mut self,
         now: Instant,
@@ -234,13 +249,13 @@
         template: &TemplateName,
     ) -> Result<Entered, Denied> {
         if self.draining {
-            return Err(Denied::for_now(DeniedCode::Draining, ELSEWHERE));
+            return Err(Denied::for_now(DeniedCode::Draining, RETRY_ELSEWHERE_AFTER));
         }
         let cfg = self.lease.configuration();
         let known = cfg.template(template);
         let found = known.ok_or(Denied::for_good(DeniedCode::UnknownTemplate))?;
         if self.lease.decide(now, found) == ServeDecision::Refuse {
-            return Err(Denied::for_now(DeniedCode::NoLease, ELSEWHERE));
+            return Err(Denied::for_now(DeniedCode::NoLease, RETRY_ELSEWHERE_AFTER));
         }
         let entered = self.resolve(now, account, found)?;
         if let Err(wait) = self.limiter.take(now, account) {
@@ -257,10 +272,10 @@
         template: &Template,
     ) -> Result<Entered, Denied> {
         let known = self.configuration().account(account);
-        let own = known.ok_or(Denied::for_good(DeniedCode::UnknownKey))?;
+        let account_config = known.ok_or(Denied::for_good(DeniedCode::UnknownKey))?;
         let parameters = template
             .parameters
-            .overridden_by(own.parameters.get(&template.name));
+            .overridden_by(account_config.parameters.get(&template.name));
         let work = match &template.workload {
             Workload::Service { timeout_ms } => Work::Service(ServiceWork {
                 timeout: Duration::from_millis(*timeout_ms),
@@ -286,7 +301,11 @@
         })
     }
 
-    /// Plans stages for the layers of `need`, and counts them at their targets.
+    /// Plans stages for the layers of `need` and counts them at their targets.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`DeniedCode::NoTargets`] if no chain covers the layers.
     pub fn plan_chain(
         &mut self,
         now: Instant,
@@ -295,7 +314,10 @@
         let stages = self
             .policy
             .choose(&self.fleet, now, need)
-            .ok_or(Denied::for_now(DeniedCode::NoTargets, ELSEWHERE))?;
+            .ok_or(Denied::for_now(
+                DeniedCode::NoTargets,
+                RETRY_ELSEWHERE_AFTER,
+            ))?;
         self.policy.dispatched(need, &stages);
         for stage in &stages {
             self.fleet.dispatched(now, stage.target, stage.layers.len());
@@ -303,12 +325,12 @@
         Ok(stages)
     }
 
-    /// A stage is over.
+    /// Records the end of a stage.
     pub fn stage_ended(&mut self, now: Instant, key: TargetKey, layers: LayerRange) {
         self.fleet.finished(now, key, layers.len());
     }
 
-    /// A stage answered a step of `positions` positions.
+    /// Records a finished step of `positions` positions.
     pub fn stage_progressed(
         &mut self,
         now: Instant,
@@ -321,8 +343,9 @@
             .progressed(now, key, took, layers.len(), positions);
     }
 
-    /// How long a step may take before the stage counts as late: a multiple of
-    /// what is expected of it.
+    /// Returns the time after which a step counts as late: the larger of a multiple of
+    /// its expected time and a multiple of the target's usual step times, within fixed
+    /// limits.
     pub fn step_limit(
         &self,
         now: Instant,
@@ -331,21 +354,23 @@
         positions: usize,
     ) -> Duration {
         let Some(t) = self.fleet.get(key) else {
-            return MIN_STEP_LIMIT;
+            return MIN_STEP_TIMEOUT;
         };
         let prefill = positions as f64 * f64::from(layers.len()) * t.layer_us;
         let expected = t.step_us(now, layers.len()) + prefill;
-        let late_us = (expected * LATE_FACTOR).max(t.usual_step_us() * LATE_OVER_USUAL);
+        let late_us =
+            (expected * LATE_STEP_FACTOR).max(t.step_upper_bound_us() * LATE_OVER_BOUND_FACTOR);
         let limit = Duration::from_micros(late_us as u64);
-        limit.clamp(MIN_STEP_LIMIT, MAX_STEP_LIMIT)
+        limit.clamp(MIN_STEP_TIMEOUT, MAX_STEP_TIMEOUT)
     }
 
-    /// A target failed.
+    /// Records a failure of a target.
     pub fn target_failed(&mut self, now: Instant, key: TargetKey) {
         self.fleet.failed(now, key);
     }
 
-    /// A target answered or not: for plain services.
+    /// Records the end of a call to a plain service: `ok` holds its duration if it
+    /// succeeded.
     pub fn service_ended(&mut self, now: Instant, key: TargetKey, ok: Option<Duration>) {
         match ok {
             Some(took) => self.fleet.progressed(now, key, took, 1, 1),
@@ -354,12 +379,18 @@
         self.fleet.finished(now, key, 1);
     }
 
-    /// A target wants to be left alone for so long.
+    /// Records that a target has asked to receive no new work for `rest`.
     pub fn target_rests(&mut self, now: Instant, key: TargetKey, rest: Duration) {
         self.fleet.rests(now, key, rest);
     }
 
-    /// Chooses a plain service's target and counts the call there.
+    /// Selects the target for a call to a plain service and counts the call there.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`DeniedCode::NoTargets`] if no target is usable. If all of them have
+    /// asked for no new work, `retry_after` is the shortest time until one accepts work
+    /// again.
     pub fn plan_service(
         &mut self,
         now: Instant,
@@ -369,28 +400,29 @@
         let chosen = choose_service(&self.fleet, now, template, avoid, &mut self.rng);
         let key = chosen.ok_or_else(|| {
             let left = self.fleet.service_rest_left(now, template);
-            Denied::for_now(DeniedCode::NoTargets, left.unwrap_or(ELSEWHERE))
+            Denied::for_now(DeniedCode::NoTargets, left.unwrap_or(RETRY_ELSEWHERE_AFTER))
         })?;
         self.fleet.dispatched(now, key, 1);
         Ok(key)
     }
 
-    /// Takes a load report.
+    /// Records a load report.
     pub fn load_reported(&mut self, now: Instant, key: TargetKey, report: LoadReport) {
         self.fleet.reported(now, key, report);
     }
 
-    /// The policy, for cache events.
+    /// Returns the policy, to which cache events are applied.
     pub fn policy(&mut self) -> &mut dyn Policy {
         self.policy.as_mut()
     }
 
-    /// The budget of retries.
+    /// Returns the retry budget.
     pub fn retries(&mut self) -> &mut RetryBudget {
         &mut self.retries
     }
 
-    /// Counts an answer for the service levels.
+    /// Counts an answer towards the service level objectives. `took` is `None` if the
+    /// request failed.
     pub fn answered(&mut self, now: Instant, entered: &Entered, took: Option<Duration>) {
         let template = self.configuration().template(&entered.template);
         let objective = template.map(|t| t.objective).unwrap_or_default();
@@ -400,17 +432,17 @@
             .answered(now, &entered.template, &entered.account, good);
     }
 
-    /// The service-level report.
+    /// Returns the report on service levels.
     pub fn burn_report(&mut self, now: Instant) -> BurnReport {
         self.burn.report(now, self.lease.configuration())
     }
 
-    /// What accounts asked for, for the next renewal.
+    /// Returns the demand of accounts to report with the next lease renewal.
     pub fn demand(&mut self, now: Instant) -> Vec<(AccountName, AccountDemand)> {
-        self.limiter.demand(now, DEMANDS_TOLD)
+        self.limiter.demand(now, MAX_REPORTED_DEMANDS)
     }
 
-    /// Requests that hold a ticket.
+    /// Returns the number of requests that hold a ticket.
     pub fn open_requests(&self) -> usize {
         self.tickets.len()
     }
--- a/crates/deckwind-core/src/router/work.rs
+++ b/crates/deckwind-core/src/router/work.rs
@@ -1,4 +1,4 @@
-//! Requests as the router's decisions see them.
+//! Requests, as input to the router's decisions.
 
 use super::denied::Denied;
 use crate::admission::TicketId;
@@ -7,68 +7,68 @@
 use crate::time::Instant;
 use std::time::Duration;
 
-/// A chat request, resolved against template and account.
+/// A chat request, resolved against its template and account.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChatWork {
     /// Model and version.
     pub group: GroupKey,
-    /// Adapter.
+    /// Adapter, if any.
     pub adapter: Option<String>,
-    /// Layers of the model.
+    /// Number of layers of the model.
     pub layers: u32,
 }
 
-/// A call to a plain service, resolved.
+/// A call to a plain service, resolved against its template.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServiceWork {
-    /// Upper bound of one call.
+    /// Timeout of one call.
     pub timeout: Duration,
 }
 
-/// What is to be done.
+/// The work that a request asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Work {
-    /// Chat.
+    /// A chat over a chain of engines.
     Chat(ChatWork),
-    /// Plain service.
+    /// A call to a plain service.
     Service(ServiceWork),
 }
 
-/// A request that passed the first checks.
+/// A request that passed authentication, template and rate limit checks.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entered {
-    /// Ticket; names it until it is finished.
+    /// Ticket ID of the request until it is finished.
     pub id: TicketId,
-    /// Template.
+    /// Template of the request.
     pub template: TemplateName,
-    /// Account.
+    /// Account of the request.
     pub account: AccountName,
-    /// Order of service.
+    /// Priority in the queue.
     pub priority: Priority,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// When it came.
+    /// Time of arrival.
     pub arrived: Instant,
-    /// When it must have started.
+    /// Time by which the request must have started.
     pub start_by: Instant,
-    /// What is to be done.
+    /// Work to run.
     pub work: Work,
 }
 
-/// Whether an entered request starts now.
+/// The result of requesting a slot.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Placed {
-    /// It starts.
+    /// The request starts now.
     Start,
-    /// It waits for a place.
+    /// The request is queued until a slot is free.
     Wait,
 }
 
-/// What became of requests that waited.
+/// The result for a queued request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Admitted {
-    /// It starts.
+    /// The request starts now.
     Start(TicketId),
-    /// It is refused; it was not run.
+    /// The request is refused and was not run.
     Denied(TicketId, Denied),
 }
--- a/crates/deckwind-core/src/routing/bound.rs
+++ b/crates/deckwind-core/src/routing/bound.rs
@@ -1,62 +1,62 @@
-//! The throughput that the hardware allows.
+//! The upper bound of the throughput that the hardware allows.
 //!
-//! A token needs every layer once, and a target runs any layer that it holds at
-//! the same speed. So the bound is a flow problem: each target splits its speed,
-//! in layer-tokens a second, over the segments of layers that it holds; the
-//! least served segment is the bound. Between two boundaries all layers are
-//! alike, so a segment stands for them.
+//! Each token runs through every layer once, and a target runs each layer that it holds
+//! at the same speed. The bound is therefore a flow problem: each target splits its
+//! speed, in layer-tokens per second, over the segments of layers that it holds, and
+//! the segment with the lowest rate is the bound. All layers between two boundaries are
+//! equivalent, so they form one segment.
 
 use crate::state::LayerRange;
 
-/// A target as the bound sees it.
+/// A target, reduced to what the bound depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BoundTarget {
-    /// Layers that it holds.
+    /// Layers that the target holds.
     pub layers: LayerRange,
-    /// Time of one layer of one token, microseconds.
+    /// Time for one layer of one token, in microseconds.
     pub layer_us: f64,
 }
 
-/// Rounds of levelling; each halves what is left uneven.
-const ROUNDS: usize = 2_000;
+/// Maximum number of iterations; each halves the remaining imbalance.
+const MAX_ITERATIONS: usize = 2_000;
 
-/// Most tokens a second that `targets` can make, where each token runs layers
-/// `0..layers` once.
+/// Returns the maximum number of tokens per second that `targets` can produce when each
+/// token runs layers `0..layers` once.
 ///
-/// Levelling moves speed from the best served segment of each target to its
-/// worst served one until nothing moves. That is coordinate descent on the sum
-/// of size × rate², which is smooth and convex; its minimum is the max-min fair
-/// split, whose least rate is the bound. The result is approached from below.
+/// Each iteration moves speed from a target's best-served segment to its worst-served
+/// one, until nothing moves. This is coordinate descent on the sum of size × rate²,
+/// which is smooth and convex. Its minimum is the max-min fair split, whose lowest rate
+/// is the bound. The result approaches the bound from below.
 pub fn hardware_bound(targets: &[BoundTarget], layers: u32) -> f64 {
-    let mut cuts: Vec<u32> = targets
+    let mut cut_points: Vec<u32> = targets
         .iter()
         .flat_map(|t| [t.layers.first, t.layers.last])
         .chain([0, layers])
         .filter(|l| *l <= layers)
         .collect();
-    cuts.sort_unstable();
-    cuts.dedup();
-    let segments: Vec<LayerRange> = cuts
+    cut_points.sort_unstable();
+    cut_points.dedup();
+    let segments: Vec<LayerRange> = cut_points
         .windows(2)
         .map(|w| LayerRange::new(w[0], w[1]))
         .collect();
-    level(targets, &segments)
+    balance(targets, &segments)
 }
 
-fn level(targets: &[BoundTarget], segments: &[LayerRange]) -> f64 {
+fn balance(targets: &[BoundTarget], segments: &[LayerRange]) -> f64 {
     let mut supply = vec![0.0f64; segments.len()];
-    let mut given: Vec<Vec<(usize, f64)>> = targets
+    let mut allocations: Vec<Vec<(usize, f64)>> = targets
         .iter()
-        .map(|t| spread_by_layers(t, segments))
+        .map(|t| initial_allocation(t, segments))
         .collect();
-    for (segment, speed) in given.iter().flatten() {
+    for (segment, speed) in allocations.iter().flatten() {
         supply[*segment] += speed;
     }
     let size = |s: usize| f64::from(segments[s].len());
-    for _ in 0..ROUNDS {
+    for _ in 0..MAX_ITERATIONS {
         let mut moved = 0.0;
-        for shares in &mut given {
-            moved += level_one(shares, &mut supply, &size);
+        for shares in &mut allocations {
+            moved += rebalance_target(shares, &mut supply, &size);
         }
         if moved < 1e-9 {
             break;
@@ -67,7 +67,7 @@
         .fold(f64::INFINITY, f64::min)
 }
 
-fn spread_by_layers(t: &BoundTarget, segments: &[LayerRange]) -> Vec<(usize, f64)> {
+fn initial_allocation(t: &BoundTarget, segments: &[LayerRange]) -> Vec<(usize, f64)> {
     let speed = 1e6 / t.layer_us;
     let inside = |s: &LayerRange| t.layers.first <= s.first && s.last <= t.layers.last;
     segments
@@ -78,9 +78,13 @@
         .collect()
 }
 
-/// Moves one target's speed from its best to its worst served segment, as far
-/// as evens them out; answers with what moved.
-fn level_one(shares: &mut [(usize, f64)], supply: &mut [f64], size: &impl Fn(usize) -> f64) -> f64 {
+/// Moves speed of one target from its best-served to its worst-served segment until
+/// their rates are equal or the speed is used up. Returns the amount moved.
+fn rebalance_target(
+    shares: &mut [(usize, f64)],
+    supply: &mut [f64],
+    size: &impl Fn(usize) -> f64,
+) -> f64 {
     let rate = |s: usize, supply: &[f64]| supply[s] / size(s);
     let by_rate = |a: &usize, b: &usize| rate(*a, supply).total_cmp(&rate(*b, supply));
     let worst = shares.iter().map(|(s, _)| *s).min_by(by_rate);
@@ -93,10 +97,10 @@
     if gap <= 0.0 {
         return 0.0;
     }
-    let even = gap / (1.0 / size(best) + 1.0 / size(worst));
+    let transfer = gap / (1.0 / size(best) + 1.0 / size(worst));
     let mut moved = 0.0;
     for (s, v) in shares.iter_mut().filter(|(s, _)| *s == best) {
-        moved = even.min(*v);
+        moved = transfer.min(*v);
         *v -= moved;
         supply[*s] -= moved;
     }
--- a/crates/deckwind-core/src/routing/chain_search.rs
+++ b/crates/deckwind-core/src/routing/chain_search.rs
@@ -1,4 +1,4 @@
-//! The shortest chain over a sample of the candidates.
+//! Shortest-path search for a chain over sampled candidates.
 
 use super::fleet::{Boundary, Fleet, GroupKey, TargetKey};
 use super::health::HealthState;
@@ -9,7 +9,7 @@
 use rand::{Rng, RngExt};
 use std::collections::BTreeSet;
 
-/// What a request needs.
+/// The requirements of a request.
 #[derive(Clone, Debug)]
 pub struct ChainNeed {
     /// Model and version.
@@ -18,26 +18,26 @@
     pub adapter: Option<String>,
     /// Layers to run.
     pub layers: LayerRange,
-    /// Positions of the prompt.
+    /// Number of positions in the prompt.
     pub prompt: u32,
-    /// Positions expected in the answer.
+    /// Expected number of positions in the answer.
     pub answer: u32,
     /// Prefixes of the prompt, shortest first.
     pub prefixes: Vec<PrefixHash>,
-    /// Targets to leave out.
+    /// Targets to exclude.
     pub avoid: BTreeSet<TargetName>,
 }
 
-/// A stage as planned.
+/// A planned stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedStage {
-    /// The target.
+    /// Key of the target.
     pub target: TargetKey,
-    /// Layers that it runs.
+    /// Layers that the target runs.
     pub layers: LayerRange,
 }
 
-/// Best way to a boundary that was found so far.
+/// The cheapest known way to a boundary.
 #[derive(Clone, Copy, Debug)]
 struct Reached {
     cost: f64,
@@ -45,14 +45,14 @@
     target: TargetKey,
 }
 
-/// Candidates looked at for each boundary.
-const SAMPLE: usize = 4;
+/// Number of candidates sampled at each boundary.
+const SAMPLE_SIZE: usize = 4;
 
-/// Tries to fill a sample before a sparse list counts as exhausted.
-const SAMPLE_TRIES: usize = 12;
+/// Maximum number of attempts to fill a sample from a list with few usable candidates.
+const MAX_SAMPLE_ATTEMPTS: usize = 12;
 
-/// Finds the chain of least cost, where `cost` judges one stage. `extra`
-/// candidates are looked at besides the sample, wherever they can start.
+/// Returns the chain with the lowest total of `cost`, which is evaluated per stage.
+/// `extra` candidates are considered in addition to the sample wherever they can start.
 pub fn search_chain(
     fleet: &Fleet,
     now: Instant,
@@ -71,7 +71,7 @@
             None if from == start => 0.0,
             None => continue,
         };
-        let candidates = sample(fleet, now, need, &boundaries[from], extra, rng);
+        let candidates = sample_candidates(fleet, now, need, &boundaries[from], extra, rng);
         for target in candidates {
             let last = fleet.get(target)?.layers.last;
             for to in from + 1..=goal {
@@ -90,10 +90,10 @@
             }
         }
     }
-    walk_back(boundaries, &reached, start, goal)
+    reconstruct_chain(boundaries, &reached, start, goal)
 }
 
-fn walk_back(
+fn reconstruct_chain(
     boundaries: &[Boundary],
     reached: &[Option<Reached>],
     start: usize,
@@ -114,20 +114,20 @@
     Some(stages)
 }
 
-/// Whether a target may get new work of this kind.
-fn usable(fleet: &Fleet, now: Instant, need: &ChainNeed, key: TargetKey) -> bool {
+/// Returns whether a target may get new work for `need`.
+fn is_usable(fleet: &Fleet, now: Instant, need: &ChainNeed, key: TargetKey) -> bool {
     let Some(t) = fleet.get(key) else {
         return false;
     };
     let adapter = need.adapter.as_ref();
     t.takes_work(now)
-        && t.has_slot()
+        && t.has_free_slot()
         && t.health.state(now) != HealthState::Suspended
         && adapter.is_none_or(|a| t.adapters.contains(a))
         && !need.avoid.contains(&t.name)
 }
 
-fn sample(
+fn sample_candidates(
     fleet: &Fleet,
     now: Instant,
     need: &ChainNeed,
@@ -136,50 +136,54 @@
     rng: &mut impl Rng,
 ) -> Vec<TargetKey> {
     let all = &boundary.candidates;
-    let mut out: Vec<TargetKey> = Vec::with_capacity(SAMPLE + 2);
-    let take = |key: TargetKey, out: &mut Vec<TargetKey>| {
-        if !out.contains(&key) && usable(fleet, now, need, key) {
+    let mut out: Vec<TargetKey> = Vec::with_capacity(SAMPLE_SIZE + 2);
+    let push_usable = |key: TargetKey, out: &mut Vec<TargetKey>| {
+        if !out.contains(&key) && is_usable(fleet, now, need, key) {
             out.push(key);
         }
     };
-    let first = |k: &&TargetKey| {
+    let can_start = |k: &&TargetKey| {
         fleet
             .get(**k)
             .is_some_and(|t| t.layers.contains(boundary.layer))
     };
-    for key in extra.iter().filter(first) {
-        take(*key, &mut out);
+    for key in extra.iter().filter(can_start) {
+        push_usable(*key, &mut out);
     }
-    if let Some(home) = home(boundary, need) {
-        take(home, &mut out);
+    if let Some(owner) = ring_owner(boundary, need) {
+        push_usable(owner, &mut out);
     }
-    let wanted = out.len() + SAMPLE;
-    if all.len() <= SAMPLE {
-        all.iter().for_each(|k| take(*k, &mut out));
+    let wanted = out.len() + SAMPLE_SIZE;
+    if all.len() <= SAMPLE_SIZE {
+        all.iter().for_each(|k| push_usable(*k, &mut out));
         return out;
     }
-    for _ in 0..SAMPLE_TRIES {
+    for _ in 0..MAX_SAMPLE_ATTEMPTS {
         if out.len() >= wanted {
             break;
         }
-        take(all[rng.random_range(0..all.len())], &mut out);
+        push_usable(all[rng.random_range(0..all.len())], &mut out);
     }
     if out.is_empty() {
-        all.iter().for_each(|k| take(*k, &mut out));
+        all.iter().for_each(|k| push_usable(*k, &mut out));
     }
     out
 }
 
-/// Where a prompt's first block belongs on the hash ring: routers that share
-/// nothing agree on it (Karger et al., "Consistent Hashing", STOC 1997).
-fn home(boundary: &Boundary, need: &ChainNeed) -> Option<TargetKey> {
+/// Returns the owner of the prompt's first block on the hash ring. Routers agree on it
+/// without sharing state (Karger et al., "Consistent Hashing", STOC 1997).
+fn ring_owner(boundary: &Boundary, need: &ChainNeed) -> Option<TargetKey> {
     let first = need.prefixes.first()?;
     let i = boundary.ring.partition_point(|(hash, _)| *hash < first.0);
     let (_, key) = boundary.ring.get(i).or(boundary.ring.first())?;
     Some(*key)
 }
 
-/// The planned stages by name, checked to tile `0..layers`.
+/// Resolves the planned stages to target names.
+///
+/// # Errors
+///
+/// Returns an error if the stages do not cover `0..layers` without gap or overlap.
 pub fn plan_names(
     fleet: &Fleet,
     stages: &[PlannedStage],
--- a/crates/deckwind-core/src/routing/chains.rs
+++ b/crates/deckwind-core/src/routing/chains.rs
@@ -1,25 +1,25 @@
-//! Which engines hold a chain together: one or more whole chains in each data
-//! centre.
+//! Assignment of engines to chains, with one or more whole chains in each data centre.
 //!
-//! The groups follow from what the engines hold, so that a new leader finds the
-//! same ones: whole chains are taken out first, those whose engines join without
-//! overlap before others, and what is left is a chain that is broken, one that is
-//! not placed yet, or spare.
+//! The groups are derived from the layers that engines hold, so that a new leader
+//! computes the same ones. Whole chains are extracted first, preferably those whose
+//! engines join without overlap. The remaining engines form a broken chain, a chain
+//! that is not placed yet, or spares.
 
-use super::layout::{TOKEN_SHARES, most_layers};
+use super::layout::{TOKEN_SHARES, layer_capacity};
 use super::placement::Card;
 use crate::state::{DataCentre, EngineModel};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Most stages of a path, less some for stages that are mended with more.
-const MOST_CARDS: usize = 28;
+/// Maximum number of cards of a chain. Leaves room below the maximum number of stages
+/// for repairs that add stages.
+const MAX_CARDS_PER_CHAIN: usize = 28;
 
-/// Most chains in one data centre.
-const MOST_CHAINS: usize = 16;
+/// Maximum number of chains in one data centre.
+const MAX_CHAINS: usize = 16;
 
-/// The cards that should hold a chain together. Where no data centre can hold
-/// one alone, all cards are one group.
+/// Groups the cards that should hold a chain together. If no data centre can hold a
+/// chain alone, all cards form one group.
 pub fn chain_groups(model: &EngineModel, cards: &[Card]) -> Vec<Vec<Card>> {
     let mut centres: Vec<&DataCentre> = cards.iter().map(|c| &c.data_centre).collect();
     centres.sort();
@@ -35,13 +35,13 @@
     groups
 }
 
-/// Whether these cards can hold a chain at all.
+/// Returns whether the cards have enough memory to hold a chain.
 pub fn holds_chain(model: &EngineModel, cards: &[&Card]) -> bool {
-    share_kept(model, cards).is_some()
+    max_token_share(model, cards).is_some()
 }
 
-/// The cards of one data centre that should hold a chain together; none if they can't
-/// hold one.
+/// Groups the cards of one data centre that should hold a chain together. Returns no
+/// group if the cards can't hold a chain.
 pub fn chains_within(model: &EngineModel, cards: Vec<Card>) -> Vec<Vec<Card>> {
     if !holds_chain(model, &cards.iter().collect::<Vec<_>>()) {
         return Vec::new();
@@ -50,65 +50,66 @@
     if count == 1 {
         return vec![cards];
     }
-    let mut rest = cards;
+    let mut remaining = cards;
     let mut groups = Vec::new();
     while groups.len() < count
-        && let Some(chain) = take_chain(model, &mut rest)
+        && let Some(chain) = extract_chain(model, &mut remaining)
     {
         groups.push(chain);
     }
     let missing = count - groups.len();
     if missing > 0 {
-        groups.extend(new_groups(model, rest, missing));
+        groups.extend(group_remaining(model, remaining, missing));
     } else if let Some(last) = groups.last_mut() {
-        last.extend(rest);
+        last.extend(remaining);
     }
     groups
 }
 
-/// How many times more tokens another chain must bring: with fewer chains each
-/// has more cards to mend it with.
-const WORTH_A_CHAIN: f64 = 1.1;
+/// Factor by which another chain must increase the total token capacity. With fewer
+/// chains, each has more cards for repairs.
+const MIN_CHAIN_GAIN: f64 = 1.1;
 
-/// As many chains as keep most tokens together.
+/// Returns the number of chains with the highest total token capacity. A higher number
+/// must gain at least [`MIN_CHAIN_GAIN`].
 fn chain_count(model: &EngineModel, cards: &[Card]) -> usize {
-    let least = cards.len().div_ceil(MOST_CARDS).max(1);
-    let mut best = (least, 0.0);
-    for count in least..=MOST_CHAINS {
-        let groups = spread(model, cards, count);
-        let shares = groups.iter().map(|g| share_kept(model, g));
+    let min_count = cards.len().div_ceil(MAX_CARDS_PER_CHAIN).max(1);
+    let mut best = (min_count, 0.0);
+    for count in min_count..=MAX_CHAINS {
+        let groups = split_evenly(model, cards, count);
+        let shares = groups.iter().map(|g| max_token_share(model, g));
         let shares: Option<Vec<f64>> = shares.collect();
         let Some(shares) = shares else {
             break;
         };
-        let kept: f64 = shares.iter().sum();
-        if kept > best.1 * WORTH_A_CHAIN {
-            best = (count, kept);
+        let total_share: f64 = shares.iter().sum();
+        if total_share > best.1 * MIN_CHAIN_GAIN {
+            best = (count, total_share);
         }
     }
     best.0
 }
 
-/// Largest part of what an engine keeps at most that all cards of a chain can
-/// keep.
-fn share_kept(model: &EngineModel, cards: &[&Card]) -> Option<f64> {
-    let holds = |share: &f64| {
+/// Returns the largest token capacity that all cards of a chain can reach, as a share
+/// of an engine's maximum, or `None` if they can't hold a chain.
+fn max_token_share(model: &EngineModel, cards: &[&Card]) -> Option<f64> {
+    let is_enough = |share: &f64| {
         let tokens = model.max_tokens as f64 * share;
-        let layers: u32 = cards.iter().map(|c| most_layers(model, c, tokens)).sum();
+        let layers: u32 = cards.iter().map(|c| layer_capacity(model, c, tokens)).sum();
         layers >= model.layers
     };
-    TOKEN_SHARES.into_iter().find(holds)
+    TOKEN_SHARES.into_iter().find(is_enough)
 }
 
-/// Part of what an engine keeps at most, at which the cards' room for layers is
-/// made even over groups.
-const EVEN_AT: f64 = 0.85;
+/// Token capacity, as a share of an engine's maximum, at which the layer capacity of
+/// the groups is balanced.
+const BALANCE_TOKEN_SHARE: f64 = 0.85;
 
-/// Cards as groups that have about as much room for layers each: the largest
-/// card goes to the group that has least so far.
-fn spread<'a>(model: &EngineModel, cards: &'a [Card], count: usize) -> Vec<Vec<&'a Card>> {
-    let tokens = model.max_tokens as f64 * EVEN_AT;
-    let sized = cards.iter().map(|c| (most_layers(model, c, tokens), c));
+/// Splits the cards into groups of about equal layer capacity: each card, largest
+/// first, goes to the group with the least capacity so far.
+fn split_evenly<'a>(model: &EngineModel, cards: &'a [Card], count: usize) -> Vec<Vec<&'a Card>> {
+    let tokens = model.max_tokens as f64 * BALANCE_TOKEN_SHARE;
+    let sized = cards.iter().map(|c| (layer_capacity(model, c, tokens), c));
     let mut sized: Vec<(u32, &Card)> = sized.collect();
     sized.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.id.cmp(&b.1.id)));
     let mut groups: Vec<Vec<&Card>> = vec![Vec::new(); count];
@@ -123,20 +124,20 @@
     groups
 }
 
-/// Takes a whole chain out of the cards: one whose engines join without overlap
-/// if there is one.
-fn take_chain(model: &EngineModel, cards: &mut Vec<Card>) -> Option<Vec<Card>> {
-    let mut picked = joined_chain(model, cards).or_else(|| any_chain(model, cards))?;
+/// Removes the cards of one whole chain from `cards`, preferably one whose engines join
+/// without overlap.
+fn extract_chain(model: &EngineModel, cards: &mut Vec<Card>) -> Option<Vec<Card>> {
+    let mut picked = contiguous_chain(model, cards).or_else(|| covering_chain(model, cards))?;
     picked.sort_unstable_by(|a, b| b.cmp(a));
     Some(picked.into_iter().map(|i| cards.swap_remove(i)).collect())
 }
 
-/// Places of cards each of which begins where the one before ends. Which of the
-/// cards that begin at one layer is taken does not matter to the other chains
-/// through that layer, but some may lead nowhere: those are found from the end
-/// backwards.
-fn joined_chain(model: &EngineModel, cards: &[Card]) -> Option<Vec<usize>> {
-    // next[layer]: the card that begins there and leads on to the end.
+/// Returns the indices of cards each of which begins where the previous one ends. Among
+/// cards that begin at the same layer the choice does not affect other chains through
+/// that layer, but some may lead to a dead end. These are excluded by searching
+/// backwards from the last layer.
+fn contiguous_chain(model: &EngineModel, cards: &[Card]) -> Option<Vec<usize>> {
+    // next[layer]: a card that begins there and connects to the last layer.
     let mut next = vec![None; model.layers as usize];
     let mut by_first: Vec<usize> = (0..cards.len()).collect();
     by_first.sort_by_key(|i| (cards[*i].held.first, cards[*i].held.last));
@@ -158,9 +159,9 @@
     Some(picked)
 }
 
-/// Places of cards that hold all layers, with as little overlap as can be told
-/// from one card to the next.
-fn any_chain(model: &EngineModel, cards: &[Card]) -> Option<Vec<usize>> {
+/// Returns the indices of cards that hold all layers, chosen greedily for little
+/// overlap between neighbours.
+fn covering_chain(model: &EngineModel, cards: &[Card]) -> Option<Vec<usize>> {
     let mut picked: Vec<usize> = Vec::new();
     let mut layer = 0;
     while layer < model.layers {
@@ -177,12 +178,12 @@
     Some(picked)
 }
 
-/// Cards that hold no whole chain, as `count` groups of mixed kinds; as one if
-/// they hold a good part of a chain.
-fn new_groups(model: &EngineModel, cards: Vec<Card>, count: usize) -> Vec<Vec<Card>> {
+/// Splits cards that hold no whole chain into `count` groups of mixed kinds, or keeps
+/// them as one group if they hold at least half the layers of a chain.
+fn group_remaining(model: &EngineModel, cards: Vec<Card>, count: usize) -> Vec<Vec<Card>> {
     let held: u32 = cards.iter().map(|c| c.held.len()).sum();
     let count = if held < model.layers / 2 { count } else { 1 };
-    let mut groups = spread(model, &cards, count);
+    let mut groups = split_evenly(model, &cards, count);
     groups.retain(|g| holds_chain(model, g));
     let owned = |g: Vec<&Card>| g.into_iter().cloned().collect();
     groups.into_iter().map(owned).collect()
--- a/crates/deckwind-core/src/routing/draws.rs
+++ b/crates/deckwind-core/src/routing/draws.rs
@@ -1,38 +1,39 @@
-//! Random numbers that follow from a request's draw: the same draw gives the same
-//! choice.
+//! Deterministic random numbers derived from a request's seed: the same seed leads to
+//! the same selection.
 
-/// Random numbers in 0..1.
+/// A generator of deterministic random numbers in `0..=1`.
 pub struct Draws {
     seed: u64,
-    count: u64,
+    counter: u64,
 }
 
 impl Draws {
-    /// Those of one draw; `number` tells several rows of them apart.
-    pub fn new(draw: u64, number: u64) -> Self {
+    /// Creates a generator for `request_seed`. Different values of `stream` give
+    /// independent sequences.
+    pub fn new(request_seed: u64, stream: u64) -> Self {
         Self {
-            seed: draw ^ number.rotate_right(8),
-            count: 0,
+            seed: request_seed ^ stream.rotate_right(8),
+            counter: 0,
         }
     }
 
-    /// The next one.
-    fn next(&mut self) -> f64 {
-        self.count += 1;
-        let bits = xxhash_rust::xxh3::xxh3_64_with_seed(&self.count.to_le_bytes(), self.seed);
+    /// Returns the next number.
+    fn next_f64(&mut self) -> f64 {
+        self.counter += 1;
+        let bits = xxhash_rust::xxh3::xxh3_64_with_seed(&self.counter.to_le_bytes(), self.seed);
         bits as f64 / u64::MAX as f64
     }
 
-    /// Place of one of the weights, each as likely as it is large; none if there
-    /// are no weights.
+    /// Returns the index of one of the weights, chosen with a probability proportional
+    /// to the weight, or `None` if there are no weights.
     pub fn in_proportion(&mut self, weights: impl Iterator<Item = f64> + Clone) -> Option<usize> {
         let total: f64 = weights.clone().sum();
-        let mut left = self.next() * total;
+        let mut remaining = self.next_f64() * total;
         let mut last = None;
         for (i, weight) in weights.enumerate() {
             last = Some(i);
-            left -= weight;
-            if left < 0.0 {
+            remaining -= weight;
+            if remaining < 0.0 {
                 break;
             }
         }
--- a/crates/deckwind-core/src/routing/fleet.rs
+++ b/crates/deckwind-core/src/routing/fleet.rs
@@ -1,4 +1,4 @@
-//! The targets that a router knows, and an index over them.
+//! The targets known to a router, with an index over them.
 
 use super::health::HealthState;
 use super::target_state::{DEFAULT_LAYER_US, LoadReport, TargetState};
@@ -10,88 +10,92 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 new_key_type! {
-    /// Place of a target in the arena.
+    /// Key of a target in the arena.
     pub struct TargetKey;
 }
 
-/// Engines that can stand in for each other, layers aside.
+/// Engines that are interchangeable apart from the layers they hold.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct GroupKey {
-    /// Model.
+    /// Name of the model.
     pub model: String,
-    /// Its version.
+    /// Version of the model.
     pub version: String,
 }
 
-/// A place in a model where a stage may start, with the targets that can.
+/// A layer at which a stage may start, with the targets that hold it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Boundary {
     pub layer: u32,
     pub candidates: Vec<TargetKey>,
-    /// Candidates on a hash ring, for prefix affinity.
+    /// Candidates on a consistent hash ring, for prefix affinity.
     pub ring: Vec<(u64, TargetKey)>,
 }
 
-/// All targets, and an index over them.
+/// All targets, with an index over them.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     targets: SlotMap<TargetKey, TargetState>,
     by_name: BTreeMap<TargetName, TargetKey>,
     groups: HashMap<GroupKey, Vec<Boundary>>,
     services: HashMap<TemplateName, Vec<TargetKey>>,
-    costs: BTreeMap<String, f64>,
-    links: BTreeMap<DataCentre, f64>,
+    layer_costs_us: BTreeMap<String, f64>,
+    link_latencies_us: BTreeMap<DataCentre, f64>,
 }
 
-/// Points on the hash ring of a target that takes [`DEFAULT_LAYER_US`] a layer.
+/// Points on the hash ring of a target that takes [`DEFAULT_LAYER_US`] per layer.
 const RING_POINTS: f64 = 8.0;
 
-/// Most points of one target on the ring.
+/// Maximum number of points of one target on the ring.
 const MAX_RING_POINTS: f64 = 64.0;
 
-/// Points by speed, so that a fast target is home to more prefixes.
+/// Returns the number of ring points by speed, so that faster targets own more
+/// prefixes.
 fn ring_points(layer_us: f64) -> u64 {
     let points = RING_POINTS * DEFAULT_LAYER_US / layer_us.max(1.0);
     points.round().clamp(1.0, MAX_RING_POINTS) as u64
 }
 
 impl Fleet {
-    /// An empty fleet. `costs` gives microseconds a layer by accelerator kind,
-    /// `links` one-way microseconds by data centre.
-    pub fn new(costs: BTreeMap<String, f64>, links: BTreeMap<DataCentre, f64>) -> Self {
+    /// Creates an empty fleet, with the time per layer by accelerator kind and the one-way
+    /// latency by data centre, both in microseconds.
+    pub fn new(
+        layer_costs_us: BTreeMap<String, f64>,
+        link_latencies_us: BTreeMap<DataCentre, f64>,
+    ) -> Self {
         Self {
-            costs,
-            links,
+            layer_costs_us,
+            link_latencies_us,
             ..Self::default()
         }
     }
 
-    /// Number of targets.
+    /// Returns the number of targets.
     pub fn len(&self) -> usize {
         self.targets.len()
     }
 
-    /// Whether there is no target.
+    /// Returns whether there are no targets.
     pub fn is_empty(&self) -> bool {
         self.targets.is_empty()
     }
 
-    /// The target at `key`.
+    /// Returns the target at `key`.
     pub fn get(&self, key: TargetKey) -> Option<&TargetState> {
         self.targets.get(key)
     }
 
-    /// The target at `key`, to change its link, speed or health.
+    /// Returns the target at `key`, to change its link, speed or health.
     pub fn get_mut(&mut self, key: TargetKey) -> Option<&mut TargetState> {
         self.targets.get_mut(key)
     }
 
-    /// The key of a name.
+    /// Returns the key of the target with this name.
     pub fn key(&self, name: &TargetName) -> Option<TargetKey> {
         self.by_name.get(name).copied()
     }
 
-    /// All targets.
+    /// Returns an iterator over all targets.
     pub fn iter(&self) -> impl Iterator<Item = (TargetKey, &TargetState)> {
         self.targets.iter()
     }
@@ -104,22 +108,22 @@
         self.services.get(template).map_or(&[], Vec::as_slice)
     }
 
-    /// Takes over the targets of a configuration. What is known of targets that
-    /// stay is kept.
+    /// Applies the targets of a configuration. Targets that remain at the same address
+    /// keep their state.
     pub fn apply(&mut self, cfg: &Configuration) {
-        let mut gone = std::mem::take(&mut self.by_name);
+        let mut removed = std::mem::take(&mut self.by_name);
         for (target, _) in cfg.targets() {
-            let key = gone.remove(&target.name);
-            let key = self.put(key, target);
+            let key = removed.remove(&target.name);
+            let key = self.upsert(key, target);
             self.by_name.insert(target.name.clone(), key);
         }
-        for key in gone.into_values() {
+        for key in removed.into_values() {
             self.targets.remove(key);
         }
         self.index(cfg);
     }
 
-    fn put(&mut self, key: Option<TargetKey>, target: &Target) -> TargetKey {
+    fn upsert(&mut self, key: Option<TargetKey>, target: &Target) -> TargetKey {
         let old = key.and_then(|k| Some((k, self.targets.get(k)?.address)));
         if let Some((key, address)) = old
             && address == target.address
@@ -130,8 +134,8 @@
         if let Some((key, _)) = old {
             self.targets.remove(key);
         }
-        let link_us = self.links.get(&target.data_centre).copied();
-        let state = TargetState::new(target, &self.costs, link_us.unwrap_or(0.0));
+        let link_us = self.link_latencies_us.get(&target.data_centre).copied();
+        let state = TargetState::new(target, &self.layer_costs_us, link_us.unwrap_or(0.0));
         self.targets.insert(state)
     }
 
@@ -193,62 +197,62 @@
         }
     }
 
-    /// Groups that have targets.
+    /// Returns the groups that have targets.
     pub fn groups(&self) -> impl Iterator<Item = &GroupKey> {
         self.groups.keys()
     }
 
-    /// Sessions that the targets of a group can run at once: the slots at the
-    /// least provided boundary.
-    pub fn chain_places(&self, now: Instant, group: &GroupKey) -> u32 {
-        let slots = |b: &Boundary| self.slots_of(now, &b.candidates);
+    /// Returns the number of sessions that the targets of a group can run concurrently:
+    /// the slots at the boundary with the fewest.
+    pub fn chain_capacity(&self, now: Instant, group: &GroupKey) -> u32 {
+        let slots = |b: &Boundary| self.usable_slots(now, &b.candidates);
         let starts = self.boundaries(group).iter();
         let inner = starts.filter(|b| !b.candidates.is_empty());
         inner.map(slots).min().unwrap_or(0)
     }
 
-    /// Calls that the targets of a plain service can run at once.
-    pub fn service_places(&self, now: Instant, template: &TemplateName) -> u32 {
-        self.slots_of(now, self.services(template))
+    /// Returns the number of calls that the targets of a plain service can run
+    /// concurrently.
+    pub fn service_capacity(&self, now: Instant, template: &TemplateName) -> u32 {
+        self.usable_slots(now, self.services(template))
     }
 
-    fn slots_of(&self, now: Instant, keys: &[TargetKey]) -> u32 {
-        let takes =
+    fn usable_slots(&self, now: Instant, keys: &[TargetKey]) -> u32 {
+        let is_usable =
             |t: &&TargetState| t.takes_work(now) && t.health.state(now) != HealthState::Suspended;
         let targets = keys.iter().filter_map(|k| self.targets.get(*k));
-        targets.filter(takes).map(|t| t.slots).sum()
+        targets.filter(is_usable).map(|t| t.slots).sum()
     }
 
-    /// Notes what the platform says of the targets' VMs.
-    pub fn mark_vms(&mut self, is_leaving: impl Fn(std::net::IpAddr) -> bool) {
+    /// Updates, from the platform's list, whether the targets' VMs are leaving.
+    pub fn mark_leaving_vms(&mut self, is_leaving: impl Fn(std::net::IpAddr) -> bool) {
         for t in self.targets.values_mut() {
             t.vm_leaving = is_leaving(t.address.ip());
         }
     }
 
-    /// Counts work given to a target: `load` layers, or 1 for a service.
+    /// Records work sent to a target: `load` layers, or 1 for a service.
     pub fn dispatched(&mut self, now: Instant, key: TargetKey, load: u32) {
         if let Some(t) = self.targets.get_mut(key) {
             t.dispatched(now, load);
         }
     }
 
-    /// Counts the end of such work.
+    /// Records the end of work that was sent to a target.
     pub fn finished(&mut self, now: Instant, key: TargetKey, load: u32) {
         if let Some(t) = self.targets.get_mut(key) {
             t.finished(now, load);
         }
     }
 
-    /// Takes a load report.
+    /// Records a load report.
     pub fn reported(&mut self, now: Instant, key: TargetKey, report: LoadReport) {
         if let Some(t) = self.targets.get_mut(key) {
             t.reported(now, report);
         }
     }
 
-    /// Takes the time of a step that ended: of `layers` layers, for `positions`
-    /// positions.
+    /// Records a finished step over `layers` layers and `positions` positions.
     pub fn progressed(
         &mut self,
         now: Instant,
@@ -262,16 +266,16 @@
         }
     }
 
-    /// A target wants to be left alone for so long. A shorter rest doesn't end a longer
-    /// one.
+    /// Records that a target has asked to receive no new work for `rest`. A shorter
+    /// period does not end a longer one.
     pub fn rests(&mut self, now: Instant, key: TargetKey, rest: Duration) {
         if let Some(t) = self.targets.get_mut(key) {
             t.rests_until = t.rests_until.max(now + rest);
         }
     }
 
-    /// The least rest that is left of a plain service's targets, if all that do not leave
-    /// rest.
+    /// Returns the shortest time until a target of a plain service accepts new work
+    /// again, if every target that is not leaving has asked for none.
     pub fn service_rest_left(&self, now: Instant, template: &TemplateName) -> Option<Duration> {
         let keys = self.services(template).iter();
         let targets = keys.filter_map(|k| self.targets.get(*k));
@@ -280,7 +284,7 @@
         (!left.is_zero()).then_some(left)
     }
 
-    /// Takes a failure.
+    /// Records a failure of a target.
     pub fn failed(&mut self, now: Instant, key: TargetKey) {
         if let Some(t) = self.targets.get_mut(key) {
             t.health.failed(now);
--- a/crates/deckwind-core/src/routing/health.rs
+++ b/crates/deckwind-core/src/routing/health.rs
@@ -1,88 +1,88 @@
-//! Health from progress, not from liveness alone.
+//! Target health, derived from progress as well as from liveness.
 //!
 //! ```text
-//!           failure, stall, ever slower          progress
-//!  weight 1 ─────────► 1/2 ─► 1/4 ─► 1/8 ─► suspended ──(trial after back-off)──► 1/8 ─► … ─► 1
+//!           failure, stall, slow steps           progress
+//!  weight 1 ─────────► 1/2 ─► 1/4 ─► 1/8 ─► suspended ──(trial after backoff)──► 1/8 ─► … ─► 1
 //! ```
 //!
-//! A target that answers probes but completes nothing keeps its work in
-//! flight and makes no progress: that is what is looked at here. What the
-//! weight does is left to the policy: it divides the speed.
+//! A target can answer health checks and still complete nothing. Such a target keeps
+//! its work in flight without progress, which is detected here. The effect of the
+//! weight is left to the policy, which divides the target's speed by it.
 
 use crate::time::Instant;
 use std::time::Duration;
 
-/// What a target may get.
+/// The amount of work that a target may be given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthState {
-    /// New work by its weight.
+    /// New work, in proportion to the weight.
     Usable,
-    /// One trial may go there now.
+    /// A single trial request now.
     Trial,
-    /// Nothing.
+    /// No work.
     Suspended,
 }
 
-/// Steps from full weight down to none.
-const STEPS: u32 = 4;
+/// The number of penalties that takes a target from full weight to suspension.
+const MAX_PENALTY: u32 = 4;
 
-/// With work in flight and nothing done for this long, a target has stalled.
-const STALL: Duration = Duration::from_millis(500);
+/// Time without progress after which a target with work in flight has stalled.
+const STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// First wait before a suspended target is tried again; doubles each time.
-const FIRST_BACKOFF: Duration = Duration::from_millis(500);
+/// Backoff before the first trial of a suspended target; doubles with each suspension.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Longest such wait.
-const LAST_BACKOFF: Duration = Duration::from_secs(16);
+/// Upper limit of the backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(16);
 
-/// A step that takes this many times what was expected is a slow one.
+/// Factor by which a step must exceed its expected time to count as slow.
 const SLOW_FACTOR: f64 = 4.0;
 
-/// Slow steps in a row that cost one step of weight.
-const SLOW_RUN: u32 = 8;
+/// Consecutive slow steps that cost one penalty.
+const SLOW_STEPS_PER_PENALTY: u32 = 8;
 
-/// Good steps in a row that earn one step of weight back.
-const GOOD_RUN: u32 = 8;
+/// Consecutive good steps that remove one penalty.
+const GOOD_STEPS_PER_RECOVERY: u32 = 8;
 
-/// Health of one target.
+/// The health of one target.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    lost: u32,
+    penalty: u32,
     in_flight: u32,
     last_progress: Instant,
-    slow_run: u32,
-    good_run: u32,
+    consecutive_slow: u32,
+    consecutive_good: u32,
     suspended_until: Instant,
     backoffs: u32,
-    trial_out: bool,
+    trial_in_flight: bool,
 }
 
 impl Health {
-    /// Share of its speed that it is trusted with: 1, 1/2, 1/4, 1/8.
+    /// Returns the share of the target's speed to plan with: 1, 1/2, 1/4 or 1/8.
     pub fn weight(&self, now: Instant) -> f64 {
-        let stalled = u32::from(self.stalled(now));
-        0.5f64.powi((self.lost + stalled * STEPS).min(STEPS - 1) as i32)
+        let stalled = u32::from(self.is_stalled(now));
+        0.5f64.powi((self.penalty + stalled * MAX_PENALTY).min(MAX_PENALTY - 1) as i32)
     }
 
-    /// What it may get now.
+    /// Returns the amount of work that the target may be given at `now`.
     pub fn state(&self, now: Instant) -> HealthState {
-        if self.lost < STEPS && !self.stalled(now) {
+        if self.penalty < MAX_PENALTY && !self.is_stalled(now) {
             return HealthState::Usable;
         }
-        if self.lost >= STEPS && now >= self.suspended_until && !self.trial_out {
+        if self.penalty >= MAX_PENALTY && now >= self.suspended_until && !self.trial_in_flight {
             return HealthState::Trial;
         }
         HealthState::Suspended
     }
 
-    fn stalled(&self, now: Instant) -> bool {
-        self.in_flight > 0 && now.since(self.last_progress) > STALL
+    fn is_stalled(&self, now: Instant) -> bool {
+        self.in_flight > 0 && now.since(self.last_progress) > STALL_TIMEOUT
     }
 
-    /// Work was given to it.
+    /// Records that work was sent to the target.
     pub fn dispatched(&mut self, now: Instant) {
-        if self.lost >= STEPS {
-            self.trial_out = true;
+        if self.penalty >= MAX_PENALTY {
+            self.trial_in_flight = true;
         }
         if self.in_flight == 0 {
             self.last_progress = now;
@@ -90,7 +90,7 @@
         self.in_flight += 1;
     }
 
-    /// Work left it, done or not.
+    /// Records that work at the target ended, whether or not it was completed.
     pub fn finished(&mut self, now: Instant) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.in_flight == 0 {
@@ -98,52 +98,53 @@
         }
     }
 
-    /// A step ended that took `took_us` where `expected_us` was expected.
+    /// Records a step that took `took_us`, where `expected_us` was expected.
     pub fn progressed(&mut self, now: Instant, took_us: f64, expected_us: f64) {
         self.last_progress = now;
-        self.trial_out = false;
+        self.trial_in_flight = false;
         if took_us > expected_us * SLOW_FACTOR {
-            self.slow(now);
+            self.record_slow_step(now);
         } else {
-            self.good();
+            self.record_good_step();
         }
     }
 
-    fn slow(&mut self, now: Instant) {
-        self.good_run = 0;
-        self.slow_run += 1;
-        if self.slow_run >= SLOW_RUN {
-            self.slow_run = 0;
-            self.lose(now, 1);
+    fn record_slow_step(&mut self, now: Instant) {
+        self.consecutive_good = 0;
+        self.consecutive_slow += 1;
+        if self.consecutive_slow >= SLOW_STEPS_PER_PENALTY {
+            self.consecutive_slow = 0;
+            self.add_penalty(now, 1);
         }
     }
 
-    fn good(&mut self) {
-        self.slow_run = 0;
-        self.good_run += 1;
-        let earned = self.lost >= STEPS || self.good_run >= GOOD_RUN;
-        if earned && self.lost > 0 {
-            self.good_run = 0;
-            self.lost -= 1;
+    fn record_good_step(&mut self) {
+        self.consecutive_slow = 0;
+        self.consecutive_good += 1;
+        let recovers =
+            self.penalty >= MAX_PENALTY || self.consecutive_good >= GOOD_STEPS_PER_RECOVERY;
+        if recovers && self.penalty > 0 {
+            self.consecutive_good = 0;
+            self.penalty -= 1;
         }
-        if self.lost == 0 {
+        if self.penalty == 0 {
             self.backoffs = 0;
         }
     }
 
-    /// It failed: a broken connection, or no answer in time.
+    /// Records a failure: a broken connection or a missed deadline.
     pub fn failed(&mut self, now: Instant) {
-        self.trial_out = false;
-        self.good_run = 0;
-        self.lose(now, STEPS);
+        self.trial_in_flight = false;
+        self.consecutive_good = 0;
+        self.add_penalty(now, MAX_PENALTY);
     }
 
-    fn lose(&mut self, now: Instant, steps: u32) {
-        self.lost = (self.lost + steps).min(STEPS);
-        if self.lost == STEPS {
-            let wait = FIRST_BACKOFF * 2u32.pow(self.backoffs.min(5));
+    fn add_penalty(&mut self, now: Instant, amount: u32) {
+        self.penalty = (self.penalty + amount).min(MAX_PENALTY);
+        if self.penalty == MAX_PENALTY {
+            let backoff = INITIAL_BACKOFF * 2u32.pow(self.backoffs.min(5));
             self.backoffs += 1;
-            self.suspended_until = now + wait.min(LAST_BACKOFF);
+            self.suspended_until = now + backoff.min(MAX_BACKOFF);
         }
     }
 }
--- a/crates/deckwind-core/src/routing/mod.rs
+++ b/crates/deckwind-core/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Which targets run a request.
+//! Selection of the targets that run a request.
 //!
 //! ```text
 //!  configuration ─► Fleet (arena of targets, index by model and boundary)
@@ -8,11 +8,11 @@
 //!  cache events ──►   └─ Health, PrefixIndex
 //! ```
 //!
-//! A choice is a shortest path over the layer boundaries of a model: at each
-//! boundary a few candidates are looked at, not all, so the cost of a choice
-//! does not grow with the fleet, and routers with the same stale reports do not
-//! rush to one target (Mitzenmacher, "The Power of Two Choices in Randomized
-//! Load Balancing", IEEE TPDS 2001).
+//! A selection is a shortest path over the layer boundaries of a model. At each
+//! boundary only a few sampled candidates are evaluated, so the cost of a selection
+//! does not grow with the fleet, and routers with the same stale reports do not all
+//! pick the same target (Mitzenmacher, "The Power of Two Choices in Randomized Load
+//! Balancing", IEEE TPDS 2001).
 
 mod bound;
 mod chain_search;
--- a/crates/deckwind-core/src/routing/paths.rs
+++ b/crates/deckwind-core/src/routing/paths.rs
@@ -1,16 +1,16 @@
-//! Paths through engines that hand on to each other.
+//! Path selection through engines that forward to each other.
 //!
-//! A path names a range of layers at each engine, in order, so that together
-//! they are all layers once. It stays inside one data centre wherever one holds
-//! a whole chain: what crosses between data centres is a token's activations at
-//! every boundary.
+//! A path assigns a range of layers to each of its engines, in order, so that together
+//! they cover every layer once. Where a data centre holds a whole chain, the path stays
+//! inside it, because every stage boundary between data centres transfers the
+//! activations of each token.
 //!
-//! What an engine holds is told with a delay of up to two renewals, in which all
-//! routers together begin as many streams as a chain has room for. If each took
-//! the emptiest path, all would take the same one. So each stage is drawn among
-//! the engines that hold the next layer, in proportion to their room, and the
-//! least full of a few such paths is taken (Mitzenmacher, "How Useful Is Old
-//! Information?", IEEE TPDS 2000).
+//! Routers learn the memory use of engines with a delay of up to two lease renewals. In
+//! that time all routers together start about as many streams as a chain has room for,
+//! so if each chose the least utilized path, all would choose the same one. Therefore
+//! each stage is sampled among the engines that hold the next layer, in proportion to
+//! their free capacity, and the least utilized of a few such paths is chosen
+//! (Mitzenmacher, "How Useful Is Old Information?", IEEE TPDS 2000).
 
 use super::draws::Draws;
 use super::placement::{common, tokens_beside};
@@ -21,120 +21,121 @@
 /// One stage of a path.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stage {
-    /// Engine.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// Layers that it runs.
+    /// Layers that the engine runs.
     pub layers: LayerRange,
 }
 
-/// A path and where it runs.
+/// A path and its location.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EnginePath {
-    /// Stages in order.
+    /// Stages, in order.
     pub stages: Vec<Stage>,
-    /// Data centre of its first stage.
+    /// Data centre of the first stage.
     pub data_centre: DataCentre,
-    /// Id of the first stage's instance.
+    /// ID of the first stage's instance.
     pub first_id: String,
-    /// Its fullest stage with the request on it.
+    /// The most utilized stage, with this request included.
     pub fullest: Fullest,
 }
 
-/// The stage that bounds a path.
+/// The stage that limits a path.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fullest {
-    /// The engine.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// What is taken of its memory or its places, as a part of what there is.
+    /// Utilization of the engine's memory or slots, whichever is higher; 1.0 is full.
     pub used: f64,
 }
 
-/// What streams of all routers hold at an engine.
+/// Resources that the streams of all routers use at an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Held {
-    /// Tokens times the layers that keep them.
+    /// Tokens held, multiplied by the layers that hold them.
     pub layer_tokens: u64,
-    /// Streams that begin there.
+    /// Streams whose first stage is at this engine.
     pub begun: u32,
 }
 
-/// What a router knows of engines beside what is agreed.
+/// A router's local knowledge of engines, in addition to the replicated state.
 pub trait EngineView {
-    /// Whether nothing is to be sent through it for now.
+    /// Returns whether no request may be sent through the instance for now.
     fn avoids(&self, instance: &Instance) -> bool;
-    /// What streams hold there.
+    /// Returns the resources that streams use at the engine.
     fn held(&self, address: SocketAddr) -> Held;
-    /// What they held, tokens times layers, when it lately refused one; nothing if
-    /// it has not.
+    /// Returns the token-layers that streams held at the engine when it last refused a
+    /// request, or `None` if it has not refused one recently.
     fn refused_at(&self, address: SocketAddr) -> Option<u64>;
-    /// Whether streams that fell silent name it as the one to blame. A data centre
-    /// that has no chain without such engines uses them.
+    /// Returns whether the engine is suspected, for example because stalled streams
+    /// point to it. Suspected engines are used only in a data centre that has no chain
+    /// without them.
     fn suspects(&self, _address: SocketAddr) -> bool {
         false
     }
 }
 
-/// What a request needs of each engine on its path.
+/// The resources that a request needs of each engine on its path.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Need {
-    /// Tokens that it keeps.
+    /// Tokens that the request keeps.
     pub tokens: u64,
-    /// How full an engine may get with it, as a part of what it has.
+    /// Maximum utilization of an engine with this request included; 1.0 is full.
     pub most: f64,
-    /// A random number: the same one gives the same path.
+    /// Random seed; the same seed gives the same path.
     pub draw: u64,
 }
 
-/// Why there is no path.
+/// The reason why there is no path.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NoPath {
-    /// The engines that may be used do not hold all layers.
+    /// The usable engines do not hold all layers.
     Broken,
-    /// Every path has an engine without room. The least full of them:
+    /// Every path has an engine without room. Holds the least utilized of them.
     Full(Fullest),
 }
 
-/// Paths that are drawn in a data centre, of which the least full and shortest one
-/// is taken. More of them find shorter paths, and make routers that have heard the
-/// same more alike.
-const DRAWN: u64 = 12;
+/// Number of paths sampled per data centre, of which the one with the best combination
+/// of utilization and length is used. More samples find shorter paths, but make routers
+/// with the same information choose more alike.
+const PATH_SAMPLES: u64 = 12;
 
-/// Stages that count as much as a path that is fuller by all of its memory: half
+/// Number of additional stages that weighs as much as a utilization higher by 1.0. Half
 /// again as many stages as usual weigh as much as a tenth of the memory.
-const STAGES_AS_FULL: f64 = 60.0;
+const STAGES_PER_UTILIZATION: f64 = 60.0;
 
-/// Least part of its memory by which a full engine is still drawn, where one may
-/// be as full as it likes.
-const LEAST_ROOM: f64 = 0.01;
+/// Minimum free share of memory in sampling weights, so that full engines are still
+/// sampled where utilization is not limited.
+const MIN_FREE_SHARE: f64 = 0.01;
 
-/// Tokens that other routers may have begun at an engine since they last told:
-/// some four requests. Counts for little but where memory is scarce.
-const UNTOLD: u64 = 4_000;
+/// Tokens that other routers may have started at an engine since their last report:
+/// about four requests. Matters only where memory is scarce.
+const UNREPORTED_TOKENS: u64 = 4_000;
 
-/// Most stages of a path: engines refuse longer ones.
-const MOST_STAGES: usize = 32;
+/// Maximum number of stages of a path; engines refuse longer paths.
+const MAX_STAGES: usize = 32;
 
-/// Part of a first stage's places that is given out, for what other routers
-/// have begun since they last told.
-const PLACES_GIVEN: f64 = 0.95;
+/// Share of a first stage's slots that is used. The rest is reserved for streams that
+/// other routers have started since their last report.
+const USABLE_SLOT_SHARE: f64 = 0.95;
 
-struct Holder<'a> {
+struct Candidate<'a> {
     instance: &'a Instance,
-    /// What it holds of the model's layers.
+    /// Layers of the model that the engine holds.
     layers: LayerRange,
-    /// Tokens times layers that it keeps, and what is taken of them.
-    keeps: f64,
-    taken: f64,
-    /// Part of its places as a first stage that is taken with one more.
-    places_used: f64,
-    /// Tokens times layers that it could not take more than, lately.
+    /// Capacity for stream state and its current use, both in token-layers.
+    capacity: f64,
+    in_use: f64,
+    /// Utilization of its slots as a first stage, with one more stream.
+    slot_utilization: f64,
+    /// Token-layers in use when the engine recently refused a request.
     refused_at: Option<f64>,
     suspected: bool,
-    /// How many times longer reading takes than on the reference.
+    /// Prompt processing time relative to the reference accelerator.
     read_factor: f64,
 }
 
-impl<'a> Holder<'a> {
+impl<'a> Candidate<'a> {
     fn new(model: &EngineModel, instance: &'a Instance, view: &dyn EngineView) -> Option<Self> {
         let layers = common(instance.layers, LayerRange::new(0, model.layers));
         let usable = instance.state == InstanceState::Ready && !layers.is_empty();
@@ -143,44 +144,45 @@
             return None;
         }
         let held = view.held(instance.address);
-        let keeps = keeps(model, instance);
-        let places = f64::from(instance.slots.max(1)) * PLACES_GIVEN;
+        let capacity = keeps(model, instance);
+        let usable_slots = f64::from(instance.slots.max(1)) * USABLE_SLOT_SHARE;
         Some(Self {
             instance,
             layers,
-            keeps,
-            taken: held.layer_tokens as f64,
-            places_used: f64::from(held.begun + 1) / places,
+            capacity,
+            in_use: held.layer_tokens as f64,
+            slot_utilization: f64::from(held.begun + 1) / usable_slots,
             refused_at: view.refused_at(instance.address).map(|t| t as f64),
             suspected: view.suspects(instance.address),
             read_factor: kind.read_factor.max(f64::MIN_POSITIVE),
         })
     }
 
-    /// How full it is with a request that runs these layers there.
-    fn used(&self, need: &Need, layers: LayerRange) -> f64 {
-        let more = (need.tokens + UNTOLD) as f64 * f64::from(layers.len());
-        let memory = (self.taken + more) / self.keeps.max(1.0);
+    /// Returns the utilization with a request that runs `layers` at this engine.
+    fn utilization(&self, need: &Need, layers: LayerRange) -> f64 {
+        let needed = (need.tokens + UNREPORTED_TOKENS) as f64 * f64::from(layers.len());
+        let memory = (self.in_use + needed) / self.capacity.max(1.0);
         match layers.first {
-            0 => memory.max(self.places_used),
+            0 => memory.max(self.slot_utilization),
             _ => memory,
         }
     }
 
-    /// Whether it has room for the request. An engine that nobody uses takes any,
-    /// and one that has lately refused a request takes one as soon as as much has
-    /// ended there.
+    /// Returns whether the engine has room for the request. An idle engine accepts any
+    /// request. An engine that recently refused one accepts the next only once its use
+    /// has dropped by as much as the request needs.
     fn has_room(&self, need: &Need, layers: LayerRange) -> bool {
-        let more = need.tokens as f64 * f64::from(layers.len());
-        let full = |most: f64| self.taken + more > most;
+        let needed = need.tokens as f64 * f64::from(layers.len());
+        let full = |most: f64| self.in_use + needed > most;
         if need.most.is_finite() && self.refused_at.is_some_and(full) {
             return false;
         }
-        self.taken == 0.0 || self.used(need, layers) <= need.most
+        self.in_use == 0.0 || self.utilization(need, layers) <= need.most
     }
 
-    /// What it runs of the layers from `first` on.
-    fn from(&self, first: u32) -> LayerRange {
+    /// Returns the held layers from `first` on, or an empty range if it does not hold
+    /// `first`.
+    fn layers_from(&self, first: u32) -> LayerRange {
         let held = self.layers;
         match held.contains(first) {
             true => LayerRange::new(first, held.last),
@@ -188,18 +190,18 @@
         }
     }
 
-    /// How likely it is drawn: by the tokens that it has room for, by the part of
-    /// its memory that this is, and by how much of what it holds is used.
-    fn weight(&self, need: &Need, layers: LayerRange) -> f64 {
-        let room = (1.0 - self.used(need, layers)).max(LEAST_ROOM);
+    /// Returns the sampling weight: the product of the free capacity in tokens, the
+    /// free share of memory, and the share of its layers that the stage uses.
+    fn sampling_weight(&self, need: &Need, layers: LayerRange) -> f64 {
+        let room = (1.0 - self.utilization(need, layers)).max(MIN_FREE_SHARE);
         let held = f64::from(self.layers.len());
-        let tokens = self.keeps / held * room;
+        let tokens = self.capacity / held * room;
         tokens.max(1.0) * room * f64::from(layers.len()) / held
     }
 }
 
-/// Tokens times layers that an engine keeps for streams; none if it holds no layers or
-/// is of a kind that the model doesn't name.
+/// Returns the token-layers that an engine can keep for streams, or 0 if it holds no
+/// layers or its accelerator kind is not listed in the model.
 pub fn keeps(model: &EngineModel, instance: &Instance) -> f64 {
     let kind = instance.accelerator.as_deref().and_then(|k| model.kind(k));
     let loaded = instance.in_memory.max(instance.layers.len());
@@ -207,98 +209,105 @@
     tokens * f64::from(loaded)
 }
 
-type Holders<'a> = BTreeMap<&'a DataCentre, Vec<Holder<'a>>>;
+type CandidatesByDataCentre<'a> = BTreeMap<&'a DataCentre, Vec<Candidate<'a>>>;
 
-fn holders_by_centre<'a>(
+fn candidates_by_data_centre<'a>(
     model: &EngineModel,
     instances: impl Iterator<Item = &'a Instance>,
     view: &dyn EngineView,
-) -> Holders<'a> {
-    let mut by_centre = Holders::new();
-    for holder in instances.filter_map(|i| Holder::new(model, i, view)) {
-        let centre = by_centre.entry(&holder.instance.data_centre).or_default();
-        centre.push(holder);
+) -> CandidatesByDataCentre<'a> {
+    let mut by_data_centre = CandidatesByDataCentre::new();
+    for candidate in instances.filter_map(|i| Candidate::new(model, i, view)) {
+        let centre = by_data_centre
+            .entry(&candidate.instance.data_centre)
+            .or_default();
+        centre.push(candidate);
     }
-    by_centre
+    by_data_centre
         .values_mut()
-        .for_each(|h| spare_suspects(model, h));
-    by_centre
+        .for_each(|c| exclude_suspects(model, c));
+    by_data_centre
 }
 
-/// Leaves suspected engines out, unless there is no chain without them.
-fn spare_suspects(model: &EngineModel, holders: &mut Vec<Holder>) {
-    let suspected = holders.iter().any(|h| h.suspected);
-    if suspected && holds_all(model, holders.iter().filter(|h| !h.suspected)) {
-        holders.retain(|h| !h.suspected);
+/// Removes suspected engines, unless no chain is left without them.
+fn exclude_suspects(model: &EngineModel, candidates: &mut Vec<Candidate>) {
+    let suspected = candidates.iter().any(|c| c.suspected);
+    if suspected && covers_all_layers(model, candidates.iter().filter(|c| !c.suspected)) {
+        candidates.retain(|c| !c.suspected);
     }
 }
 
-/// Whether these engines hold all layers.
-fn holds_all<'h, 'a: 'h>(
+/// Returns whether the candidates together hold all layers.
+fn covers_all_layers<'c, 'a: 'c>(
     model: &EngineModel,
-    holders: impl Iterator<Item = &'h Holder<'a>>,
+    candidates: impl Iterator<Item = &'c Candidate<'a>>,
 ) -> bool {
-    let mut ranges: Vec<LayerRange> = holders.map(|h| h.layers).collect();
+    let mut ranges: Vec<LayerRange> = candidates.map(|c| c.layers).collect();
     ranges.sort_unstable_by_key(|r| r.first);
-    let reach = |next: u32, r: &LayerRange| match r.first <= next {
+    let extend = |next: u32, r: &LayerRange| match r.first <= next {
         true => next.max(r.last),
         false => next,
     };
-    ranges.iter().fold(0, reach) >= model.layers
+    ranges.iter().fold(0, extend) >= model.layers
 }
 
-/// Whether the engines that may be used hold all layers, in one data centre or in all
-/// of them together.
+/// Returns whether the usable engines hold all layers, within one data centre or across
+/// all of them.
 pub fn has_chain<'a>(
     model: &EngineModel,
     instances: impl Iterator<Item = &'a Instance>,
     view: &dyn EngineView,
 ) -> bool {
-    let by_centre = holders_by_centre(model, instances, view);
-    holds_all(model, by_centre.values().flatten())
+    let by_data_centre = candidates_by_data_centre(model, instances, view);
+    covers_all_layers(model, by_data_centre.values().flatten())
 }
 
-/// A path with room in each data centre that has one. Only where no data centre
-/// holds all layers, one over all of them: what crosses between them fills their
-/// links.
+/// Returns a path with room for each data centre that has one. A path across data
+/// centres is returned only if no single data centre holds all layers, because the
+/// traffic between stages fills the links between data centres.
+///
+/// # Errors
+///
+/// Returns [`NoPath::Broken`] if the usable engines do not hold all layers, and
+/// [`NoPath::Full`] if they do but lack room.
 pub fn paths<'a>(
     model: &EngineModel,
     instances: impl Iterator<Item = &'a Instance>,
     view: &dyn EngineView,
     need: &Need,
 ) -> Result<Vec<EnginePath>, NoPath> {
-    let by_centre = holders_by_centre(model, instances, view);
-    let any = Need {
+    let by_data_centre = candidates_by_data_centre(model, instances, view);
+    let unlimited = Need {
         tokens: 0,
         most: f64::INFINITY,
         ..*need
     };
-    let within = by_centre.values();
-    let within = within.filter_map(|h| best_drawn(model, h, need, 0));
+    let within = by_data_centre.values();
+    let within = within.filter_map(|c| best_sampled_path(model, c, need, 0));
     let within: Vec<EnginePath> = within.collect();
     if !within.is_empty() {
         return Ok(within);
     }
-    let full = by_centre.values();
-    let full = full.filter_map(|h| best_drawn(model, h, &any, 0));
-    if let Some(full) = least_full(full) {
+    let full = by_data_centre.values();
+    let full = full.filter_map(|c| best_sampled_path(model, c, &unlimited, 0));
+    if let Some(full) = least_utilized(full) {
         return Err(NoPath::Full(full));
     }
-    let all: Vec<Holder> = by_centre.into_values().flatten().collect();
-    if let Some(path) = best_drawn(model, &all, need, 0) {
+    let all: Vec<Candidate> = by_data_centre.into_values().flatten().collect();
+    if let Some(path) = best_sampled_path(model, &all, need, 0) {
         return Ok(vec![path]);
     }
-    let full = best_drawn(model, &all, &any, 0);
+    let full = best_sampled_path(model, &all, &unlimited, 0);
     Err(full.map_or(NoPath::Broken, |path| NoPath::Full(path.fullest)))
 }
 
-fn least_full(paths: impl Iterator<Item = EnginePath>) -> Option<Fullest> {
+fn least_utilized(paths: impl Iterator<Item = EnginePath>) -> Option<Fullest> {
     let fullest = paths.map(|p| p.fullest);
     fullest.min_by(|a, b| a.used.total_cmp(&b.used))
 }
 
-/// A path that begins with `first`, for a request that runs there
-/// already; inside the data centre of that engine.
+/// Returns a path that begins with `first`, for a request that already runs there. The
+/// path stays inside the data centre of that engine.
 pub fn path_from<'a>(
     model: &EngineModel,
     instances: impl Iterator<Item = &'a Instance>,
@@ -307,16 +316,16 @@
     first: &Stage,
     data_centre: &DataCentre,
 ) -> Option<EnginePath> {
-    let mut others = holders_by_centre(model, instances, view).remove(data_centre)?;
-    others.retain(|h| h.instance.address != first.address);
-    let mut path = best_drawn(model, &others, need, first.layers.last)?;
+    let mut others = candidates_by_data_centre(model, instances, view).remove(data_centre)?;
+    others.retain(|c| c.instance.address != first.address);
+    let mut path = best_sampled_path(model, &others, need, first.layers.last)?;
     path.stages.insert(0, first.clone());
     Some(path)
 }
 
-/// The same path with other engines in the place of some of its stages. They run
-/// exactly those layers, so that all other stages keep what they hold of the
-/// request. None if it begins with one to be replaced.
+/// Returns `path` with some of its stages replaced by other engines. The replacements
+/// run exactly the same layers, so that all other stages keep their state of the
+/// request. Returns `None` if the first stage is one to be replaced.
 pub fn path_round<'a>(
     model: &EngineModel,
     instances: impl Iterator<Item = &'a Instance>,
@@ -329,65 +338,65 @@
     let by_address: BTreeMap<SocketAddr, &Instance> = instances.map(|i| (i.address, i)).collect();
     let first = by_address.get(&first.address)?;
     let others = by_address.values().copied();
-    let mut others = holders_by_centre(model, others, view).remove(&first.data_centre)?;
-    others.retain(|h| !replaced(h.instance.address));
-    others.retain(|h| path.iter().all(|s| s.address != h.instance.address));
-    // The first that leads round, not the emptiest: all streams of a stage change
-    // at once, and there are only a few ways.
-    let mut drawn = (0..DRAWN).filter_map(|number| {
-        let mut draws = Draws::new(need.draw, number);
-        let mut round = Round::default();
+    let mut others = candidates_by_data_centre(model, others, view).remove(&first.data_centre)?;
+    others.retain(|c| !replaced(c.instance.address));
+    others.retain(|c| path.iter().all(|s| s.address != c.instance.address));
+    // Takes the first valid path instead of the least utilized: all streams of a failed
+    // stage move at once, and there are few alternatives.
+    let mut sampled = (0..PATH_SAMPLES).filter_map(|sample| {
+        let mut draws = Draws::new(need.draw, sample);
+        let mut reroute = Reroute::default();
         for stage in path {
             match replaced(stage.address) {
-                true => round.replace(&others, need, stage.layers, &mut draws)?,
-                false => round.stages.push(stage.clone()),
+                true => reroute.replace_stage(&others, need, stage.layers, &mut draws)?,
+                false => reroute.stages.push(stage.clone()),
             }
         }
-        (round.stages.len() <= MOST_STAGES).then_some(round)
+        (reroute.stages.len() <= MAX_STAGES).then_some(reroute)
     });
-    let round = drawn.next()?;
+    let reroute = sampled.next()?;
     Some(EnginePath {
-        fullest: round.fullest?,
-        stages: round.stages,
+        fullest: reroute.fullest?,
+        stages: reroute.stages,
         data_centre: first.data_centre.clone(),
         first_id: first.id.clone(),
     })
 }
 
-/// A path with some stages replaced, while it is drawn.
+/// A path with some stages replaced, during its construction.
 #[derive(Default)]
-struct Round {
+struct Reroute {
     stages: Vec<Stage>,
-    /// Of the new stages.
+    /// The most utilized of the new stages.
     fullest: Option<Fullest>,
 }
 
-impl Round {
-    fn used(&self) -> f64 {
+impl Reroute {
+    fn utilization(&self) -> f64 {
         self.fullest.map_or(0.0, |f| f.used)
     }
 
-    /// Has other engines run these layers: drawn by their room, and by how fast they
-    /// read what the request holds so far.
-    fn replace(
+    /// Assigns `layers` to other engines, sampled by free capacity and by how fast they
+    /// process the request's existing tokens.
+    fn replace_stage(
         &mut self,
-        others: &[Holder],
+        others: &[Candidate],
         need: &Need,
         layers: LayerRange,
         draws: &mut Draws,
     ) -> Option<()> {
         let mut next = layers.first;
         while next < layers.last {
-            let weight = |h: &Holder, layers| h.weight(need, layers) / h.read_factor;
-            let (holder, held) = draw_stage(others, need, next, draws, weight)?;
-            let address = holder.instance.address;
+            let weight = |c: &Candidate, layers| c.sampling_weight(need, layers) / c.read_factor;
+            let (candidate, held) = sample_stage(others, need, next, draws, weight)?;
+            let address = candidate.instance.address;
             let runs = LayerRange::new(next, held.last.min(layers.last));
-            // An engine can be on a path only once.
+            // An engine can appear on a path only once.
             if self.stages.iter().any(|s| s.address == address) {
                 return None;
             }
-            let used = holder.used(need, runs);
-            if used >= self.used() {
+            let used = candidate.utilization(need, runs);
+            if used >= self.utilization() {
                 self.fullest = Some(Fullest { address, used });
             }
             self.stages.push(Stage {
@@ -400,45 +409,45 @@
     }
 }
 
-/// The best of a few drawn paths from layer `start` on.
-fn best_drawn(
+/// Returns the best of the sampled paths from layer `start` on.
+fn best_sampled_path(
     model: &EngineModel,
-    holders: &[Holder],
+    candidates: &[Candidate],
     need: &Need,
     start: u32,
 ) -> Option<EnginePath> {
-    let drawn = (0..DRAWN).filter_map(|i| drawn_path(model, holders, need, start, i));
-    let cost = |p: &EnginePath| p.fullest.used + p.stages.len() as f64 / STAGES_AS_FULL;
-    drawn.min_by(|a, b| cost(a).total_cmp(&cost(b)))
+    let sampled = (0..PATH_SAMPLES).filter_map(|i| sample_path(model, candidates, need, start, i));
+    let cost = |p: &EnginePath| p.fullest.used + p.stages.len() as f64 / STAGES_PER_UTILIZATION;
+    sampled.min_by(|a, b| cost(a).total_cmp(&cost(b)))
 }
 
-fn drawn_path(
+fn sample_path(
     model: &EngineModel,
-    holders: &[Holder],
+    candidates: &[Candidate],
     need: &Need,
     start: u32,
-    number: u64,
+    sample: u64,
 ) -> Option<EnginePath> {
-    let mut draws = Draws::new(need.draw, number);
-    let mut picked: Vec<(&Holder, LayerRange)> = Vec::new();
+    let mut draws = Draws::new(need.draw, sample);
+    let mut picked: Vec<(&Candidate, LayerRange)> = Vec::new();
     let mut next = start;
     while next < model.layers {
-        let weight = |h: &Holder, layers| h.weight(need, layers);
-        let (holder, layers) = draw_stage(holders, need, next, &mut draws, weight)?;
-        picked.push((holder, layers));
+        let weight = |c: &Candidate, layers| c.sampling_weight(need, layers);
+        let (candidate, layers) = sample_stage(candidates, need, next, &mut draws, weight)?;
+        picked.push((candidate, layers));
         next = layers.last;
     }
     let (first, _) = picked.first()?;
-    let fullest = picked.iter().map(|(h, layers)| Fullest {
-        address: h.instance.address,
-        used: h.used(need, *layers),
+    let fullest = picked.iter().map(|(c, layers)| Fullest {
+        address: c.instance.address,
+        used: c.utilization(need, *layers),
     });
     let fullest = fullest.max_by(|a, b| a.used.total_cmp(&b.used))?;
-    let stage = |(h, layers): &(&Holder, LayerRange)| Stage {
-        address: h.instance.address,
+    let stage = |(c, layers): &(&Candidate, LayerRange)| Stage {
+        address: c.instance.address,
         layers: *layers,
     };
-    (picked.len() <= MOST_STAGES).then(|| EnginePath {
+    (picked.len() <= MAX_STAGES).then(|| EnginePath {
         data_centre: first.instance.data_centre.clone(),
         first_id: first.instance.id.clone(),
         stages: picked.iter().map(stage).collect(),
@@ -446,18 +455,18 @@
     })
 }
 
-/// An engine for the layers from `first` on.
-fn draw_stage<'h, 'a>(
-    holders: &'h [Holder<'a>],
+/// Samples an engine with room for the layers from `first` on.
+fn sample_stage<'c, 'a>(
+    candidates: &'c [Candidate<'a>],
     need: &Need,
     first: u32,
     draws: &mut Draws,
-    weight: impl Fn(&Holder, LayerRange) -> f64,
-) -> Option<(&'h Holder<'a>, LayerRange)> {
-    let fits = holders.iter().map(|h| (h, h.from(first)));
-    let fits = fits.filter(|(h, layers)| !layers.is_empty() && h.has_room(need, *layers));
-    let fits: Vec<(&Holder, LayerRange)> = fits.collect();
-    let weights = fits.iter().map(|(h, layers)| weight(h, *layers));
-    let drawn = draws.in_proportion(weights);
-    fits.get(drawn?).copied()
+    weight: impl Fn(&Candidate, LayerRange) -> f64,
+) -> Option<(&'c Candidate<'a>, LayerRange)> {
+    let eligible = candidates.iter().map(|c| (c, c.layers_from(first)));
+    let eligible = eligible.filter(|(c, layers)| !layers.is_empty() && c.has_room(need, *layers));
+    let eligible: Vec<(&Candidate, LayerRange)> = eligible.collect();
+    let weights = eligible.iter().map(|(c, layers)| weight(c, *layers));
+    let index = draws.in_proportion(weights);
+    eligible.get(index?).copied()
 }
--- a/crates/deckwind-core/src/routing/placement.rs
+++ b/crates/deckwind-core/src/routing/placement.rs
@@ -1,31 +1,32 @@
-//! Which engine holds which layers: one whole chain inside a data centre.
+//! Placement of layers on engines: each chain is whole inside one data centre.
 //!
-//! Each token crosses every boundary of a chain, so chains stay inside a data
-//! centre. Memory that layers leave free holds the requests' caches: a card that
-//! is filled with layers can hold few requests, and the scarcest card bounds the
-//! whole chain. How a new chain is laid out is told in `layout`; here a chain is
-//! planned or mended.
+//! Each token crosses every stage boundary of a chain, so chains stay inside a data
+//! centre. Memory that the layers leave free holds the caches of requests. A card
+//! filled with layers has room for few requests, and the card with the least free
+//! memory limits the whole chain. This module plans and repairs chains; the `layout`
+//! module distributes the layers of a new chain.
 
-use super::layout::{lay_out, most_layers};
+use super::layout::{layer_capacity, plan_layout};
 use crate::state::{DataCentre, EngineModel, LayerRange};
 use std::cmp::Ordering;
 
-/// An engine as the planner sees it.
+/// An engine's accelerator card, as input to the planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Card {
-    /// Names it.
+    /// ID of the engine.
     pub id: String,
-    /// Where it stands.
+    /// Data centre of the engine.
     pub data_centre: DataCentre,
-    /// Memory, MB.
+    /// Memory, in MB.
     pub memory_mb: f64,
-    /// How many times longer a step takes than on the reference.
+    /// Step time relative to the reference accelerator.
     pub step_factor: f64,
-    /// Layers that it holds now.
+    /// Layers that the engine currently holds.
     pub held: LayerRange,
 }
 
-/// Tokens that `card` can keep while it holds `layers` layers.
+/// Returns the tokens that a card with `memory_mb` of memory can keep beside `layers`
+/// layers.
 pub fn tokens_beside(model: &EngineModel, memory_mb: f64, layers: u32) -> f64 {
     if layers == 0 {
         return 0.0;
@@ -35,7 +36,7 @@
     (free_mb / per_token_mb).clamp(0.0, model.max_tokens as f64)
 }
 
-/// Whether the cards hold every layer between them.
+/// Returns whether the ranges together cover layers `0..layers`.
 pub fn is_whole(layers: u32, held: impl IntoIterator<Item = LayerRange>) -> bool {
     let mut held: Vec<LayerRange> = held.into_iter().filter(|r| !r.is_empty()).collect();
     held.sort_by_key(|r| r.first);
@@ -49,36 +50,37 @@
     next >= layers
 }
 
-/// How a chain is mended.
+/// How a chain is repaired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mend {
-    /// Soon: nobody else serves its requests, so few layers are loaded.
+    /// As fast as possible, with few layers to load: no other chain serves its
+    /// requests.
     Soon,
-    /// So that its scarcest card keeps as many tokens as it can: other chains of
-    /// the data centre serve meanwhile.
+    /// With as much token capacity as possible on its scarcest card: other chains of
+    /// the data centre serve the requests meanwhile.
     Well,
 }
 
 impl Mend {
-    /// Tokens that every card must at least keep, as parts of what an engine
-    /// keeps at most; tried in this order.
-    fn shares(self) -> &'static [f64] {
+    /// Returns the minimum token capacities of every card to try, in this order, as
+    /// shares of an engine's maximum.
+    fn token_shares(self) -> &'static [f64] {
         match self {
-            Mend::Soon => &REPAIR_SHARES,
-            Mend::Well => &WELL_SHARES,
+            Mend::Soon => &FAST_REPAIR_SHARES,
+            Mend::Well => &CAPACITY_REPAIR_SHARES,
         }
     }
 }
 
-/// Layers for each of `cards`, in their order; nothing if the cards can't hold
-/// the model together. Where some of them hold layers already, as little as can
-/// be is loaded.
+/// Returns the layers for each of `cards`, in the same order, or `None` if the cards
+/// can't hold the model together. If some cards already hold layers, the plan loads as
+/// few as possible.
 pub fn plan_chain(model: &EngineModel, cards: &[Card], mend: Mend) -> Option<Vec<LayerRange>> {
     let order = chain_order(model, cards);
     let sorted: Vec<Card> = order.iter().map(|i| cards[*i].clone()).collect();
     let empty = sorted.iter().all(|c| c.held.is_empty());
     let ranges = match empty {
-        true => in_a_row(&lay_out(model, &sorted)?),
+        true => consecutive_ranges(&plan_layout(model, &sorted)?),
         false => repair(model, &sorted, mend)?,
     };
     let mut plan = vec![LayerRange::default(); cards.len()];
@@ -88,7 +90,7 @@
     Some(plan)
 }
 
-fn in_a_row(counts: &[u32]) -> Vec<LayerRange> {
+fn consecutive_ranges(counts: &[u32]) -> Vec<LayerRange> {
     let mut first = 0;
     let range = |count: &u32| {
         let range = LayerRange::new(first, first + count);
@@ -98,16 +100,16 @@
     counts.iter().map(range).collect()
 }
 
-/// Cards in the order of their chain: those that hold layers by these, and the
-/// empty ones where layers are missing. In a new chain the kinds are mixed
-/// evenly, so that a card with little memory has neighbours with more.
+/// Returns the order of the cards in their chain. Cards that hold layers are sorted by
+/// them, and empty cards go where layers are missing. In a new chain the kinds are
+/// interleaved evenly, so that a card with little memory has neighbours with more.
 fn chain_order(model: &EngineModel, cards: &[Card]) -> Vec<usize> {
     if cards.iter().all(|c| c.held.is_empty()) {
-        return mixed_order(cards);
+        return interleaved_order(cards);
     }
-    let places = empty_places(model, cards);
+    let points = insertion_points(model, cards);
     let place = |i: usize| match cards[i].held.is_empty() {
-        true => (places[i], 0),
+        true => (points[i], 0),
         false => (cards[i].held.first, 1),
     };
     let mut order: Vec<usize> = (0..cards.len()).collect();
@@ -121,48 +123,48 @@
     factors.then(a.id.cmp(&b.id))
 }
 
-/// The layer before which each empty card stands: the fastest go where most
-/// layers are missing.
-fn empty_places(model: &EngineModel, cards: &[Card]) -> Vec<u32> {
-    let mut places = vec![0; cards.len()];
-    let mut missing = gaps(model.layers, cards);
+/// Returns for each empty card the layer before which it is inserted. The fastest cards
+/// go where most layers are missing.
+fn insertion_points(model: &EngineModel, cards: &[Card]) -> Vec<u32> {
+    let mut points = vec![0; cards.len()];
+    let mut missing = uncovered_ranges(model.layers, cards);
     let mut empty: Vec<usize> = (0..cards.len())
         .filter(|i| cards[*i].held.is_empty())
         .collect();
     empty.sort_by(|a, b| by_speed(cards, *a, *b));
     for i in empty {
-        let Some((gap, left)) = missing
+        let Some((gap, remaining)) = missing
             .iter_mut()
-            .max_by_key(|(gap, left)| (*left, gap.last))
+            .max_by_key(|(gap, remaining)| (*remaining, gap.last))
         else {
             break;
         };
-        places[i] = gap.first;
-        let filled = most_layers(model, &cards[i], model.max_tokens as f64);
-        *left -= i64::from(filled);
+        points[i] = gap.first;
+        let filled = layer_capacity(model, &cards[i], model.max_tokens as f64);
+        *remaining -= i64::from(filled);
     }
-    places
+    points
 }
 
-/// Layers that no card holds, as ranges, each with its length.
-fn gaps(layers: u32, cards: &[Card]) -> Vec<(LayerRange, i64)> {
+/// Returns the ranges of layers that no card holds, each with its length.
+fn uncovered_ranges(layers: u32, cards: &[Card]) -> Vec<(LayerRange, i64)> {
     let mut held: Vec<LayerRange> = cards.iter().map(|c| c.held).collect();
     held.retain(|r| !r.is_empty());
     held.push(LayerRange::new(layers, layers));
     held.sort_by_key(|r| r.first);
     let mut next = 0;
-    let mut gaps = Vec::new();
+    let mut ranges = Vec::new();
     for range in held {
         if range.first > next {
             let gap = LayerRange::new(next, range.first);
-            gaps.push((gap, i64::from(gap.len())));
+            ranges.push((gap, i64::from(gap.len())));
         }
         next = next.max(range.last);
     }
-    gaps
+    ranges
 }
 
-fn mixed_order(cards: &[Card]) -> Vec<usize> {
+fn interleaved_order(cards: &[Card]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..cards.len()).collect();
     order.sort_by(|a, b| cards[*a].id.cmp(&cards[*b].id));
     let kind = |c: &Card| (c.memory_mb.to_bits(), c.step_factor.to_bits());
@@ -183,53 +185,57 @@
     placed.into_iter().map(|(_, i)| i).collect()
 }
 
-/// Weight of a stage's time against layers to load, both squared: two loaded
-/// layers more are as bad as a stage that is half as long again as a usual one
-/// (six layers on an accelerator sixteen times slower than the reference).
-const STAGE_WEIGHT: f64 = 0.000_5;
+/// Weight of a stage's time relative to layers to load, both squared. Two more layers
+/// to load cost as much as a stage that is half as long again as usual (six layers on
+/// an accelerator sixteen times slower than the reference).
+const STAGE_TIME_WEIGHT: f64 = 0.000_5;
 
-/// Cost of having to give layers up before others are loaded: as of twenty
-/// layers to load, since it waits for answers or breaks them off.
-const GIVE_UP_COST: f64 = 400.0;
+/// Cost of unloading layers before others can be loaded. Equals the cost of loading
+/// twenty layers, because unloading waits for answers or aborts them.
+const UNLOAD_FIRST_COST: f64 = 400.0;
 
-/// Cost of a card that is left without any memory for requests: the whole chain is
-/// of little use then, so it is above that of giving layers up, as of some
-/// forty layers to load.
-const SCARCE_COST: f64 = 1_500.0;
+/// Cost of a card without any memory left for requests. It makes the whole chain nearly
+/// useless, so the cost is above [`UNLOAD_FIRST_COST`] and equals that of loading about
+/// forty layers.
+const LOW_CAPACITY_COST: f64 = 1_500.0;
 
-/// Part of the tokens that an engine keeps at most, with which it holds up no
+/// Share of an engine's maximum token capacity at which a card no longer limits its
 /// chain.
-const ENOUGH: f64 = 0.8;
+const SUFFICIENT_TOKEN_SHARE: f64 = 0.8;
 
-/// The same below which a card does not hold old and new layers together.
-const LEAST_BESIDE: f64 = 0.3;
+/// Share of an engine's maximum token capacity below which a card does not hold old and
+/// new layers at the same time.
+const MIN_MERGED_TOKEN_SHARE: f64 = 0.3;
 
-/// Tokens that every card must at least keep in a chain that is mended soon.
-/// Above them scarce memory is weighed against layers to load.
-const REPAIR_SHARES: [f64; 3] = [0.3, 0.1, 0.02];
+/// Minimum token capacities of every card in a fast repair, as shares of an engine's
+/// maximum. Above them, scarce memory is weighed against layers to load.
+const FAST_REPAIR_SHARES: [f64; 3] = [0.3, 0.1, 0.02];
 
-/// The same for a chain that is mended well: with less than half its engines are
-/// of more use to the others. Finer steps at the top move many layers for few
-/// tokens more.
-const WELL_SHARES: [f64; 3] = [0.75, 0.6, 0.5];
+/// The same for a repair for capacity. Below half, the engines are of more use to the
+/// other chains. Finer steps at the top would move many layers for few more tokens.
+const CAPACITY_REPAIR_SHARES: [f64; 3] = [0.75, 0.6, 0.5];
 
-/// Weight of each layer to load beside the square of a card's: all loads read
-/// from one store, which is slower the more there are.
-const SHARED_STORE: f64 = 3.0;
+/// Weight of each layer to load, added to the square of a card's layers to load. All
+/// loads read from one store, which slows down with their number.
+const SHARED_STORE_WEIGHT: f64 = 3.0;
 
-/// New ranges for cards in the order of their chain, with few layers to load on
-/// any of them: loads run side by side, so the largest decides how long the
-/// chain is broken.
+/// Returns new ranges for cards in chain order, with few layers to load on any one of
+/// them. Cards load in parallel, so the card with most layers to load determines how
+/// long the chain is broken.
 fn repair(model: &EngineModel, cards: &[Card], mend: Mend) -> Option<Vec<LayerRange>> {
-    let with = |share: &f64| {
+    let repair_at = |share: &f64| {
         let tokens = model.max_tokens as f64 * share;
-        let most = cards.iter().map(|c| most_layers(model, c, tokens));
-        cheapest_repair(model, cards, &most.collect::<Vec<u32>>())
+        let capacities = cards.iter().map(|c| layer_capacity(model, c, tokens));
+        cheapest_repair(model, cards, &capacities.collect::<Vec<u32>>())
     };
-    mend.shares().iter().find_map(with)
+    mend.token_shares().iter().find_map(repair_at)
 }
 
-fn cheapest_repair(model: &EngineModel, cards: &[Card], most: &[u32]) -> Option<Vec<LayerRange>> {
+fn cheapest_repair(
+    model: &EngineModel,
+    cards: &[Card],
+    capacities: &[u32],
+) -> Option<Vec<LayerRange>> {
     let layers = model.layers as usize;
     // cost[i][to]: the first i cards hold the layers below `to`.
     let mut cost = vec![vec![f64::INFINITY; layers + 1]; cards.len() + 1];
@@ -237,8 +243,8 @@
     cost[0][0] = 0.0;
     for (i, card) in cards.iter().enumerate() {
         for to in 0..=layers {
-            let least = to.saturating_sub(most[i] as usize);
-            for first in least..=to {
+            let min_first = to.saturating_sub(capacities[i] as usize);
+            for first in min_first..=to {
                 let range = LayerRange::new(first as u32, to as u32);
                 let total = cost[i][first] + card_cost(model, card, range);
                 if total < cost[i + 1][to] {
@@ -264,28 +270,31 @@
     if range.is_empty() {
         return 0.0;
     }
-    let loaded = f64::from(range.len() - common(card.held, range).len());
+    let to_load = f64::from(range.len() - common(card.held, range).len());
     let time = f64::from(range.len()) * card.step_factor;
-    loaded * (loaded + SHARED_STORE) + STAGE_WEIGHT * time * time + step_cost(model, card, range)
+    to_load * (to_load + SHARED_STORE_WEIGHT)
+        + STAGE_TIME_WEIGHT * time * time
+        + capacity_cost(model, card, range)
 }
 
-/// What it costs that a card keeps few tokens, while it holds old and new layers
-/// together or for good, or that it has to give up before it can load.
-fn step_cost(model: &EngineModel, card: &Card, range: LayerRange) -> f64 {
+/// Returns the cost of a card's low token capacity, permanently or while it holds old
+/// and new layers at once, plus the cost of unloading layers before it can load others.
+fn capacity_cost(model: &EngineModel, card: &Card, range: LayerRange) -> f64 {
     let both = together(model, card, range);
-    let gives_up = common(card.held, range) != card.held;
-    let waits = match both.is_none() && gives_up {
-        true => GIVE_UP_COST,
+    let unloads = common(card.held, range) != card.held;
+    let unload_cost = match both.is_none() && unloads {
+        true => UNLOAD_FIRST_COST,
         false => 0.0,
     };
     let held = both.unwrap_or(range);
-    let beside = tokens_beside(model, card.memory_mb, held.len());
+    let tokens = tokens_beside(model, card.memory_mb, held.len());
     let part = f64::from(held.len()) / f64::from(range.len());
-    let missing = 1.0 - (beside * part / (ENOUGH * model.max_tokens as f64)).min(1.0);
-    waits + SCARCE_COST * missing * missing
+    let missing =
+        1.0 - (tokens * part / (SUFFICIENT_TOKEN_SHARE * model.max_tokens as f64)).min(1.0);
+    unload_cost + LOW_CAPACITY_COST * missing * missing
 }
 
-/// Layers in both ranges; empty if there is none.
+/// Returns the layers in both ranges, or an empty range if there are none.
 pub fn common(a: LayerRange, b: LayerRange) -> LayerRange {
     let range = LayerRange::new(a.first.max(b.first), a.last.min(b.last));
     match range.is_empty() {
@@ -294,8 +303,8 @@
     }
 }
 
-/// What a card has and what it is to have as one range, where they adjoin and
-/// its memory allows.
+/// Returns the range of the held and the wanted layers together, if the two are
+/// adjacent or overlap and the card has enough memory for both.
 pub fn together(model: &EngineModel, card: &Card, want: LayerRange) -> Option<LayerRange> {
     let held = card.held;
     let adjoin = want.first <= held.last && held.first <= want.last;
@@ -303,6 +312,6 @@
         return None;
     }
     let both = LayerRange::new(held.first.min(want.first), held.last.max(want.last));
-    let beside = tokens_beside(model, card.memory_mb, both.len());
-    (beside >= LEAST_BESIDE * model.max_tokens as f64).then_some(both)
+    let tokens = tokens_beside(model, card.memory_mb, both.len());
+    (tokens >= MIN_MERGED_TOKEN_SHARE * model.max_tokens as f64).then_some(both)
 }
--- a/crates/deckwind-core/src/routing/policy.rs
+++ b/crates/deckwind-core/src/routing/policy.rs
@@ -1,5 +1,4 @@
-//! Ways to choose a chain: the one that is used, and those it is measured
-//! against.
+//! Policies that select a chain: the default one and the baselines for comparison.
 
 use super::chain_search::{ChainNeed, PlannedStage, search_chain};
 use super::fleet::{Fleet, TargetKey};
@@ -9,12 +8,12 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Chooses chains.
+/// A strategy for selecting chains.
 pub trait Policy: Send {
-    /// Its name in tables.
+    /// Returns the name of the policy, as used in tables.
     fn name(&self) -> &'static str;
 
-    /// A chain for `need`, or nothing if the layers can't be covered.
+    /// Returns a chain for `need`, or `None` if the layers can't be covered.
     fn choose(
         &mut self,
         fleet: &Fleet,
@@ -22,19 +21,19 @@
         need: &ChainNeed,
     ) -> Option<Vec<PlannedStage>>;
 
-    /// Notes that a chain was dispatched, for prefix affinity.
+    /// Records that a chain was dispatched, for prefix affinity.
     fn dispatched(&mut self, need: &ChainNeed, stages: &[PlannedStage]);
 
-    /// The prefix index, for the engines' cache events.
+    /// Returns the prefix index, to which the engines' cache events are applied.
     fn prefixes(&mut self) -> Option<&mut PrefixIndex> {
         None
     }
 }
 
-/// Prefixes that a router remembers.
-const PREFIXES_KEPT: usize = 65_536;
+/// Maximum number of prefixes in a router's index.
+const MAX_PREFIXES: usize = 65_536;
 
-fn note(index: &mut PrefixIndex, need: &ChainNeed, stages: &[PlannedStage]) {
+fn record_prefixes(index: &mut PrefixIndex, need: &ChainNeed, stages: &[PlannedStage]) {
     for prefix in &need.prefixes {
         for stage in stages {
             index.insert(*prefix, stage.target);
@@ -42,8 +41,8 @@
     }
 }
 
-/// Time that a stage costs a request, microseconds: its steps, and its prefill
-/// where that is not cached, each at the target's present time of a step.
+/// Returns the estimated time of a stage, in microseconds: its decoding steps and its
+/// uncached prefill, each at the target's current step time.
 fn stage_us(
     fleet: &Fleet,
     index: &PrefixIndex,
@@ -62,29 +61,30 @@
     tokens * t.step_us(now, layers.len())
 }
 
-/// Cost of a position in prefill against one in decoding: prefill runs many
+/// Cost of a prefill position relative to a decoding position. Prefill runs many
 /// positions in one batch.
 pub const PREFILL_COST: f64 = 0.1;
 
-/// How much more than its time a prefill weighs: whoever waits at the same
-/// target waits for it too.
+/// Weight of prefill time relative to decoding time. A prefill also delays the other
+/// sessions that wait at the target.
 const PREFILL_WEIGHT: f64 = 2.0;
 
-/// Least estimated time: load by own count and aged report, measured speed by
-/// layer, link, uncached prefix, health. The affinity is judged for each
-/// request against the target that it wants: an idle target keeps its prefixes
-/// whatever the load elsewhere (vllm-project/router pull request 238).
+/// Selects the chain with the lowest estimated time. The estimate combines the router's
+/// own load, the aged load report, the measured time per layer, link latency, uncached
+/// prefix and health. Prefix affinity is evaluated per request and target: an idle
+/// target keeps its prefixes whatever the load elsewhere (vllm-project/router pull
+/// request 238).
 pub struct Estimated {
     rng: ChaCha8Rng,
     index: PrefixIndex,
 }
 
 impl Estimated {
-    /// With a seed for its samples.
+    /// Creates the policy with a seed for its sampling.
     pub fn new(seed: u64) -> Self {
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
-            index: PrefixIndex::new(PREFIXES_KEPT),
+            index: PrefixIndex::new(MAX_PREFIXES),
         }
     }
 }
@@ -107,7 +107,7 @@
     }
 
     fn dispatched(&mut self, need: &ChainNeed, stages: &[PlannedStage]) {
-        note(&mut self.index, need, stages);
+        record_prefixes(&mut self.index, need, stages);
     }
 
     fn prefixes(&mut self) -> Option<&mut PrefixIndex> {
@@ -115,14 +115,14 @@
     }
 }
 
-/// Each target in turn: the cost of a stage is how often it was used.
+/// Selects targets in turn: the cost of a stage is how often its target was used.
 pub struct RoundRobin {
     rng: ChaCha8Rng,
     used: slotmap::SecondaryMap<TargetKey, u32>,
 }
 
 impl RoundRobin {
-    /// With a seed for its samples.
+    /// Creates the policy with a seed for its sampling.
     pub fn new(seed: u64) -> Self {
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -156,13 +156,13 @@
     }
 }
 
-/// Least load, whatever the speed, link or prefix.
+/// Selects by load only and ignores speed, link latency and cached prefixes.
 pub struct LeastLoaded {
     rng: ChaCha8Rng,
 }
 
 impl LeastLoaded {
-    /// With a seed for its samples.
+    /// Creates the policy with a seed for its sampling.
     pub fn new(seed: u64) -> Self {
         Self {
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -181,37 +181,38 @@
         now: Instant,
         need: &ChainNeed,
     ) -> Option<Vec<PlannedStage>> {
-        let cost = |key, layers: LayerRange| load_of(fleet, now, key) + f64::from(layers.len());
+        let cost = |key, layers: LayerRange| target_load(fleet, now, key) + f64::from(layers.len());
         search_chain(fleet, now, need, &[], &mut self.rng, cost)
     }
 
     fn dispatched(&mut self, _: &ChainNeed, _: &[PlannedStage]) {}
 }
 
-fn load_of(fleet: &Fleet, now: Instant, key: TargetKey) -> f64 {
+fn target_load(fleet: &Fleet, now: Instant, key: TargetKey) -> f64 {
     fleet.get(key).map_or(f64::INFINITY, |t| t.load(now))
 }
 
-/// Prefix affinity with one gate for the whole fleet: as soon as the spread of
-/// the loads passes a threshold, every request goes by least load. This is the
-/// behaviour that vllm-project/router pull request 238 replaced.
+/// Uses prefix affinity until the load imbalance of the whole fleet exceeds a
+/// threshold, then selects by load for every request. This is the behaviour that
+/// vllm-project/router pull request 238 replaced.
 pub struct FleetGate {
     estimated: Estimated,
-    least: LeastLoaded,
+    least_loaded: LeastLoaded,
 }
 
-/// Spread of the loads, as a multiple of the lowest, that opens the gate.
-const GATE_RELATIVE: f64 = 1.5;
+/// Ratio of the highest to the lowest load above which the gate opens.
+const GATE_LOAD_RATIO: f64 = 1.5;
 
-/// Spread of the loads, in layers, that opens the gate.
-const GATE_ABSOLUTE: f64 = 64.0;
+/// Difference of the highest and the lowest load, in layers, above which the gate
+/// opens.
+const GATE_LOAD_DIFFERENCE: f64 = 64.0;
 
 impl FleetGate {
-    /// With a seed for its samples.
+    /// Creates the policy with a seed for its sampling.
     pub fn new(seed: u64) -> Self {
         Self {
             estimated: Estimated::new(seed),
-            least: LeastLoaded::new(seed),
+            least_loaded: LeastLoaded::new(seed),
         }
     }
 
@@ -220,7 +221,7 @@
         let (min, max) = loads.fold((f64::INFINITY, 0.0f64), |(lo, hi), l| {
             (lo.min(l), hi.max(l))
         });
-        max - min > GATE_ABSOLUTE && max > min * GATE_RELATIVE
+        max - min > GATE_LOAD_DIFFERENCE && max > min * GATE_LOAD_RATIO
     }
 }
 
@@ -236,7 +237,7 @@
         need: &ChainNeed,
     ) -> Option<Vec<PlannedStage>> {
         if Self::is_open(fleet, now) {
-            return self.least.choose(fleet, now, need);
+            return self.least_loaded.choose(fleet, now, need);
         }
         self.estimated.choose(fleet, now, need)
     }
--- a/crates/deckwind-core/src/routing/service.rs
+++ b/crates/deckwind-core/src/routing/service.rs
@@ -1,4 +1,4 @@
-//! The choice of a plain service.
+//! Target selection for plain services.
 
 use super::fleet::{Fleet, TargetKey};
 use super::health::HealthState;
@@ -7,10 +7,11 @@
 use rand::{Rng, RngExt};
 use std::collections::BTreeSet;
 
-/// Candidates looked at.
-const SAMPLE: usize = 2;
+/// Number of candidates that are compared.
+const SAMPLE_SIZE: usize = 2;
 
-/// The better of two usable targets of a template, drawn at random.
+/// Returns the cheaper of two randomly sampled, usable targets of a template, or `None`
+/// if no target is usable.
 pub fn choose_service(
     fleet: &Fleet,
     now: Instant,
@@ -21,22 +22,22 @@
     let usable = |key: &TargetKey| {
         fleet.get(*key).is_some_and(|t| {
             t.takes_work(now)
-                && t.has_slot()
+                && t.has_free_slot()
                 && t.health.state(now) != HealthState::Suspended
                 && !avoid.contains(&t.name)
         })
     };
-    let all: Vec<TargetKey> = fleet
+    let candidates: Vec<TargetKey> = fleet
         .services(template)
         .iter()
         .copied()
         .filter(usable)
         .collect();
-    if all.is_empty() {
+    if candidates.is_empty() {
         return None;
     }
     let cost = |key: &TargetKey| fleet.get(*key).map_or(f64::INFINITY, |t| t.step_us(now, 1));
-    (0..SAMPLE)
-        .map(|_| all[rng.random_range(0..all.len())])
+    (0..SAMPLE_SIZE)
+        .map(|_| candidates[rng.random_range(0..candidates.len())])
         .min_by(|a, b| cost(a).total_cmp(&cost(b)))
 }
--- a/crates/deckwind-core/src/routing/target_state.rs
+++ b/crates/deckwind-core/src/routing/target_state.rs
@@ -1,5 +1,4 @@
-//! One target as a router sees it: where it is, what it holds, its load, its
-//! times and its health.
+//! The router's state of one target: configuration, load, measured times and health.
 
 use super::health::Health;
 use crate::state::{DataCentre, LayerRange, Target, TargetKind, TargetName, TargetStatus};
@@ -8,59 +7,61 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a target says of its load.
+/// A load report from a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Layers of all sessions that it runs, added up; requests of a service.
+    /// Sum of the layers of all sessions that the target runs; for a service, the
+    /// number of requests.
     pub load: u32,
 }
 
-/// A report as it was taken in.
+/// A load report with the time and the router's own load at its receipt.
 #[derive(Clone, Copy, Debug)]
-struct TakenReport {
-    at: Instant,
+struct ReceivedReport {
+    received_at: Instant,
     load: u32,
-    own: u32,
+    own_load: u32,
 }
 
-/// One target as a router sees it.
+/// The router's state of one target.
 #[derive(Clone, Debug)]
 pub struct TargetState {
-    /// Its name.
+    /// Name of the target.
     pub name: TargetName,
-    /// Where it is reached.
+    /// Address of the target.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Data centre of the target.
     pub data_centre: DataCentre,
-    /// Layers that it holds; empty for a plain service.
+    /// Layers that the target holds; empty for a plain service.
     pub layers: LayerRange,
-    /// Adapters that it has loaded.
+    /// Adapters that the target has loaded.
     pub adapters: Vec<String>,
     /// Kind of accelerator.
     pub accelerator: String,
-    /// What it serves at once.
+    /// Maximum number of concurrent sessions or requests.
     pub slots: u32,
-    /// Whether the operators said that it takes no new work.
+    /// Whether the configuration excludes the target from new work.
     pub leaving: bool,
-    /// Whether the platform says that its VM is leaving.
+    /// Whether the platform reports that the target's VM is leaving.
     pub vm_leaving: bool,
-    /// It wants to be left alone until then, however well it answers otherwise.
+    /// Time until which the target has asked to receive no new work, even if it still
+    /// answers.
     pub rests_until: Instant,
-    /// Time for one layer of one token, microseconds: as the kind should, then
-    /// as measured.
+    /// Time for one layer of one token, in microseconds. Starts with the configured
+    /// time of the accelerator kind and follows the measurements.
     pub layer_us: f64,
-    /// One-way time from this router, microseconds.
+    /// One-way latency from this router, in microseconds.
     pub link_us: f64,
-    /// Its health by progress.
+    /// Health, derived from progress.
     pub health: Health,
-    own: u32,
+    own_load: u32,
     own_sessions: u32,
-    report: Option<TakenReport>,
-    steps: StepTimes,
+    report: Option<ReceivedReport>,
+    step_times: StepTimes,
 }
 
-/// Mean and deviation of a target's steps, microseconds, as TCP keeps them for
-/// its retransmission timer (RFC 6298).
+/// Smoothed mean and mean deviation of a target's step times, in microseconds, as TCP
+/// computes them for its retransmission timer (RFC 6298).
 #[derive(Clone, Copy, Debug, Default)]
 struct StepTimes {
     mean_us: f64,
@@ -70,32 +71,32 @@
 impl StepTimes {
     const MEAN_GAIN: f64 = 1.0 / 8.0;
     const DEVIATION_GAIN: f64 = 1.0 / 4.0;
-    /// Deviations above the mean that count as usual.
-    const DEVIATIONS: f64 = 8.0;
+    /// Number of deviations above the mean up to which a step time counts as usual.
+    const DEVIATION_FACTOR: f64 = 8.0;
 
-    fn add(&mut self, took_us: f64) {
-        let off = (took_us - self.mean_us).abs();
-        self.deviation_us += (off - self.deviation_us) * Self::DEVIATION_GAIN;
+    fn record(&mut self, took_us: f64) {
+        let deviation = (took_us - self.mean_us).abs();
+        self.deviation_us += (deviation - self.deviation_us) * Self::DEVIATION_GAIN;
         self.mean_us += (took_us - self.mean_us) * Self::MEAN_GAIN;
     }
 
-    fn usual_us(&self) -> f64 {
-        self.mean_us + Self::DEVIATIONS * self.deviation_us
+    fn upper_bound_us(&self) -> f64 {
+        self.mean_us + Self::DEVIATION_FACTOR * self.deviation_us
     }
 }
 
-/// Microseconds a layer on an accelerator kind that has no cost of its own.
+/// Time per layer on an accelerator kind without a configured time, in microseconds.
 pub(super) const DEFAULT_LAYER_US: f64 = 100.0;
 
-/// After this time a report counts for nothing.
-const REPORT_LIFE: Duration = Duration::from_secs(5);
+/// Age at which a load report no longer counts.
+const REPORT_TTL: Duration = Duration::from_secs(5);
 
-/// Weight of a new measurement in the moving average of a layer's time.
+/// Weight of a new measurement in the moving average of the time per layer.
 const LAYER_TIME_GAIN: f64 = 0.05;
 
 impl TargetState {
-    /// A target of which only its configuration is known. `costs_us` gives the
-    /// time of a layer by accelerator kind, microseconds.
+    /// Creates the state of a target of which only the configuration is known.
+    /// `costs_us` gives the time per layer in microseconds by accelerator kind.
     pub(super) fn new(target: &Target, costs_us: &BTreeMap<String, f64>, link_us: f64) -> Self {
         let mut state = Self {
             name: target.name.clone(),
@@ -111,25 +112,25 @@
             layer_us: DEFAULT_LAYER_US,
             link_us,
             health: Health::default(),
-            own: 0,
+            own_load: 0,
             own_sessions: 0,
             report: None,
-            steps: StepTimes::default(),
+            step_times: StepTimes::default(),
         };
-        state.set_kind(&target.kind);
+        state.apply_kind(&target.kind);
         let cost_us = costs_us.get(&state.accelerator).copied();
         state.layer_us = cost_us.unwrap_or(DEFAULT_LAYER_US);
         state
     }
 
-    /// Takes over what may change while the target stays the same.
+    /// Applies the settings that may change without replacing the target.
     pub(super) fn reconfigure(&mut self, target: &Target) {
         self.leaving = target.status != TargetStatus::Active;
         self.slots = target.slots;
-        self.set_kind(&target.kind);
+        self.apply_kind(&target.kind);
     }
 
-    fn set_kind(&mut self, kind: &TargetKind) {
+    fn apply_kind(&mut self, kind: &TargetKind) {
         if let TargetKind::Engine {
             adapters,
             layers,
@@ -143,32 +144,32 @@
         }
     }
 
-    /// Counts work given to it: `load` layers, or 1 for a service.
+    /// Records work sent to the target: `load` layers, or 1 for a service.
     pub(super) fn dispatched(&mut self, now: Instant, load: u32) {
-        self.own += load;
+        self.own_load += load;
         self.own_sessions += 1;
         self.health.dispatched(now);
     }
 
-    /// Counts the end of such work.
+    /// Records the end of work that was sent to the target.
     pub(super) fn finished(&mut self, now: Instant, load: u32) {
-        self.own = self.own.saturating_sub(load);
+        self.own_load = self.own_load.saturating_sub(load);
         self.own_sessions = self.own_sessions.saturating_sub(1);
         self.health.finished(now);
     }
 
-    /// Takes a load report.
+    /// Records a load report.
     pub(super) fn reported(&mut self, now: Instant, report: LoadReport) {
-        self.report = Some(TakenReport {
-            at: now,
+        self.report = Some(ReceivedReport {
+            received_at: now,
             load: report.load,
-            own: self.own,
+            own_load: self.own_load,
         });
     }
 
-    /// Takes the time of a step that ended: of `layers` layers, for `positions`
-    /// positions. Only steps of one position tell the time of a layer; a
-    /// prompt's time depends on what was cached.
+    /// Records a finished step over `layers` layers and `positions` positions. Only
+    /// steps of one position update the time per layer: the time of a prompt depends on
+    /// how much of it was cached.
     pub(super) fn progressed(
         &mut self,
         now: Instant,
@@ -177,7 +178,7 @@
         positions: usize,
     ) {
         let took_us = took.as_micros() as f64;
-        self.steps.add(took_us);
+        self.step_times.record(took_us);
         if positions > 1 {
             self.health.progressed(now, took_us, took_us);
             return;
@@ -189,50 +190,52 @@
         self.health.progressed(now, took_us, expected_us);
     }
 
-    /// Load by own count and by the latest report, discounted by its age.
+    /// Returns the load, from the router's own count and the latest report.
     ///
-    /// What others had there at the time of the report is the report less what
-    /// was ours; it fades linearly until the report is worth nothing.
+    /// The load from others is the reported load minus the router's own load at that
+    /// time. It decays linearly to zero over the lifetime of the report.
     pub fn load(&self, now: Instant) -> f64 {
         let others = self.report.map_or(0.0, |r| {
-            let age = now.since(r.at).as_secs_f64() / REPORT_LIFE.as_secs_f64();
-            f64::from(r.load.saturating_sub(r.own)) * (1.0 - age).max(0.0)
+            let age = now.since(r.received_at).as_secs_f64() / REPORT_TTL.as_secs_f64();
+            f64::from(r.load.saturating_sub(r.own_load)) * (1.0 - age).max(0.0)
         });
-        f64::from(self.own) + others
+        f64::from(self.own_load) + others
     }
 
-    /// Whether it takes no new work, whoever said so first.
+    /// Returns whether the configuration or the platform excludes the target from new
+    /// work.
     pub fn is_leaving(&self) -> bool {
         self.leaving || self.vm_leaving
     }
 
-    /// Whether it may be given new work, as far as its own word goes and others'.
+    /// Returns whether the target is neither leaving nor has asked for no new work.
     pub fn takes_work(&self, now: Instant) -> bool {
         !self.is_leaving() && self.rests_until <= now
     }
 
-    /// Layers of this router's own sessions there.
+    /// Returns the number of layers in this router's sessions at the target.
     pub fn own_load(&self) -> u32 {
-        self.own
+        self.own_load
     }
 
-    /// This router's own sessions there.
+    /// Returns the number of this router's sessions at the target.
     pub fn own_sessions(&self) -> u32 {
         self.own_sessions
     }
 
-    /// Whether this router may give it one more.
-    pub fn has_slot(&self) -> bool {
+    /// Returns whether this router may open another session at the target.
+    pub fn has_free_slot(&self) -> bool {
         self.own_sessions < self.slots
     }
 
-    /// Longest time that a step took lately, but for the odd one, microseconds.
-    pub fn usual_step_us(&self) -> f64 {
-        self.steps.usual_us()
+    /// Returns the upper bound of usual step times, in microseconds: the mean plus a
+    /// multiple of the deviation, which excludes outliers.
+    pub fn step_upper_bound_us(&self) -> f64 {
+        self.step_times.upper_bound_us()
     }
 
-    /// Expected time of one step of `layers` layers, microseconds: what stands
-    /// before it, itself, and the link both ways.
+    /// Returns the expected time of one step over `layers` layers, in microseconds: the
+    /// queued work, the step itself and the link in both directions.
     pub fn step_us(&self, now: Instant, layers: u32) -> f64 {
         let work = self.load(now) + f64::from(layers);
         work * self.layer_us / self.health.weight(now) + 2.0 * self.link_us
--- a/crates/deckwind-core/src/session/chain.rs
+++ b/crates/deckwind-core/src/session/chain.rs
@@ -1,51 +1,56 @@
-//! An ordered list of stages that tile the layers of a model.
+//! An ordered list of stages that covers the layers of a model.
 
 use crate::state::{LayerRange, TargetName};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// One target and the layers that it runs.
+/// A target and the layers that it runs.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stage {
-    /// The target.
+    /// Name of the target.
     pub target: TargetName,
-    /// Layers that it runs here: all that it holds, or a part.
+    /// Layers that the target runs in this stage: all or some of those it holds.
     pub layers: LayerRange,
 }
 
-/// Stages that run layers `0..n` with no gap and no overlap.
+/// Stages that run layers `0..n` without gap or overlap.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chain(Vec<Stage>);
 
-/// Why a list of stages is no chain.
+/// The reason why a list of stages is not a valid chain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ChainError {
-    /// Layers that nobody or two stages would run.
+    /// A gap or an overlap between two stages.
     #[error("layer {expected} comes next, but a stage starts at {found}")]
     Broken {
-        /// Where the next stage must start.
+        /// Layer at which the next stage must start.
         expected: u32,
-        /// Where it starts.
+        /// Layer at which the stage starts.
         found: u32,
     },
     /// A stage without layers.
     #[error("a stage at layer {at} runs no layer")]
     Empty {
-        /// Where.
+        /// First layer of the stage.
         at: u32,
     },
-    /// The last layer is not reached.
+    /// The stages end before or after the last layer of the model.
     #[error("the stages end at layer {end}, the model has {layers}")]
     Short {
-        /// Where they end.
+        /// Layer at which the stages end.
         end: u32,
-        /// Layers of the model.
+        /// Number of layers of the model.
         layers: u32,
     },
 }
 
 impl Chain {
-    /// Checks that `stages` tile layers `0..layers`.
+    /// Creates a chain from stages that cover layers `0..layers`.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the stages have gaps or overlaps, a stage is empty, or the
+    /// last stage does not end at `layers`.
     pub fn new(stages: Vec<Stage>, layers: u32) -> Result<Self, ChainError> {
         let mut expected = 0;
         for stage in &stages {
@@ -70,7 +75,7 @@
         Ok(Self(stages))
     }
 
-    /// The stages, first layers first.
+    /// Returns the stages in the order of their layers.
     pub fn stages(&self) -> &[Stage] {
         &self.0
     }
--- a/crates/deckwind-core/src/session/events.rs
+++ b/crates/deckwind-core/src/session/events.rs
@@ -1,156 +1,157 @@
-//! What a session is told, what it asks for, and its bounds.
+//! Events and actions of a session, with the messages to its stages and its limits.
 
 use super::chain::{Chain, Stage};
 use crate::state::{LayerRange, TargetName};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// What goes from a stage to the next; only engines read it.
+/// The activation passed from one stage to the next; opaque to routers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Activation(pub String);
 
-/// A token as the last stage made it.
+/// A token produced by the last stage.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Token {
-    /// Its id, the first stage's next input.
+    /// Token ID, which is the next input of the first stage.
     pub id: u32,
-    /// Its text.
+    /// Text of the token.
     pub text: String,
-    /// Whether the answer ends with it.
+    /// Whether the token ends the answer.
     pub end: bool,
 }
 
-/// Names a stage for as long as it is open; never used again in a session.
+/// Identifies an open stage; never reused within a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StageKey(pub u32);
 
-/// What a stage is to run.
+/// An order to a stage to run one step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepOrder {
-    /// Attempt that it belongs to; an engine refuses older ones.
+    /// Attempt to which the step belongs; engines refuse steps of older attempts.
     pub attempt: u32,
     /// Position of the first input.
     pub position: u32,
     /// One input per position.
     pub inputs: Vec<Activation>,
-    /// Whether the stage's cache holds these positions already: it answers
-    /// with their outputs and changes nothing.
+    /// Whether the stage's cache already holds these positions. The stage then returns
+    /// their outputs and changes nothing.
     pub replay: bool,
 }
 
-/// What a stage answers.
+/// A stage's result of a step.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StepOutput {
-    /// From the order.
+    /// Attempt from the order.
     pub attempt: u32,
-    /// From the order.
+    /// Position from the order.
     pub position: u32,
     /// One output per position.
     pub outputs: Vec<Activation>,
-    /// The token after the last position, from a stage that ends the model.
+    /// Token after the last position; present if the stage holds the last layer.
     pub token: Option<Token>,
-    /// Layers of all open stages there, added up: a load report that costs no
-    /// message.
+    /// Sum of the layers of all open stages at the target: a load report without a
+    /// message of its own.
     #[serde(default)]
     pub load: Option<u32>,
 }
 
-/// What went wrong with a stage.
+/// The way in which a stage failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum StageFault {
-    /// Its connection broke.
+    /// The connection broke.
     Broken,
-    /// It gave no answer in time.
+    /// The stage did not answer in time.
     Late,
-    /// It refused the order.
+    /// The stage refused the order.
     Refused,
 }
 
-/// What happens to a session.
+/// An input event of a session.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SessionEvent {
-    /// A chain was found: at the start, or with the lost stage replaced.
+    /// A chain was found, at the start or with a failed stage replaced.
     Planned(Chain),
     /// No chain could be found.
     NoChain,
-    /// A stage answered.
+    /// A stage returned a result.
     Output {
-        /// Which.
+        /// Key of the stage.
         key: StageKey,
-        /// With what.
+        /// Result of the step.
         output: StepOutput,
     },
-    /// The awaited stage failed. Faults of others wait until it is their turn.
+    /// The awaited stage failed. Faults of other stages are reported when these are
+    /// awaited.
     Fault {
-        /// Which.
+        /// Key of the stage.
         key: StageKey,
-        /// How.
+        /// Type of fault.
         fault: StageFault,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
 }
 
-/// Why a session ended.
+/// The reason why a session ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndReason {
     /// The whole answer was delivered.
     Complete,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
     /// No targets are left to run the layers.
     NoTargets,
-    /// Too many faults.
+    /// Too many faults occurred.
     TooManyFaults,
 }
 
-/// What the driver must do.
+/// An action that the driver of a session must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SessionAction {
     /// Find a chain. Stages outside `missing` should stay as they are.
     Plan {
         /// Targets that failed in this session.
         avoid: BTreeSet<TargetName>,
-        /// Layers that have no stage.
+        /// Layers without a stage.
         missing: LayerRange,
     },
     /// Open a stage.
     Open {
-        /// Its key from here on.
+        /// Key of the new stage.
         key: StageKey,
-        /// Who and what.
+        /// Target and layers of the stage.
         with: Stage,
     },
-    /// Order a step.
+    /// Order a step from a stage.
     Step {
-        /// Stage to order it from.
+        /// Key of the stage.
         key: StageKey,
-        /// The order.
+        /// Step to order.
         order: StepOrder,
     },
-    /// Give the caller a token. Each position comes once, in order.
+    /// Deliver a token to the caller. Each position is delivered once, in order.
     Deliver {
         /// Position of the token in the answer, from 0.
         position: u32,
-        /// The token.
+        /// Token to deliver.
         token: Token,
     },
-    /// Close a stage and free what it holds.
+    /// Close a stage and free its resources.
     Close {
-        /// Which.
+        /// Key of the stage.
         key: StageKey,
     },
-    /// All is done; close what is open.
+    /// End the session and close all open stages.
     End(EndReason),
 }
 
-/// Bounds of one session.
+/// Limits of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SessionLimits {
-    /// Most tokens in the answer.
+    /// Maximum number of tokens in the answer.
     pub max_tokens: u32,
-    /// Most faults before it gives up.
+    /// Maximum number of faults before the session fails.
     pub max_faults: u32,
 }
 
--- a/crates/deckwind-core/src/session/ledger.rs
+++ b/crates/deckwind-core/src/session/ledger.rs
@@ -1,15 +1,15 @@
-//! Which result comes next, and which must be dropped.
+//! Tracking of the awaited result, so that each result is accepted exactly once.
 
-/// What to do with a result.
+/// The decision on a result.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It is the one that was waited for.
+    /// The result is the awaited one.
     Take,
-    /// It is late: an older attempt's, or one that was taken already.
+    /// The result is late: it belongs to an older attempt or was already accepted.
     Drop,
 }
 
-/// Takes each (position, stage) of a session once, in order.
+/// Accepts each (position, stage) of a session once, in order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ledger {
     attempt: u32,
@@ -20,8 +20,8 @@
 }
 
 impl Ledger {
-    /// For a chain of `stages` stages; the first result awaited is that of
-    /// stage 0 for `position`. Attempts count from the first restart.
+    /// Creates a ledger for a chain of `stages` stages that awaits the result of stage
+    /// 0 for `position`. The attempt is 0 until the first restart.
     pub fn new(stages: usize, position: u32) -> Self {
         Self {
             attempt: 0,
@@ -32,27 +32,28 @@
         }
     }
 
-    /// Current attempt; results of others are dropped.
+    /// Returns the current attempt; results of other attempts are dropped.
     pub fn attempt(&self) -> u32 {
         self.attempt
     }
 
-    /// Position whose token comes next.
+    /// Returns the position of the next token.
     pub fn position(&self) -> u32 {
         self.position
     }
 
-    /// Stage whose result comes next.
+    /// Returns the index of the stage whose result is awaited.
     pub fn stage(&self) -> usize {
         self.stage
     }
 
-    /// Results taken so far.
+    /// Returns the number of accepted results.
     pub fn taken(&self) -> u64 {
         self.taken
     }
 
-    /// Judges a result; taking it moves on to the next stage or position.
+    /// Decides on a result. An accepted result advances the ledger to the next stage or
+    /// position.
     pub fn offer(&mut self, attempt: u32, stage: usize, position: u32) -> Verdict {
         let awaited = (self.attempt, self.stage, self.position);
         if (attempt, stage, position) != awaited {
--- a/crates/deckwind-core/src/session/machine.rs
+++ b/crates/deckwind-core/src/session/machine.rs
@@ -1,4 +1,4 @@
-//! The session as a state machine: results and faults in, orders out.
+//! The session state machine, which turns results and faults into orders.
 
 use super::chain::{Chain, Stage};
 use super::events::{
@@ -9,16 +9,16 @@
 use crate::state::{LayerRange, TargetName};
 use std::collections::BTreeSet;
 
-/// A stage of the chain, and how far its cache goes.
+/// A stage of the chain and the extent of its cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct OpenStage {
     key: StageKey,
     stage: Stage,
-    /// Positions in its KV cache.
-    ran: u32,
+    /// Number of positions in the KV cache of the stage.
+    cached_positions: u32,
 }
 
-/// Where a session is.
+/// The phase of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// Waiting for a chain.
@@ -27,11 +27,11 @@
     Running,
     /// Filling the caches of new stages up to the awaited step.
     Refilling { stage: usize, last_new: usize },
-    /// Over.
+    /// The session has ended.
     Ended,
 }
 
-/// One session. Drive it with [`Session::step`].
+/// A chat session. Driven by [`Session::step`].
 pub struct Session {
     layers: u32,
     limits: SessionLimits,
@@ -48,8 +48,8 @@
 }
 
 impl Session {
-    /// A session over a model of `layers` layers. `prompt` holds one input for
-    /// each position of the prompt and is not empty.
+    /// Creates a session over a model of `layers` layers. `prompt` holds one input per
+    /// position of the prompt and must not be empty.
     pub fn new(layers: u32, prompt: Vec<Activation>, limits: SessionLimits) -> Self {
         Self {
             layers,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Asks for the first chain.
+    /// Requests the first chain.
     pub fn start(&mut self, out: &mut Vec<SessionAction>) {
         out.push(SessionAction::Plan {
             avoid: BTreeSet::new(),
@@ -74,38 +74,38 @@
         });
     }
 
-    /// Stages of the chain at the moment.
+    /// Returns the stages of the current chain.
     pub fn chain(&self) -> impl Iterator<Item = &Stage> {
         self.chain.iter().map(|s| &s.stage)
     }
 
-    /// Current attempt.
+    /// Returns the current attempt.
     pub fn attempt(&self) -> u32 {
         self.ledger.attempt()
     }
 
-    /// Tokens delivered.
+    /// Returns the number of delivered tokens.
     pub fn delivered(&self) -> u32 {
         self.delivered.len() as u32
     }
 
-    /// Faults survived so far.
+    /// Returns the number of faults so far.
     pub fn faults(&self) -> u32 {
         self.faults
     }
 
-    /// Stage whose answer comes next, with the number of positions it runs.
+    /// Returns the awaited stage and the number of positions it runs.
     pub fn awaited(&self) -> Option<(StageKey, usize)> {
         let positions = match self.phase {
             Phase::Running => self.inputs.len(),
-            Phase::Refilling { .. } => self.past() as usize,
+            Phase::Refilling { .. } => self.completed_positions() as usize,
             _ => return None,
         };
         let stage = self.chain.get(self.awaited_stage())?;
         Some((stage.key, positions))
     }
 
-    /// Takes one event.
+    /// Handles one event.
     pub fn step(&mut self, event: SessionEvent, out: &mut Vec<SessionAction>) {
         if self.phase == Phase::Ended {
             return;
@@ -123,18 +123,22 @@
         if self.phase != Phase::Planning {
             return;
         }
-        self.take_chain(chain, out);
+        self.replace_chain(chain, out);
         self.ledger.restart(self.chain.len());
-        let past = self.past();
-        match self.chain.iter().rposition(|s| s.ran < past) {
+        let completed_positions = self.completed_positions();
+        match self
+            .chain
+            .iter()
+            .rposition(|s| s.cached_positions < completed_positions)
+        {
             Some(last_new) => self.start_refill(last_new, out),
             None => self.start_step(out),
         }
     }
 
-    /// Keeps the stages that stand in the new chain too, with their caches;
-    /// opens the others and closes what is no longer in it.
-    fn take_chain(&mut self, chain: Chain, out: &mut Vec<SessionAction>) {
+    /// Keeps the stages that are also in the new chain, with their caches, then opens
+    /// the new ones and closes the removed ones.
+    fn replace_chain(&mut self, chain: Chain, out: &mut Vec<SessionAction>) {
         let mut old = std::mem::take(&mut self.chain);
         for stage in chain.stages() {
             let kept = old.iter().position(|s| s.stage == *stage);
@@ -144,8 +148,8 @@
             };
             self.chain.push(open);
         }
-        for gone in old {
-            out.push(SessionAction::Close { key: gone.key });
+        for removed in old {
+            out.push(SessionAction::Close { key: removed.key });
         }
     }
 
@@ -156,11 +160,16 @@
             key,
             with: stage.clone(),
         });
-        OpenStage { key, stage, ran: 0 }
+        OpenStage {
+            key,
+            stage,
+            cached_positions: 0,
+        }
     }
 
-    /// Positions before the awaited step: none while the prompt runs.
-    fn past(&self) -> u32 {
+    /// Returns the number of positions before the awaited step; 0 while the prompt
+    /// runs.
+    fn completed_positions(&self) -> u32 {
         match self.ledger.position() {
             0 => 0,
             p => self.prompt.len() as u32 + p - 1,
@@ -177,7 +186,10 @@
     fn start_refill(&mut self, last_new: usize, out: &mut Vec<SessionAction>) {
         self.phase = Phase::Refilling { stage: 0, last_new };
         let all = self.prompt.iter().chain(&self.delivered);
-        let inputs = all.take(self.past() as usize).cloned().collect();
+        let inputs = all
+            .take(self.completed_positions() as usize)
+            .cloned()
+            .collect();
         self.order(0, 0, inputs, out);
     }
 
@@ -193,10 +205,10 @@
 
     fn order_awaited(&mut self, inputs: Vec<Activation>, out: &mut Vec<SessionAction>) {
         self.inputs = inputs.clone();
-        self.order(self.ledger.stage(), self.past(), inputs, out);
+        self.order(self.ledger.stage(), self.completed_positions(), inputs, out);
     }
 
-    /// Orders positions from a stage; as replay where its cache has them.
+    /// Orders positions from a stage, as a replay if its cache already holds them.
     fn order(
         &self,
         stage: usize,
@@ -210,7 +222,7 @@
             attempt: self.ledger.attempt(),
             position,
             inputs,
-            replay: open.ran >= end,
+            replay: open.cached_positions >= end,
         };
         out.push(SessionAction::Step {
             key: open.key,
@@ -222,15 +234,17 @@
         let Some((awaited, positions)) = self.awaited() else {
             return;
         };
-        let late = key != awaited || output.attempt != self.ledger.attempt();
-        if late || output.outputs.len() != positions {
+        let is_stale = key != awaited || output.attempt != self.ledger.attempt();
+        if is_stale || output.outputs.len() != positions {
             return;
         }
         match self.phase {
             Phase::Refilling { stage, last_new } if output.position == 0 => {
                 self.on_refilled(stage, last_new, output.outputs, out);
             }
-            Phase::Running if output.position == self.past() => self.on_result(output, out),
+            Phase::Running if output.position == self.completed_positions() => {
+                self.on_result(output, out)
+            }
             _ => {}
         }
     }
@@ -242,9 +256,9 @@
         outputs: Vec<Activation>,
         out: &mut Vec<SessionAction>,
     ) {
-        let past = self.past();
+        let completed_positions = self.completed_positions();
         let open = &mut self.chain[stage];
-        open.ran = open.ran.max(past);
+        open.cached_positions = open.cached_positions.max(completed_positions);
         if stage == last_new {
             self.start_step(out);
             return;
@@ -257,7 +271,7 @@
     fn on_result(&mut self, output: StepOutput, out: &mut Vec<SessionAction>) {
         let stage = self.ledger.stage();
         let position = self.ledger.position();
-        let end = self.past() + self.inputs.len() as u32;
+        let end = self.completed_positions() + self.inputs.len() as u32;
         let is_last = stage + 1 == self.chain.len();
         if is_last && output.token.is_none() {
             self.on_fault(self.chain[stage].key, out);
@@ -267,7 +281,7 @@
             return;
         }
         let open = &mut self.chain[stage];
-        open.ran = open.ran.max(end);
+        open.cached_positions = open.cached_positions.max(end);
         match output.token {
             Some(token) if is_last => self.deliver(position, token, out),
             _ => self.order_awaited(output.outputs, out),
--- a/crates/deckwind-core/src/session/mod.rs
+++ b/crates/deckwind-core/src/session/mod.rs
@@ -1,24 +1,24 @@
-//! One caller's chat session over a chain of stages.
+//! A caller's chat session over a chain of stages.
 //!
 //! ```text
 //!            inputs of position p                 token of p
 //!  prompt ──► stage 0 ──► stage 1 ──► stage 2 ───────────────► caller
-//!               ▲            ✗ dies                 │ input of p+1
+//!               ▲            ✗ fails                │ input of p+1
 //!               └────────────────────────────────────┘
-//!  on a death: attempt + 1; positions 0..p go through the stages up to the new
+//!  on a fault: attempt + 1; positions 0..p go through the stages up to the new
 //!  one, then p starts again at stage 0
 //! ```
 //!
-//! Stages that live keep their KV cache and answer for what it holds as replay,
-//! which runs no layer anew. Only the new stage, whose cache is empty, runs the
-//! positions before p. So of the results that count, each layer's is made once
-//! for each token.
+//! Stages that did not fail keep their KV cache and replay the outputs for the
+//! positions in it, which runs no layer again. Only the new stage, whose cache is
+//! empty, runs the positions before p. Among the accepted results, each layer therefore
+//! runs once for each token.
 //!
-//! A fault shows only when its stage is awaited; a stage that broke earlier
-//! fails at the next order for it.
+//! A fault is noticed only when its stage is awaited: a stage that broke earlier fails
+//! at its next step.
 //!
-//! [`Ledger`] takes each (position, stage, attempt) at most once and in order;
-//! whatever comes late from an older attempt is dropped.
+//! [`Ledger`] accepts each (position, stage, attempt) at most once and in order, and
+//! drops late results of older attempts.
 
 mod chain;
 mod events;
