--- a/crates/deckwind-core/src/routing/paths.rs
+++ b/crates/deckwind-core/src/routing/paths.rs
@@ -173,8 +173,8 @@
     /// has dropped by as much as the request needs.
     fn has_room(&self, need: &Need, layers: LayerRange) -> bool {
         let needed = need.tokens as f64 * f64::from(layers.len());
-        let full = |most: f64| self.in_use + needed > most;
-        if need.most.is_finite() && self.refused_at.is_some_and(full) {
+        let exceeds = |limit: f64| self.in_use + needed > limit;
+        if need.most.is_finite() && self.refused_at.is_some_and(exceeds) {
             return false;
         }
         self.in_use == 0.0 || self.utilization(need, layers) <= need.most
@@ -193,10 +193,10 @@
     /// Returns the sampling weight: the product of the free capacity in tokens, the
     /// free share of memory, and the share of its layers that the stage uses.
     fn sampling_weight(&self, need: &Need, layers: LayerRange) -> f64 {
-        let room = (1.0 - self.utilization(need, layers)).max(MIN_FREE_SHARE);
+        let free_share = (1.0 - self.utilization(need, layers)).max(MIN_FREE_SHARE);
         let held = f64::from(self.layers.len());
-        let tokens = self.capacity / held * room;
-        tokens.max(1.0) * room * f64::from(layers.len()) / held
+        let tokens = self.capacity / held * free_share;
+        tokens.max(1.0) * free_share * f64::from(layers.len()) / held
     }
 }
 
--- a/crates/deckwind-core/src/routing/placement.rs
+++ b/crates/deckwind-core/src/routing/placement.rs
@@ -75,13 +75,13 @@
 /// Returns the layers for each of `cards`, in the same order, or `None` if the cards
 /// can't hold the model together. If some cards already hold layers, the plan loads as
 /// few as possible.
-pub fn plan_chain(model: &EngineModel, cards: &[Card], mend: Mend) -> Option<Vec<LayerRange>> {
+pub fn plan_chain(model: &EngineModel, cards: &[Card], mode: Mend) -> Option<Vec<LayerRange>> {
     let order = chain_order(model, cards);
     let sorted: Vec<Card> = order.iter().map(|i| cards[*i].clone()).collect();
     let empty = sorted.iter().all(|c| c.held.is_empty());
     let ranges = match empty {
         true => consecutive_ranges(&plan_layout(model, &sorted)?),
-        false => repair(model, &sorted, mend)?,
+        false => repair(model, &sorted, mode)?,
     };
     let mut plan = vec![LayerRange::default(); cards.len()];
     for (i, range) in order.into_iter().zip(ranges) {
@@ -108,12 +108,12 @@
         return interleaved_order(cards);
     }
     let points = insertion_points(model, cards);
-    let place = |i: usize| match cards[i].held.is_empty() {
+    let key = |i: usize| match cards[i].held.is_empty() {
         true => (points[i], 0),
         false => (cards[i].held.first, 1),
     };
     let mut order: Vec<usize> = (0..cards.len()).collect();
-    order.sort_by(|a, b| place(*a).cmp(&place(*b)).then(by_speed(cards, *a, *b)));
+    order.sort_by(|a, b| key(*a).cmp(&key(*b)).then(by_speed(cards, *a, *b)));
     order
 }
 
@@ -168,7 +168,7 @@
     let mut order: Vec<usize> = (0..cards.len()).collect();
     order.sort_by(|a, b| cards[*a].id.cmp(&cards[*b].id));
     let kind = |c: &Card| (c.memory_mb.to_bits(), c.step_factor.to_bits());
-    let place = |i: usize| {
+    let relative_position = |i: usize| {
         let same = order
             .iter()
             .filter(|o| kind(&cards[**o]) == kind(&cards[i]));
@@ -176,13 +176,14 @@
         let before = same.iter().position(|o| *o == i).unwrap_or_default();
         (before as f64 + 0.5) / same.len() as f64
     };
-    let mut placed: Vec<(f64, usize)> = order.iter().map(|i| (place(*i), *i)).collect();
-    placed.sort_by(|a, b| {
+    let mut positions: Vec<(f64, usize)> =
+        order.iter().map(|i| (relative_position(*i), *i)).collect();
+    positions.sort_by(|a, b| {
         let factor = |i: usize| cards[i].step_factor;
         a.0.total_cmp(&b.0)
             .then(factor(a.1).total_cmp(&factor(b.1)))
     });
-    placed.into_iter().map(|(_, i)| i).collect()
+    positions.into_iter().map(|(_, i)| i).collect()
 }
 
 /// Weight of a stage's time relative to layers to load, both squared. Two more layers
@@ -222,13 +223,13 @@
 /// Returns new ranges for cards in chain order, with few layers to load on any one of
 /// them. Cards load in parallel, so the card with most layers to load determines how
 /// long the chain is broken.
-fn repair(model: &EngineModel, cards: &[Card], mend: Mend) -> Option<Vec<LayerRange>> {
+fn repair(model: &EngineModel, cards: &[Card], mode: Mend) -> Option<Vec<LayerRange>> {
     let repair_at = |share: &f64| {
         let tokens = model.max_tokens as f64 * share;
         let capacities = cards.iter().map(|c| layer_capacity(model, c, tokens));
         cheapest_repair(model, cards, &capacities.collect::<Vec<u32>>())
     };
-    mend.token_shares().iter().find_map(repair_at)
+    mode.token_shares().iter().find_map(repair_at)
 }
 
 fn cheapest_repair(
--- a/crates/deckwind-core/src/session/machine.rs
+++ b/crates/deckwind-core/src/session/machine.rs
@@ -98,7 +98,7 @@
     pub fn awaited(&self) -> Option<(StageKey, usize)> {
         let positions = match self.phase {
             Phase::Running => self.inputs.len(),
-            Phase::Refilling { .. } => self.completed_positions() as usize,
+            Phase::Refilling { .. } => self.context_len() as usize,
             _ => return None,
         };
         let stage = self.chain.get(self.awaited_stage())?;
@@ -125,11 +125,11 @@
         }
         self.replace_chain(chain, out);
         self.ledger.restart(self.chain.len());
-        let completed_positions = self.completed_positions();
+        let context_len = self.context_len();
         match self
             .chain
             .iter()
-            .rposition(|s| s.cached_positions < completed_positions)
+            .rposition(|s| s.cached_positions < context_len)
         {
             Some(last_new) => self.start_refill(last_new, out),
             None => self.start_step(out),
@@ -169,7 +169,7 @@
 
     /// Returns the number of positions before the awaited step; 0 while the prompt
     /// runs.
-    fn completed_positions(&self) -> u32 {
+    fn context_len(&self) -> u32 {
         match self.ledger.position() {
             0 => 0,
             p => self.prompt.len() as u32 + p - 1,
@@ -186,10 +186,7 @@
     fn start_refill(&mut self, last_new: usize, out: &mut Vec<SessionAction>) {
         self.phase = Phase::Refilling { stage: 0, last_new };
         let all = self.prompt.iter().chain(&self.delivered);
-        let inputs = all
-            .take(self.completed_positions() as usize)
-            .cloned()
-            .collect();
+        let inputs = all.take(self.context_len() as usize).cloned().collect();
         self.order(0, 0, inputs, out);
     }
 
@@ -205,7 +202,7 @@
 
     fn order_awaited(&mut self, inputs: Vec<Activation>, out: &mut Vec<SessionAction>) {
         self.inputs = inputs.clone();
-        self.order(self.ledger.stage(), self.completed_positions(), inputs, out);
+        self.order(self.ledger.stage(), self.context_len(), inputs, out);
     }
 
     /// Orders positions from a stage, as a replay if its cache already holds them.
@@ -242,9 +239,7 @@
             Phase::Refilling { stage, last_new } if output.position == 0 => {
                 self.on_refilled(stage, last_new, output.outputs, out);
             }
-            Phase::Running if output.position == self.completed_positions() => {
-                self.on_result(output, out)
-            }
+            Phase::Running if output.position == self.context_len() => self.on_result(output, out),
             _ => {}
         }
     }
@@ -256,9 +251,9 @@
         outputs: Vec<Activation>,
         out: &mut Vec<SessionAction>,
     ) {
-        let completed_positions = self.completed_positions();
+        let context_len = self.context_len();
         let open = &mut self.chain[stage];
-        open.cached_positions = open.cached_positions.max(completed_positions);
+        open.cached_positions = open.cached_positions.max(context_len);
         if stage == last_new {
             self.start_step(out);
             return;
@@ -271,7 +266,7 @@
     fn on_result(&mut self, output: StepOutput, out: &mut Vec<SessionAction>) {
         let stage = self.ledger.stage();
         let position = self.ledger.position();
-        let end = self.completed_positions() + self.inputs.len() as u32;
+        let end = self.context_len() + self.inputs.len() as u32;
         let is_last = stage + 1 == self.chain.len();
         if is_last && output.token.is_none() {
             self.on_fault(self.chain[stage].key, out);
