--- a/crates/deckwind-core/src/router/denied.rs
+++ b/crates/deckwind-core/src/router/denied.rs
@@ -32,7 +32,8 @@
     /// The router is shutting down.
     #[error("this router is stopping")]
     Draining,
-    /// Targets have ended while running this request's content, under any request ID.
+    /// Targets have crashed on this request content, under any request ID, and it is
+    /// quarantined as a poison request.
     #[error("targets have ended under this request")]
     Quarantined,
     /// No target can run the request at the moment.
--- a/crates/deckwind-core/src/router/router_core.rs
+++ b/crates/deckwind-core/src/router/router_core.rs
@@ -379,7 +379,7 @@
         self.fleet.finished(now, key, 1);
     }
 
-    /// Records that a target has asked to receive no new work for `rest`.
+    /// Starts a rest period of length `rest` that a target has asked for.
     pub fn target_rests(&mut self, now: Instant, key: TargetKey, rest: Duration) {
         self.fleet.rests(now, key, rest);
     }
@@ -388,9 +388,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`DeniedCode::NoTargets`] if no target is usable. If all of them have
-    /// asked for no new work, `retry_after` is the shortest time until one accepts work
-    /// again.
+    /// Returns [`DeniedCode::NoTargets`] if no target is usable. If all of them are in
+    /// a rest period, `retry_after` is the shortest remaining one.
     pub fn plan_service(
         &mut self,
         now: Instant,
--- a/crates/deckwind-core/src/routing/chains.rs
+++ b/crates/deckwind-core/src/routing/chains.rs
@@ -11,8 +11,8 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Maximum number of cards of a chain. Leaves room below the maximum number of stages
-/// for repairs that add stages.
+/// Maximum number of cards of a chain. Below the maximum number of stages, so that
+/// repairs can add stages.
 const MAX_CARDS_PER_CHAIN: usize = 28;
 
 /// Maximum number of chains in one data centre.
--- a/crates/deckwind-core/src/routing/fleet.rs
+++ b/crates/deckwind-core/src/routing/fleet.rs
@@ -266,7 +266,7 @@
         }
     }
 
-    /// Records that a target has asked to receive no new work for `rest`. A shorter
+    /// Starts a rest period of length `rest` that a target has asked for. A shorter
     /// period does not end a longer one.
     pub fn rests(&mut self, now: Instant, key: TargetKey, rest: Duration) {
         if let Some(t) = self.targets.get_mut(key) {
@@ -274,8 +274,8 @@
         }
     }
 
-    /// Returns the shortest time until a target of a plain service accepts new work
-    /// again, if every target that is not leaving has asked for none.
+    /// Returns the shortest remaining rest period among the targets of a plain service
+    /// that are not leaving, or `None` unless all of them are in one.
     pub fn service_rest_left(&self, now: Instant, template: &TemplateName) -> Option<Duration> {
         let keys = self.services(template).iter();
         let targets = keys.filter_map(|k| self.targets.get(*k));
--- a/crates/deckwind-core/src/routing/layout.rs
+++ b/crates/deckwind-core/src/routing/layout.rs
@@ -15,8 +15,8 @@
     1.0, 0.95, 0.9, 0.85, 0.8, 0.75, 0.7, 0.6, 0.5, 0.4, 0.2, 0.1, 0.05,
 ];
 
-/// Factor by which a card that is full of layers counts as slower. Free room is needed
-/// to take over the layers of a lost neighbour.
+/// Factor by which a card that is full of layers counts as slower. Free capacity is
+/// needed to take over the layers of a lost neighbour.
 const FULLNESS_PENALTY: f64 = 1.0;
 
 /// Cost of an additional stage in the distribution, in layers on the reference
@@ -128,7 +128,7 @@
 }
 
 /// Assigns each layer to the group with the lowest additional time. Returns `None` if
-/// there is not enough room.
+/// the cards lack capacity.
 fn distribute_layers(layers: u32, groups: &[CardGroup]) -> Option<Vec<CardGroup>> {
     let mut groups = groups.to_vec();
     for _ in 0..layers {
--- a/crates/deckwind-core/src/routing/paths.rs
+++ b/crates/deckwind-core/src/routing/paths.rs
@@ -5,12 +5,12 @@
 //! inside it, because every stage boundary between data centres transfers the
 //! activations of each token.
 //!
-//! Routers learn the memory use of engines with a delay of up to two lease renewals. In
-//! that time all routers together start about as many streams as a chain has room for,
-//! so if each chose the least utilized path, all would choose the same one. Therefore
-//! each stage is sampled among the engines that hold the next layer, in proportion to
-//! their free capacity, and the least utilized of a few such paths is chosen
-//! (Mitzenmacher, "How Useful Is Old Information?", IEEE TPDS 2000).
+//! Routers learn the load of engines with a delay of up to two lease renewals. In that
+//! time all routers together start about as many streams as a chain has capacity for, so
+//! if each chose the least utilized path, all would choose the same one. Therefore each
+//! stage is sampled among the engines that hold the next layer, in proportion to their
+//! free capacity, and the least utilized of a few such paths is chosen (Mitzenmacher,
+//! "How Useful Is Old Information?", IEEE TPDS 2000).
 
 use super::draws::Draws;
 use super::placement::{common, tokens_beside};
@@ -49,7 +49,7 @@
     pub used: f64,
 }
 
-/// Resources that the streams of all routers use at an engine.
+/// Load of the streams of all routers at an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Held {
     /// Tokens held, multiplied by the layers that hold them.
@@ -62,10 +62,10 @@
 pub trait EngineView {
     /// Returns whether no request may be sent through the instance for now.
     fn avoids(&self, instance: &Instance) -> bool;
-    /// Returns the resources that streams use at the engine.
+    /// Returns the load of streams at the engine.
     fn held(&self, address: SocketAddr) -> Held;
-    /// Returns the token-layers that streams held at the engine when it last refused a
-    /// request, or `None` if it has not refused one recently.
+    /// Returns the load in layer tokens at which the engine last refused a request, or
+    /// `None` if it has not refused one recently.
     fn refused_at(&self, address: SocketAddr) -> Option<u64>;
     /// Returns whether the engine is suspected, for example because stalled streams
     /// point to it. Suspected engines are used only in a data centre that has no chain
@@ -91,7 +91,8 @@
 pub enum NoPath {
     /// The usable engines do not hold all layers.
     Broken,
-    /// Every path has an engine without room. Holds the least utilized of them.
+    /// Every path has an engine without free capacity. Holds the least utilized of
+    /// them.
     Full(Fullest),
 }
 
@@ -123,12 +124,12 @@
     instance: &'a Instance,
     /// Layers of the model that the engine holds.
     layers: LayerRange,
-    /// Capacity for stream state and its current use, both in token-layers.
+    /// Capacity for streams and current load, both in layer tokens.
     capacity: f64,
-    in_use: f64,
+    load: f64,
     /// Utilization of its slots as a first stage, with one more stream.
     slot_utilization: f64,
-    /// Token-layers in use when the engine recently refused a request.
+    /// Load in layer tokens at which the engine recently refused a request.
     refused_at: Option<f64>,
     suspected: bool,
     /// Prompt processing time relative to the reference accelerator.
@@ -150,7 +151,7 @@
             instance,
             layers,
             capacity,
-            in_use: held.layer_tokens as f64,
+            load: held.layer_tokens as f64,
             slot_utilization: f64::from(held.begun + 1) / usable_slots,
             refused_at: view.refused_at(instance.address).map(|t| t as f64),
             suspected: view.suspects(instance.address),
@@ -161,23 +162,23 @@
     /// Returns the utilization with a request that runs `layers` at this engine.
     fn utilization(&self, need: &Need, layers: LayerRange) -> f64 {
         let needed = (need.tokens + UNREPORTED_TOKENS) as f64 * f64::from(layers.len());
-        let memory = (self.in_use + needed) / self.capacity.max(1.0);
+        let memory = (self.load + needed) / self.capacity.max(1.0);
         match layers.first {
             0 => memory.max(self.slot_utilization),
             _ => memory,
         }
     }
 
-    /// Returns whether the engine has room for the request. An idle engine accepts any
-    /// request. An engine that recently refused one accepts the next only once its use
-    /// has dropped by as much as the request needs.
-    fn has_room(&self, need: &Need, layers: LayerRange) -> bool {
+    /// Returns whether the engine has free capacity for the request. An idle engine
+    /// accepts any request. An engine that recently refused one accepts the next only
+    /// once its load has dropped by as much as the request needs.
+    fn has_capacity(&self, need: &Need, layers: LayerRange) -> bool {
         let needed = need.tokens as f64 * f64::from(layers.len());
-        let exceeds = |limit: f64| self.in_use + needed > limit;
+        let exceeds = |limit: f64| self.load + needed > limit;
         if need.most.is_finite() && self.refused_at.is_some_and(exceeds) {
             return false;
         }
-        self.in_use == 0.0 || self.utilization(need, layers) <= need.most
+        self.load == 0.0 || self.utilization(need, layers) <= need.most
     }
 
     /// Returns the held layers from `first` on, or an empty range if it does not hold
@@ -200,7 +201,7 @@
     }
 }
 
-/// Returns the token-layers that an engine can keep for streams, or 0 if it holds no
+/// Returns the capacity for streams of an engine in layer tokens, or 0 if it holds no
 /// layers or its accelerator kind is not listed in the model.
 pub fn keeps(model: &EngineModel, instance: &Instance) -> f64 {
     let kind = instance.accelerator.as_deref().and_then(|k| model.kind(k));
@@ -262,14 +263,14 @@
     covers_all_layers(model, by_data_centre.values().flatten())
 }
 
-/// Returns a path with room for each data centre that has one. A path across data
-/// centres is returned only if no single data centre holds all layers, because the
+/// Returns a path with free capacity for each data centre that has one. A path across
+/// data centres is returned only if no single data centre holds all layers, because the
 /// traffic between stages fills the links between data centres.
 ///
 /// # Errors
 ///
 /// Returns [`NoPath::Broken`] if the usable engines do not hold all layers, and
-/// [`NoPath::Full`] if they do but lack room.
+/// [`NoPath::Full`] if they do but lack free capacity.
 pub fn paths<'a>(
     model: &EngineModel,
     instances: impl Iterator<Item = &'a Instance>,
@@ -455,7 +456,7 @@
     })
 }
 
-/// Samples an engine with room for the layers from `first` on.
+/// Samples an engine with free capacity for the layers from `first` on.
 fn sample_stage<'c, 'a>(
     candidates: &'c [Candidate<'a>],
     need: &Need,
@@ -464,7 +465,8 @@
     weight: impl Fn(&Candidate, LayerRange) -> f64,
 ) -> Option<(&'c Candidate<'a>, LayerRange)> {
     let eligible = candidates.iter().map(|c| (c, c.layers_from(first)));
-    let eligible = eligible.filter(|(c, layers)| !layers.is_empty() && c.has_room(need, *layers));
+    let eligible =
+        eligible.filter(|(c, layers)| !layers.is_empty() && c.has_capacity(need, *layers));
     let eligible: Vec<(&Candidate, LayerRange)> = eligible.collect();
     let weights = eligible.iter().map(|(c, layers)| weight(c, *layers));
     let index = draws.in_proportion(weights);
--- a/crates/deckwind-core/src/routing/placement.rs
+++ b/crates/deckwind-core/src/routing/placement.rs
@@ -2,7 +2,7 @@
 //!
 //! Each token crosses every stage boundary of a chain, so chains stay inside a data
 //! centre. Memory that the layers leave free holds the caches of requests. A card
-//! filled with layers has room for few requests, and the card with the least free
+//! filled with layers has capacity for few requests, and the card with the least free
 //! memory limits the whole chain. This module plans and repairs chains; the `layout`
 //! module distributes the layers of a new chain.
 
--- a/crates/deckwind-core/src/routing/target_state.rs
+++ b/crates/deckwind-core/src/routing/target_state.rs
@@ -44,8 +44,8 @@
     pub leaving: bool,
     /// Whether the platform reports that the target's VM is leaving.
     pub vm_leaving: bool,
-    /// Time until which the target has asked to receive no new work, even if it still
-    /// answers.
+    /// End of the rest period that the target has asked for; until then it gets no new
+    /// work, even if it still answers.
     pub rests_until: Instant,
     /// Time for one layer of one token, in microseconds. Starts with the configured
     /// time of the accelerator kind and follows the measurements.
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Records work sent to the target: `load` layers, or 1 for a service.
+    /// Adds work sent to the target: `load` layers, or 1 for a service.
     pub(super) fn dispatched(&mut self, now: Instant, load: u32) {
         self.own_load += load;
         self.own_sessions += 1;
@@ -208,7 +208,7 @@
         self.leaving || self.vm_leaving
     }
 
-    /// Returns whether the target is neither leaving nor has asked for no new work.
+    /// Returns whether the target is neither leaving nor in a rest period.
     pub fn takes_work(&self, now: Instant) -> bool {
         !self.is_leaving() && self.rests_until <= now
     }
