--- a/crates/deckwind-core/src/admission/limiter.rs
+++ b/crates/deckwind-core/src/admission/limiter.rs
@@ -1,7 +1,7 @@
-//! A client account's part of its limit at one router.
+//! Rate limit of client accounts at one router.
 //!
-//! The generic cell rate algorithm (ITU-T I.371): one instant of state for each
-//! account, no timers.
+//! Implements the generic cell rate algorithm (ITU-T I.371), which needs one timestamp per
+//! account and no timers.
 
 use crate::membership::AccountDemand;
 use crate::state::AccountName;
@@ -9,109 +9,114 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How far ahead of its rate an account may run.
+/// Maximum time by which an account may run ahead of its rate.
 const BURST: Duration = Duration::from_secs(1);
 
-/// Demand is averaged over this time.
+/// Time over which demand is averaged.
 const DEMAND_WINDOW: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Copy, Debug)]
-struct Cell {
+struct AccountRate {
     per_s: f64,
-    /// When the bucket would be empty again.
+    /// Time at which the bucket would be empty again.
     empty_at: Instant,
-    asked: u32,
-    asked_since: Instant,
+    requests: u32,
+    window_start: Instant,
     demand_per_s: f64,
-    /// Demand as last told to the leader, and when.
-    told_per_s: f64,
-    told_at: Instant,
+    /// Demand as last reported to the leader, at `reported_at`.
+    reported_per_s: f64,
+    reported_at: Instant,
 }
 
-impl Cell {
-    fn count(&mut self, now: Instant) {
-        let span = now.since(self.asked_since);
+impl AccountRate {
+    fn update_demand(&mut self, now: Instant) {
+        let span = now.since(self.window_start);
         if span >= DEMAND_WINDOW {
-            self.demand_per_s = f64::from(self.asked) / span.as_secs_f64();
-            self.asked = 0;
-            self.asked_since = now;
+            self.demand_per_s = f64::from(self.requests) / span.as_secs_f64();
+            self.requests = 0;
+            self.window_start = now;
         }
     }
 
-    /// Whether what the leader knows is wrong by more than a fifth.
-    fn is_off(&self) -> bool {
-        let off = (self.demand_per_s - self.told_per_s).abs();
-        off > self.told_per_s.max(self.demand_per_s) * 0.2
+    /// Whether the demand known to the leader is wrong by more than a fifth.
+    fn is_outdated(&self) -> bool {
+        let error = (self.demand_per_s - self.reported_per_s).abs();
+        error > self.reported_per_s.max(self.demand_per_s) * 0.2
     }
 }
 
-/// Rates of all accounts at one router.
+/// Rate limits of all accounts at one router.
 #[derive(Clone, Debug, Default)]
 pub struct AccountLimiter {
-    cells: HashMap<AccountName, Cell>,
+    accounts: HashMap<AccountName, AccountRate>,
 }
 
 impl AccountLimiter {
-    /// Sets an account's rate here, requests a second.
+    /// Sets an account's rate at this router, in requests per second.
     pub fn set_rate(&mut self, now: Instant, account: &AccountName, per_s: f64) {
-        let cell = self.cells.entry(account.clone()).or_insert(Cell {
+        let rate = self.accounts.entry(account.clone()).or_insert(AccountRate {
             per_s,
             empty_at: now,
-            asked: 0,
-            asked_since: now,
+            requests: 0,
+            window_start: now,
             demand_per_s: 0.0,
-            told_per_s: 0.0,
-            told_at: Instant::ZERO,
+            reported_per_s: 0.0,
+            reported_at: Instant::ZERO,
         });
-        cell.per_s = per_s;
+        rate.per_s = per_s;
     }
 
-    /// Forgets accounts that `keep` does not know.
+    /// Removes accounts that `keep` rejects.
     pub fn retain(&mut self, keep: impl Fn(&AccountName) -> bool) {
-        self.cells.retain(|account, _| keep(account));
+        self.accounts.retain(|account, _| keep(account));
     }
 
-    /// Takes one request, or says after what time another try helps.
+    /// Takes one request from an account's rate. An account without a rate is not limited.
+    ///
+    /// # Errors
+    ///
+    /// Returns the time after which a retry can succeed if the account is over its rate.
     pub fn take(&mut self, now: Instant, account: &AccountName) -> Result<(), Duration> {
-        let Some(cell) = self.cells.get_mut(account) else {
+        let Some(rate) = self.accounts.get_mut(account) else {
             return Ok(());
         };
-        cell.asked += 1;
-        let interval = Duration::from_secs_f64(1.0 / cell.per_s.max(1e-6));
-        let empty_at = cell.empty_at.max(now) + interval;
+        rate.requests += 1;
+        let interval = Duration::from_secs_f64(1.0 / rate.per_s.max(1e-6));
+        let empty_at = rate.empty_at.max(now) + interval;
         let burst = BURST.max(interval);
         if empty_at > now + burst {
             return Err((empty_at - burst).since(now));
         }
-        cell.empty_at = empty_at;
+        rate.empty_at = empty_at;
         Ok(())
     }
 
-    /// The leader is a new one and knows nothing yet.
+    /// Clears the reported demand after a change of leader, since the new leader has no
+    /// reports.
     pub fn forget_told(&mut self) {
-        for cell in self.cells.values_mut() {
-            cell.told_per_s = 0.0;
+        for rate in self.accounts.values_mut() {
+            rate.reported_per_s = 0.0;
         }
     }
 
-    /// What accounts ask for, at most `most` of them: those first of which the
-    /// leader knows something wrong, then those told longest ago. An account
-    /// without demand is told once, as zero.
-    pub fn demand(&mut self, now: Instant, most: usize) -> Vec<(AccountName, AccountDemand)> {
-        let mut due: Vec<(&AccountName, &mut Cell)> = Vec::new();
-        for (account, cell) in &mut self.cells {
-            cell.count(now);
-            if cell.demand_per_s > 0.0 || cell.told_per_s > 0.0 {
-                due.push((account, cell));
+    /// Returns the demand of at most `max` accounts for the report to the leader: first
+    /// those for which the leader's value is wrong, then those reported longest ago. An
+    /// account without demand is reported once, as zero.
+    pub fn demand(&mut self, now: Instant, max: usize) -> Vec<(AccountName, AccountDemand)> {
+        let mut due: Vec<(&AccountName, &mut AccountRate)> = Vec::new();
+        for (account, rate) in &mut self.accounts {
+            rate.update_demand(now);
+            if rate.demand_per_s > 0.0 || rate.reported_per_s > 0.0 {
+                due.push((account, rate));
             }
         }
-        due.sort_by_key(|(account, cell)| (!cell.is_off(), cell.told_at, (*account).clone()));
-        due.truncate(most);
+        due.sort_by_key(|(name, rate)| (!rate.is_outdated(), rate.reported_at, (*name).clone()));
+        due.truncate(max);
         due.into_iter()
-            .map(|(account, cell)| {
-                cell.told_per_s = cell.demand_per_s;
-                cell.told_at = now;
-                let per_s = cell.demand_per_s;
+            .map(|(account, rate)| {
+                rate.reported_per_s = rate.demand_per_s;
+                rate.reported_at = now;
+                let per_s = rate.demand_per_s;
                 (account.clone(), AccountDemand { per_s })
             })
             .collect()
--- a/crates/deckwind-core/src/admission/mod.rs
+++ b/crates/deckwind-core/src/admission/mod.rs
@@ -1,16 +1,16 @@
-//! Who is served when not all can be.
+//! Admission control: decides which requests are served when capacity is short.
 //!
 //! ```text
-//!  request ─► AccountLimiter ─► Admission ───────────────► dispatch
-//!              over its share │   │ one queue a priority,    ▲
-//!                             ▼   ▼ fair between accounts    │ a place is free
-//!                        refused at once, not run,           │
-//!                        with the time to come back ─────────┘
+//!  request ─► AccountLimiter ─► Admission ─────────────────► dispatch
+//!              over its share │   │ one queue per priority,    ▲
+//!                             ▼   ▼ fair between accounts      │ a slot is free
+//!                        refused at once, not run,             │
+//!                        with a retry-after time ──────────────┘
 //! ```
 //!
-//! Whoever can't be served before the deadline hears so at once, with the time
-//! after which another try helps; nothing is held back until near its deadline.
-//! Queues are bounded in number; a deadline is known at entry.
+//! A request that can't be served before its deadline is refused at once, with the time
+//! after which a retry can succeed, instead of being held until near its deadline. Queues
+//! are bounded in length, and the deadline is known on entry.
 
 mod limiter;
 mod queue;
--- a/crates/deckwind-core/src/admission/queue.rs
+++ b/crates/deckwind-core/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! One pool of targets and the requests that wait for it.
+//! Admission queue of one pool of targets.
 
 use crate::state::{AccountName, Priority};
 use crate::time::Instant;
@@ -6,60 +6,60 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Names a request while it waits.
+/// Id of a waiting request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TicketId(pub u64);
 
-/// A request as admission sees it.
+/// A request as seen by admission control.
 #[derive(Clone, Debug)]
 pub struct Ticket {
-    /// Its name.
+    /// Id of the request.
     pub id: TicketId,
-    /// Whose.
+    /// Client account of the request.
     pub account: AccountName,
     /// Weight of that account.
     pub weight: u32,
-    /// Order of service.
+    /// Priority class of the request.
     pub priority: Priority,
-    /// When it must have started.
+    /// Latest time at which the request must start.
     pub start_by: Instant,
-    /// What it costs, in any unit that is the same for all.
+    /// Cost of the request, in any unit that is the same for all requests.
     pub cost: f64,
 }
 
-/// Why a request was refused.
+/// The reason why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RefusedWhy {
-    /// It could not start before its deadline.
+    /// The request could not start before its deadline.
     Deadline,
     /// The queue is full.
     QueueFull,
 }
 
-/// A refusal. The request was not run.
+/// A refusal of a request that was not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
-    /// Why.
+    /// Reason for the refusal.
     pub why: RefusedWhy,
-    /// When another try helps.
+    /// Time after which a retry can succeed.
     pub retry_after: Duration,
 }
 
-/// What became of a request that asked to be served.
+/// Result of offering a request for admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// Serve it now.
+    /// The request starts now.
     Start,
-    /// It waits; [`Admission::next`] or [`Admission::expire`] names it later.
+    /// The request waits. [`Admission::next`] or [`Admission::expire`] returns it later.
     Queued,
-    /// It was refused.
+    /// The request was refused.
     Refused(Refused),
 }
 
-/// Bounds of a pool.
+/// Limits of a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionConfig {
-    /// Most requests that wait, over all priorities.
+    /// Maximum number of waiting requests over all priorities.
     pub max_queued: usize,
 }
 
@@ -69,27 +69,27 @@
     }
 }
 
-/// Weight of a new measurement in the time that a request holds its place.
-const HOLD_GAIN: f64 = 0.05;
+/// Weight of a new measurement in the mean time that a request holds its slot.
+const HOLD_TIME_WEIGHT: f64 = 0.05;
 
-/// An estimated wait times this must fit before the deadline at entry. Estimates
-/// drift; whoever is let in should not have to be sent away later.
+/// Factor by which the estimated wait must fit before the deadline on entry. Estimates
+/// drift, and an admitted request should not have to be refused later.
 const ENTRY_MARGIN: f64 = 1.25;
 
-/// Arrivals are averaged over this time.
+/// Time over which arrivals are averaged.
 const ARRIVAL_WINDOW: Duration = Duration::from_secs(5);
 
-/// Part of the places that requests of higher priority may be expected to take;
-/// above it a request is told that it does not start in time.
-const MOST_TAKEN: f64 = 0.98;
+/// Maximum fraction of the slots that requests of higher priority may be expected to take.
+/// Above it a request is refused as unable to start in time.
+const MAX_HIGHER_PRIORITY_USE: f64 = 0.98;
 
-/// Shortest time that a caller is told to wait.
+/// Minimum retry-after time.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Longest such time.
+/// Maximum retry-after time.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
-/// Order inside a priority: by virtual finish time, then by arrival.
+/// Order within a priority: by virtual finish time, then by arrival.
 #[derive(Clone, Copy, Debug)]
 struct Rank {
     finish: f64,
@@ -117,8 +117,8 @@
     }
 }
 
-/// Requests of one priority, fair between accounts: self-clocked fair queueing
-/// (Golestani, INFOCOM 1994).
+/// Queue of one priority, fair between accounts: self-clocked fair queueing (Golestani,
+/// INFOCOM 1994).
 #[derive(Clone, Debug, Default)]
 struct FairQueue {
     waiting: BTreeMap<Rank, Ticket>,
@@ -149,8 +149,8 @@
         self.waiting.remove(rank)
     }
 
-    /// Place that a new ticket of this account would take.
-    fn place_of(&self, ticket: &Ticket) -> usize {
+    /// Returns the position that a new ticket of this account would take.
+    fn position_of(&self, ticket: &Ticket) -> usize {
         let last = self.finish.get(&ticket.account).copied().unwrap_or(0.0);
         let start = last.max(self.virtual_time);
         let finish = start + ticket.cost / f64::from(ticket.weight.max(1));
@@ -162,7 +162,7 @@
     }
 }
 
-/// Arrivals a second, averaged with exponential decay.
+/// Arrivals per second, averaged with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 struct ArrivalRate {
     per_s: f64,
@@ -181,95 +181,95 @@
     }
 }
 
-/// Admission to one pool: a number of places, and queues before them.
+/// Admission control of one pool: a number of slots and queues in front of them.
 #[derive(Clone, Debug)]
 pub struct Admission {
     cfg: AdmissionConfig,
-    places: u32,
+    slots: u32,
     in_use: u32,
     queues: [FairQueue; Priority::ALL.len()],
     arrivals: u64,
-    /// Mean time that a request holds its place, seconds, by priority.
+    /// Mean time that a request holds its slot, in seconds, by priority.
     hold_s: [f64; Priority::ALL.len()],
     rates: [ArrivalRate; Priority::ALL.len()],
-    /// Came up for a place too late; [`Admission::expire`] names them.
-    lapsed: Vec<Ticket>,
+    /// Requests that reached a slot too late. [`Admission::expire`] returns them.
+    expired: Vec<Ticket>,
 }
 
 impl Admission {
-    /// A pool with `places` places.
-    pub fn new(cfg: AdmissionConfig, places: u32) -> Self {
+    /// Creates a pool with `slots` slots.
+    pub fn new(cfg: AdmissionConfig, slots: u32) -> Self {
         Self {
             cfg,
-            places,
+            slots,
             in_use: 0,
             queues: Default::default(),
             arrivals: 0,
             hold_s: Default::default(),
             rates: Default::default(),
-            lapsed: Vec::new(),
+            expired: Vec::new(),
         }
     }
 
-    /// Changes the number of places.
-    pub fn set_places(&mut self, places: u32) {
-        self.places = places;
+    /// Changes the number of slots.
+    pub fn set_places(&mut self, slots: u32) {
+        self.slots = slots;
     }
 
-    /// Places in use.
+    /// The number of slots in use.
     pub fn in_use(&self) -> u32 {
         self.in_use
     }
 
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub fn queued(&self) -> usize {
         self.queues.iter().map(|q| q.waiting.len()).sum()
     }
 
-    /// Time until a request of a priority starts, with work for `ahead_s`
-    /// seconds of one place before it.
+    /// Estimates the time until a request of a priority starts, with `ahead_s` slot-seconds
+    /// of work ahead of it.
     ///
-    /// Places free up at places ÷ holding time (Little's law); what comes at a
-    /// higher priority in the meantime takes its part of that.
+    /// Slots become free at the rate slots ÷ holding time (Little's law). Arrivals of
+    /// higher priority in the meantime take their part of that.
     fn wait(&self, now: Instant, priority: usize, ahead_s: f64) -> Duration {
-        let places = f64::from(self.places.max(1));
+        let slots = f64::from(self.slots.max(1));
         let higher = self.rates[..priority].iter().zip(&self.hold_s);
         let taken: f64 = higher
             .map(|(rate, hold)| rate.per_s(now) * hold)
             .sum::<f64>()
-            / places;
-        if taken >= MOST_TAKEN {
+            / slots;
+        if taken >= MAX_HIGHER_PRIORITY_USE {
             return MAX_RETRY_AFTER;
         }
-        let wait_s = (ahead_s + self.hold_s[priority]) / places / (1.0 - taken);
+        let wait_s = (ahead_s + self.hold_s[priority]) / slots / (1.0 - taken);
         Duration::from_secs_f64(wait_s)
     }
 
-    /// Work that goes before a new ticket, in seconds of one place.
-    fn ahead_of(&self, ticket: &Ticket) -> f64 {
+    /// Returns the work ahead of a new ticket, in slot-seconds.
+    fn work_ahead_of(&self, ticket: &Ticket) -> f64 {
         let p = ticket.priority.index();
         let waiting = |q: usize| self.queues[q].waiting.len() as f64 * self.hold_s[q];
         let before: f64 = (0..p).map(waiting).sum();
-        before + self.queues[p].place_of(ticket) as f64 * self.hold_s[p]
+        before + self.queues[p].position_of(ticket) as f64 * self.hold_s[p]
     }
 
-    /// Whether a ticket of this priority would be the first to start.
+    /// Whether this ticket would be the first to start.
     fn is_next(&self, ticket: &Ticket) -> bool {
         let p = ticket.priority.index();
         let before = self.queues[..p].iter().all(|q| q.waiting.is_empty());
-        before && self.queues[p].place_of(ticket) == 0
+        before && self.queues[p].position_of(ticket) == 0
     }
 
-    /// Asks for a place.
+    /// Offers a request for admission.
     pub fn offer(&mut self, now: Instant, ticket: Ticket) -> Offer {
         let p = ticket.priority.index();
         self.rates[p].arrived(now);
-        let free = self.in_use < self.places;
+        let free = self.in_use < self.slots;
         if free && self.is_next(&ticket) {
             self.in_use += 1;
             return Offer::Start;
         }
-        let wait = self.wait(now, p, self.ahead_of(&ticket));
+        let wait = self.wait(now, p, self.work_ahead_of(&ticket));
         if wait.mul_f64(ENTRY_MARGIN) > ticket.start_by.since(now) {
             return Offer::Refused(self.refusal(RefusedWhy::Deadline, now, wait, ticket.start_by));
         }
@@ -290,20 +290,20 @@
         }
     }
 
-    /// The next waiting request that has a place; call until there is none.
+    /// Returns the next waiting request that gets a slot. Call until it returns `None`.
     pub fn next(&mut self, now: Instant) -> Option<Ticket> {
-        while self.in_use < self.places {
+        while self.in_use < self.slots {
             let ticket = self.queues.iter_mut().find_map(FairQueue::pop)?;
             if ticket.start_by >= now {
                 self.in_use += 1;
                 return Some(ticket);
             }
-            self.lapsed.push(ticket);
+            self.expired.push(ticket);
         }
         None
     }
 
-    /// A request that had its place for `held` is over.
+    /// Records that a request that held its slot for `held` has finished.
     pub fn finished(&mut self, priority: Priority, held: Duration) {
         self.in_use = self.in_use.saturating_sub(1);
         let mean = &mut self.hold_s[priority.index()];
@@ -311,10 +311,10 @@
         if *mean == 0.0 {
             *mean = held_s;
         }
-        *mean += (held_s - *mean) * HOLD_GAIN;
+        *mean += (held_s - *mean) * HOLD_TIME_WEIGHT;
     }
 
-    /// Takes out a request whose caller went away.
+    /// Removes a request whose caller has left. Returns whether it was waiting.
     pub fn cancel(&mut self, id: TicketId) -> bool {
         for queue in &mut self.queues {
             let found = queue.waiting.iter().find(|(_, t)| t.id == id);
@@ -327,11 +327,11 @@
         false
     }
 
-    /// Takes out the requests that can no longer start in time. Call this about
-    /// ten times a second: their callers then hear it at once, not at the end.
+    /// Removes the requests that can no longer start in time. Should be called about ten
+    /// times a second, so that callers are refused promptly instead of at their deadline.
     pub fn expire(&mut self, now: Instant) -> Vec<(Ticket, Refused)> {
         let mut out = Vec::new();
-        for ticket in std::mem::take(&mut self.lapsed) {
+        for ticket in std::mem::take(&mut self.expired) {
             let refused = self.refusal(RefusedWhy::Deadline, now, MIN_RETRY_AFTER, ticket.start_by);
             out.push((ticket, refused));
         }
--- a/crates/deckwind-core/src/admission/retry_budget.rs
+++ b/crates/deckwind-core/src/admission/retry_budget.rs
@@ -1,19 +1,19 @@
-//! Retries: of what may be repeated, within a budget.
+//! Retry policy and retry budget.
 
 use crate::time::Instant;
 use std::time::Duration;
 
-/// Part of the successes that may be spent on retries, in thousandths.
+/// Part of a retry that each success earns, in thousandths.
 const SHARE_MILLI: u64 = 100;
 
 /// One retry, in thousandths.
 const RETRY_MILLI: u64 = 1_000;
 
-/// Most retries saved up, in thousandths.
+/// Maximum number of saved retries, in thousandths.
 const MAX_SAVED_MILLI: u64 = 50 * RETRY_MILLI;
 
-/// A budget of retries: a share of the successes, and a small floor, so that
-/// half of the targets failing does not double the load on the rest.
+/// Retry budget: a share of the successes and a small minimum rate, so that the failure of
+/// half the targets does not double the load on the rest.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
     saved_milli: u64,
@@ -21,7 +21,7 @@
 }
 
 impl RetryBudget {
-    /// A budget with one retry in hand.
+    /// Creates a budget with one retry.
     pub fn new(now: Instant) -> Self {
         Self {
             saved_milli: RETRY_MILLI,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// A first try succeeded.
+    /// Records the success of a first attempt.
     pub fn succeeded(&mut self) {
         self.add(SHARE_MILLI);
     }
@@ -38,8 +38,8 @@
         self.saved_milli = (self.saved_milli + milli).min(MAX_SAVED_MILLI);
     }
 
-    /// Spends one retry, if there is one. A second without any success earns
-    /// one too.
+    /// Uses one retry, if one is available. Each second since the last call earns one more,
+    /// even without successes.
     pub fn spend(&mut self, now: Instant) -> bool {
         let idle = now.since(self.refilled).as_millis() as u64;
         self.refilled = now;
@@ -52,10 +52,10 @@
     }
 }
 
-/// Whether and how a failed try is repeated.
+/// Rules for retrying a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPolicy {
-    /// Most tries, the first among them.
+    /// Maximum number of attempts, including the first.
     pub max_tries: u32,
 }
 
@@ -66,9 +66,8 @@
 }
 
 impl RetryPolicy {
-    /// Whether another try is allowed after `tries` tries. What may have run
-    /// is only repeated if the request is repeatable, and never after its
-    /// deadline.
+    /// Whether another attempt is allowed after `tries` attempts. A request that may have
+    /// run is only retried if it is repeatable, and never after its deadline.
     pub fn allows(
         &self,
         tries: u32,
--- a/crates/deckwind-core/src/burn/meter.rs
+++ b/crates/deckwind-core/src/burn/meter.rs
@@ -1,4 +1,4 @@
-//! Counts by template and client account over sliding windows.
+//! Answer counts by template and client account over sliding windows.
 
 use super::report::{BurnReport, BurnRow, WindowBurn};
 use crate::state::{AccountName, Configuration, TemplateName};
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Answers in a span of time.
+/// Number of answers in a period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// All.
+    /// All answers.
     pub total: u64,
-    /// Whole, correct and on time.
+    /// Answers that were complete, correct and on time.
     pub good: u64,
 }
 
@@ -22,7 +22,7 @@
         self.good += u64::from(good);
     }
 
-    /// These and those.
+    /// Returns the sum of both counts.
     pub fn plus(self, other: Counts) -> Counts {
         Counts {
             total: self.total + other.total,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Share missed, over the share that may be missed.
+    /// Returns the burn rate: the share missed divided by the share that may be missed.
     pub fn burn(self, objective_share: f64) -> f64 {
         if self.total == 0 {
             return 0.0;
@@ -40,7 +40,7 @@
     }
 }
 
-/// A span over which burn is told.
+/// Time window for which a burn rate is reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Window {
@@ -56,7 +56,7 @@
     /// All windows, shortest first.
     pub const ALL: [Window; 3] = [Window::FiveMinutes, Window::OneHour, Window::SixHours];
 
-    /// Its length.
+    /// Returns the length of the window.
     pub fn span(self) -> Duration {
         const MINUTE: u64 = 60;
         Duration::from_secs(match self {
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Its name in tables.
+    /// Returns the name of the window in tables.
     pub fn label(self) -> &'static str {
         match self {
             Window::FiveMinutes => "5m",
@@ -76,14 +76,14 @@
     }
 }
 
-/// Slots that a window is divided into.
+/// Number of slots per window.
 const SLOTS: usize = 30;
 
-/// One window: a ring of slots.
+/// Ring buffer of the slots of one window.
 #[derive(Clone, Debug)]
 struct Ring {
     slot: Duration,
-    /// Number of the slot that was written last, since the origin.
+    /// Number of the most recently written slot, counted from the origin of the clock.
     newest: u64,
     slots: [(u32, u32); SLOTS],
 }
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Clears the slots that time has passed over.
+    /// Clears the slots that have expired since the last write.
     fn advance(&mut self, now: Instant) {
         let number = now.as_micros() / self.slot.as_micros() as u64;
         let passed = number.saturating_sub(self.newest).min(SLOTS as u64);
@@ -109,9 +109,9 @@
 
     fn add(&mut self, now: Instant, good: bool) {
         self.advance(now);
-        let (total, hits) = &mut self.slots[(self.newest % SLOTS as u64) as usize];
+        let (total, good_count) = &mut self.slots[(self.newest % SLOTS as u64) as usize];
         *total += 1;
-        *hits += u32::from(good);
+        *good_count += u32::from(good);
     }
 
     fn sum(&mut self, now: Instant) -> Counts {
@@ -140,7 +140,7 @@
     }
 }
 
-/// Counts of one router.
+/// Answer counts of one router.
 #[derive(Clone, Debug, Default)]
 pub struct BurnMeter {
     rows: BTreeMap<(TemplateName, AccountName), Row>,
@@ -163,17 +163,17 @@
         }
     }
 
-    /// Number of rows: pairs of template and account that had answers.
+    /// The number of rows, one for each pair of template and account with answers.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Whether nothing was counted.
+    /// Whether no answer has been counted.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// The report as of now, with the objectives of `cfg`.
+    /// Returns the report as of `now`, with the objectives of `cfg`.
     pub fn report(&mut self, now: Instant, cfg: &Configuration) -> BurnReport {
         let rows = self
             .rows
--- a/crates/deckwind-core/src/burn/report.rs
+++ b/crates/deckwind-core/src/burn/report.rs
@@ -1,40 +1,40 @@
-//! The report, mergeable over routers.
+//! Burn reports, which can be merged over routers.
 
 use super::meter::{Counts, Window};
 use crate::state::{AccountName, Objective, TemplateName};
 use serde::{Deserialize, Serialize};
 
-/// How bad a burn is.
+/// Severity of a burn rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Alert {
-    /// None.
+    /// No alert.
     Ok,
-    /// Look at it today: the six-hour and one-hour burn are above 6.
+    /// Needs attention today: the six-hour and one-hour burn rates are above 6.
     Ticket,
-    /// Look at it now: the one-hour and five-minute burn are above 14.4.
+    /// Needs attention now: the one-hour and five-minute burn rates are above 14.4.
     Page,
 }
 
-/// Burn over one hour that spends 2% of a 30-day budget.
+/// Burn rate over one hour that spends 2% of a 30-day budget.
 const PAGE_BURN: f64 = 14.4;
 
-/// Burn over six hours that spends 5% of a 30-day budget.
+/// Burn rate over six hours that spends 5% of a 30-day budget.
 const TICKET_BURN: f64 = 6.0;
 
-/// Burn over one window.
+/// Burn rate over one window.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct WindowBurn {
-    /// Which.
+    /// The window.
     pub window: Window,
-    /// Answers in it.
+    /// Number of answers in the window.
     pub counts: Counts,
-    /// Burn rate.
+    /// Burn rate over the window.
     pub burn: f64,
 }
 
 impl WindowBurn {
-    /// Of these counts against an objective's share.
+    /// Computes the burn rate of these counts for an objective's share.
     pub fn new(window: Window, counts: Counts, share: f64) -> Self {
         Self {
             window,
@@ -44,18 +44,18 @@
     }
 }
 
-/// Burn of one template and client account.
+/// Burn rates of one template and client account.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BurnRow {
     /// The template.
     pub template: TemplateName,
     /// The client account.
     pub account: AccountName,
-    /// What was promised.
+    /// Objective of the template.
     pub objective: Objective,
-    /// By window, shortest first.
+    /// Burn rates by window, shortest first.
     pub windows: Vec<WindowBurn>,
-    /// Since the router started.
+    /// Counts since the router started.
     pub since_start: Counts,
 }
 
@@ -65,7 +65,7 @@
         found.map_or(0.0, |w| w.burn)
     }
 
-    /// The alert that this row raises.
+    /// Returns the alert that this row raises.
     pub fn alert(&self) -> Alert {
         let five = self.burn(Window::FiveMinutes);
         let hour = self.burn(Window::OneHour);
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Part of the error budget that is left, by the counts since the start;
-    /// below zero when overspent.
+    /// Returns the part of the error budget that is left by the counts since the start.
+    /// Negative when overspent.
     pub fn budget_left(&self) -> f64 {
         1.0 - self.since_start.burn(self.objective.share)
     }
@@ -94,7 +94,7 @@
     }
 }
 
-/// All rows, by template and account.
+/// Rows of all templates and accounts.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BurnReport {
     /// The rows.
@@ -102,7 +102,7 @@
 }
 
 impl BurnReport {
-    /// Adds another router's rows.
+    /// Merges another router's rows into this report.
     pub fn absorb(&mut self, other: BurnReport) {
         for row in other.rows {
             let same = |r: &&mut BurnRow| r.template == row.template && r.account == row.account;
--- a/crates/deckwind-core/src/routes/book.rs
+++ b/crates/deckwind-core/src/routes/book.rs
@@ -1,5 +1,5 @@
-//! What a router counts against targets: requests in flight, tokens that
-//! streams keep there, and failures.
+//! Per-target state of one router: requests in flight, tokens that streams hold at engines,
+//! and failures.
 
 use super::limits::TargetLimits;
 use super::notices::TargetNotices;
@@ -11,106 +11,109 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// First time for which a failed target is avoided; doubles with each failure.
-const AVOID_FIRST: Duration = Duration::from_millis(500);
+/// Backoff after the first failure of a target. Doubles with each further failure.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Longest such time: a target that came back is soon tried again.
-const AVOID_MOST: Duration = Duration::from_secs(4);
+/// Maximum backoff after a failure. Kept short so that a recovered target is soon used
+/// again.
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// Answers that make up for one failure: a target that fails more than a third
-/// of its requests is avoided for longer and longer.
+/// Successful answers that cancel one failure. A target that fails more than a third of its
+/// requests is avoided for increasing periods.
 const FAULTS_PER_FAILURE: u32 = 2;
 
-/// Most faults that are remembered: those of four failures.
-const MOST_FAULTS: u32 = 4 * FAULTS_PER_FAILURE;
+/// Maximum number of faults that are remembered, which corresponds to four failures.
+const MAX_FAULTS: u32 = 4 * FAULTS_PER_FAILURE;
 
-/// How long an engine without room is avoided by who was refused: a few answers end
-/// meanwhile.
-const NO_ROOM_FOR: Duration = Duration::from_millis(300);
+/// Time for which a router avoids an engine that refused one of its requests for lack of
+/// room. A few answers end in that time.
+const FULL_ENGINE_BACKOFF: Duration = Duration::from_millis(300);
 
-/// How long what streams held there when it refused one is the most that it is
-/// taken to hold. What a router counted there is out of date by then: for longer, more
-/// requests would find no path at all.
-const REFUSED_FOR: Duration = Duration::from_millis(250);
+/// Time for which a refusal caps the load that the engine is assumed to accept. The cap is
+/// what streams held there when the engine refused. The router's count is outdated after
+/// this time; with a longer time, more requests would find no path at all.
+const REFUSED_LOAD_TTL: Duration = Duration::from_millis(250);
 
-/// How a target failed.
+/// The kind of a target failure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetFault {
-    /// It can't be reached, or what passes through it stands still.
+    /// The target can't be reached, or streams that pass through it have stalled.
     Down,
-    /// It answered, but badly, or broke one answer off. Others may be whole.
+    /// The target returned a bad answer or broke one off. Its other answers may be
+    /// complete.
     Answer,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Account {
+struct TargetRecord {
     in_flight: u32,
-    /// Until when it is avoided, whatever its fault.
+    /// End of the backoff that applies to any kind of fault.
     avoided_until: Instant,
-    /// Until when it counts as down.
+    /// Time until which the target counts as down.
     down_until: Instant,
-    /// Until when another router's failure counts.
-    doubted_until: Instant,
-    /// Until when it is suspected, as streams through it fell silent together.
+    /// Time until which a failure reported by another router counts.
+    unreliable_until: Instant,
+    /// Time until which the target is suspected because streams through it stalled
+    /// together.
     suspected_until: Instant,
-    /// Rises with failures, falls with answers.
+    /// Fault score: rises with failures, falls with successful answers.
     faults: u32,
 }
 
-/// Counts of one router.
+/// Load and failure records that one router keeps for targets.
 #[derive(Clone, Debug, Default)]
 pub struct TargetBook {
-    targets: HashMap<SocketAddr, Account>,
-    /// What this router's streams hold at engines.
+    targets: HashMap<SocketAddr, TargetRecord>,
+    /// Load of this router's own streams by engine.
     own: HashMap<SocketAddr, Held>,
-    /// What those of all routers hold, as the leader last told.
-    told: HashMap<SocketAddr, Held>,
-    /// Up to where it has told that.
+    /// Load of all routers' streams by engine, as last reported by the leader.
+    fleet: HashMap<SocketAddr, Held>,
+    /// Position up to which the leader's load updates have been applied.
     use_known: Option<UseNumber>,
-    /// What this router's streams held when it last reported: part of what was told.
+    /// Load of this router's streams in its last report. Included in `fleet`.
     reported: HashMap<SocketAddr, Held>,
-    /// Engines that have refused a request for want of room.
-    refused: HashMap<SocketAddr, Refused>,
-    /// Engines that are slow, as the leader last told, and until when that holds.
+    /// Engines that recently refused a request for lack of room.
+    refused: HashMap<SocketAddr, CapacityRefusal>,
+    /// Slow engines as last reported by the leader. Valid until `slow_until`.
     slow: HashSet<SocketAddr>,
     slow_until: Instant,
-    /// What targets have said of themselves.
+    /// Rest periods and shutdown announcements received from targets.
     pub notices: TargetNotices,
-    /// Limits that they have named.
+    /// Request limits that targets have set.
     pub limits: TargetLimits,
 }
 
-/// An engine had no room.
+/// A refusal by an engine for lack of room.
 #[derive(Clone, Copy, Debug)]
-struct Refused {
-    /// What streams held there, tokens times layers.
+struct CapacityRefusal {
+    /// Load of the engine at the refusal, in tokens times layers.
     layer_tokens: u64,
     until: Instant,
 }
 
-/// The book at one moment, for one request.
+/// View of a [`TargetBook`] at one moment, for one request.
 pub struct BookAt<'a> {
     book: &'a TargetBook,
     now: Instant,
-    /// Targets that this request is not to be sent through.
+    /// Targets through which this request must not be sent.
     avoid: &'a HashSet<SocketAddr>,
-    /// Whether targets that have lately answered badly may be used.
-    takes_faulty: bool,
-    /// Targets whose rest is over by then may be used.
+    /// Whether targets that recently gave bad answers may be used.
+    allow_faulty: bool,
+    /// Targets whose rest period ends by this time may be used.
     rested_by: Instant,
 }
 
 impl EngineView for BookAt<'_> {
     fn avoids(&self, instance: &Instance) -> bool {
         let address = instance.address;
-        let avoided = match self.takes_faulty {
+        let avoided = match self.allow_faulty {
             true => self.book.is_down(self.now, address),
             false => self.book.avoids(self.now, address),
         };
         let notices = &self.book.notices;
-        let turns_away =
+        let is_blocked =
             notices.leaves(instance) || self.book.rests_until(self.rested_by, instance).is_some();
-        avoided || turns_away || self.avoid.contains(&address)
+        avoided || is_blocked || self.avoid.contains(&address)
     }
 
     fn held(&self, address: SocketAddr) -> Held {
@@ -129,32 +132,32 @@
 }
 
 impl TargetBook {
-    /// The book as of `now`, for a request that is not to be sent through the
-    /// targets in `avoid`.
+    /// Returns a view as of `now`, for a request that must not be sent through the targets
+    /// in `avoid`.
     pub fn at<'a>(&'a self, now: Instant, avoid: &'a HashSet<SocketAddr>) -> BookAt<'a> {
         BookAt {
             book: self,
             now,
             avoid,
-            takes_faulty: false,
+            allow_faulty: false,
             rested_by: now,
         }
     }
 
-    /// The same, where a target that has lately answered badly is better than
-    /// none.
+    /// Like [`TargetBook::at`], but also allows targets that recently gave bad answers.
     pub fn with_faulty_at<'a>(
         &'a self,
         now: Instant,
         avoid: &'a HashSet<SocketAddr>,
     ) -> BookAt<'a> {
         BookAt {
-            takes_faulty: true,
+            allow_faulty: true,
             ..self.at(now, avoid)
         }
     }
 
-    /// The same once the rests that are over by `then` are over.
+    /// Like [`TargetBook::with_faulty_at`], but also allows targets whose rest period ends
+    /// by `then`.
     pub fn rested_by<'a>(
         &'a self,
         now: Instant,
@@ -167,113 +170,115 @@
         }
     }
 
-    /// Until when nothing may be sent to a target: it wants to be left alone, or others
-    /// send as much as it takes. Nothing if something may be.
+    /// Returns the time until which nothing may be sent to a target, or `None` if requests
+    /// may be sent now. A target is blocked while it asks for a rest period or while the
+    /// leader grants no permits for it.
     pub fn rests_until(&self, now: Instant, instance: &Instance) -> Option<Instant> {
         let rests = self.notices.rests_until(now, instance);
         rests.max(self.limits.denied_until(now, instance))
     }
 
-    /// Requests in flight at a target.
+    /// The number of requests in flight at a target.
     pub fn in_flight(&self, address: SocketAddr) -> u32 {
         self.targets.get(&address).map_or(0, |a| a.in_flight)
     }
 
-    /// Whether a target has failed lately.
+    /// Whether a target is in backoff after a recent failure.
     pub fn avoids(&self, now: Instant, address: SocketAddr) -> bool {
-        let account = self.targets.get(&address);
-        account.is_some_and(|a| a.avoided_until > now)
+        let record = self.targets.get(&address);
+        record.is_some_and(|a| a.avoided_until > now)
     }
 
-    /// Whether a target could not be reached, or stood still, lately.
+    /// Whether a target was recently unreachable or stalled.
     pub fn is_down(&self, now: Instant, address: SocketAddr) -> bool {
-        let account = self.targets.get(&address);
-        account.is_some_and(|a| a.down_until > now)
+        let record = self.targets.get(&address);
+        record.is_some_and(|a| a.down_until > now)
     }
 
-    /// Other routers say that these targets are down.
+    /// Records targets that other routers report as down.
     pub fn doubt(&mut self, until: Instant, addresses: &[SocketAddr]) {
         for address in addresses {
-            self.targets.entry(*address).or_default().doubted_until = until;
+            self.targets.entry(*address).or_default().unreliable_until = until;
         }
     }
 
-    /// Streams that fell silent together name this target.
+    /// Marks a target as suspected because streams through it stalled together.
     pub fn suspect(&mut self, until: Instant, address: SocketAddr) {
         self.targets.entry(address).or_default().suspected_until = until;
     }
 
-    /// The leader names the engines that are slow.
+    /// Replaces the set of slow engines, as reported by the leader.
     pub fn slow_are(&mut self, until: Instant, slow: impl Iterator<Item = SocketAddr>) {
         self.slow = slow.collect();
         self.slow_until = until;
     }
 
-    /// Whether an engine is slow: new requests are better off without it, and it
-    /// without them.
+    /// Whether an engine is slow. New requests avoid it, which gives them a faster path and
+    /// reduces its load.
     pub fn is_slow(&self, now: Instant, address: SocketAddr) -> bool {
         self.slow_until > now && self.slow.contains(&address)
     }
 
-    /// Something came through a suspected or doubted target: it is well.
+    /// Clears the suspicion and the failures that other routers reported, after an event
+    /// came through the target.
     pub fn cleared(&mut self, address: SocketAddr) {
-        if let Some(account) = self.targets.get_mut(&address) {
-            account.suspected_until = Instant::ZERO;
-            account.doubted_until = Instant::ZERO;
+        if let Some(record) = self.targets.get_mut(&address) {
+            record.suspected_until = Instant::ZERO;
+            record.unreliable_until = Instant::ZERO;
         }
     }
 
-    /// Whether streams that fell silent together named a target lately.
+    /// Whether a target is suspected because streams through it recently stalled together.
     pub fn suspects(&self, now: Instant, address: SocketAddr) -> bool {
-        let account = self.targets.get(&address);
-        account.is_some_and(|a| a.suspected_until > now)
+        let record = self.targets.get(&address);
+        record.is_some_and(|a| a.suspected_until > now)
     }
 
-    /// Whether a target was down lately, for this router or another one, or is
-    /// suspected: streams that stand still are better off without it.
+    /// Whether stalled streams should leave a target: it was recently down for this router
+    /// or another one, or is suspected.
     pub fn doubts(&self, now: Instant, address: SocketAddr) -> bool {
-        let until = |a: &Account| a.down_until.max(a.doubted_until).max(a.suspected_until);
-        let account = self.targets.get(&address);
-        account.is_some_and(|a| until(a) > now)
+        let until = |a: &TargetRecord| a.down_until.max(a.unreliable_until).max(a.suspected_until);
+        let record = self.targets.get(&address);
+        record.is_some_and(|a| until(a) > now)
     }
 
-    /// A request is sent through these targets.
+    /// Counts a request as in flight at these targets.
     pub fn began(&mut self, addresses: &[SocketAddr]) {
         for address in addresses {
             self.targets.entry(*address).or_default().in_flight += 1;
         }
     }
 
-    /// It has ended.
+    /// Counts a request at these targets as ended.
     pub fn ended(&mut self, addresses: &[SocketAddr]) {
         for address in addresses {
-            let account = self.targets.entry(*address).or_default();
-            account.in_flight = account.in_flight.saturating_sub(1);
+            let record = self.targets.entry(*address).or_default();
+            record.in_flight = record.in_flight.saturating_sub(1);
         }
     }
 
-    /// A target has failed: it is avoided for a while. How long.
+    /// Records a target failure and returns how long the target is avoided.
     pub fn failed(&mut self, now: Instant, address: SocketAddr, fault: TargetFault) -> Duration {
-        let account = self.targets.entry(address).or_default();
+        let record = self.targets.entry(address).or_default();
         let until = match fault {
-            TargetFault::Down => account.down_until,
-            TargetFault::Answer => account.avoided_until,
+            TargetFault::Down => record.down_until,
+            TargetFault::Answer => record.avoided_until,
         };
         if until > now {
             return until.since(now);
         }
-        let doubled = account.faults / FAULTS_PER_FAILURE;
-        let wait = (AVOID_FIRST * 2u32.pow(doubled)).min(AVOID_MOST);
-        account.faults = (account.faults + FAULTS_PER_FAILURE).min(MOST_FAULTS);
-        account.avoided_until = account.avoided_until.max(now + wait);
+        let doublings = record.faults / FAULTS_PER_FAILURE;
+        let wait = (INITIAL_BACKOFF * 2u32.pow(doublings)).min(MAX_BACKOFF);
+        record.faults = (record.faults + FAULTS_PER_FAILURE).min(MAX_FAULTS);
+        record.avoided_until = record.avoided_until.max(now + wait);
         if fault == TargetFault::Down {
-            account.down_until = now + wait;
+            record.down_until = now + wait;
         }
         wait
     }
 
-    /// A target had no room. It is avoided for a moment by this router; what the
-    /// others are to hear.
+    /// Records that a target had no room: this router avoids it briefly. Returns the report
+    /// for the other routers.
     pub fn had_no_room(&mut self, now: Instant, address: SocketAddr) -> EngineFull {
         self.avoid_full(now, address);
         let full = EngineFull {
@@ -284,33 +289,34 @@
         full
     }
 
-    /// Sends nothing through an engine without room for a moment.
+    /// Avoids an engine without room for a short time.
     pub fn avoid_full(&mut self, now: Instant, address: SocketAddr) {
-        let account = self.targets.entry(address).or_default();
-        account.avoided_until = account.avoided_until.max(now + NO_ROOM_FOR);
+        let record = self.targets.entry(address).or_default();
+        record.avoided_until = record.avoided_until.max(now + FULL_ENGINE_BACKOFF);
     }
 
-    /// Engines have just refused a request of this router or another one. They are
-    /// well: as much as they held then they hold again.
+    /// Records that engines have just refused a request of this router or another one. The
+    /// engines are healthy, so they are expected to accept again as much as they held at
+    /// the refusal.
     pub fn are_full(&mut self, now: Instant, full: &[EngineFull]) {
         self.refused.retain(|_, r| r.until > now);
-        for one in full {
-            let refused = Refused {
-                layer_tokens: one.layer_tokens,
-                until: now + REFUSED_FOR,
+        for engine in full {
+            let refused = CapacityRefusal {
+                layer_tokens: engine.layer_tokens,
+                until: now + REFUSED_LOAD_TTL,
             };
-            self.refused.insert(one.address, refused);
+            self.refused.insert(engine.address, refused);
         }
     }
 
-    /// A target has answered well.
+    /// Records a successful answer of a target.
     pub fn answered(&mut self, address: SocketAddr) {
-        if let Some(account) = self.targets.get_mut(&address) {
-            account.faults = account.faults.saturating_sub(1);
+        if let Some(record) = self.targets.get_mut(&address) {
+            record.faults = record.faults.saturating_sub(1);
         }
     }
 
-    /// A stream takes memory at the engines on its path.
+    /// Adds the tokens of a stream to the load of the engines on its path.
     pub fn takes(&mut self, stages: &[Stage], tokens: u64) {
         for stage in stages {
             let held = self.own.entry(stage.address).or_default();
@@ -321,7 +327,7 @@
         }
     }
 
-    /// It gives it back.
+    /// Removes the tokens of a stream from the load of the engines on its path.
     pub fn gives_back(&mut self, stages: &[Stage], tokens: u64) {
         for stage in stages {
             let held = self.own.entry(stage.address).or_default();
@@ -335,37 +341,38 @@
         self.own.retain(|_, held| *held != Held::default());
     }
 
-    /// What all other routers' streams hold.
+    /// Replaces the load of all other routers' streams.
     pub fn others_hold(&mut self, uses: &[EngineUse]) {
-        self.told = uses.iter().map(|u| (u.address, u.held())).collect();
+        self.fleet = uses.iter().map(|u| (u.address, u.held())).collect();
         self.reported.clear();
     }
 
-    /// The leader has answered a renewal that reported `own`; what it told of the
-    /// streams of all routers, if there was any news.
+    /// Applies the answer to a lease renewal: `own` is the load that the renewal reported,
+    /// `news` the leader's changes to the load of all routers, if any.
     pub fn use_told(&mut self, own: &[EngineUse], news: Option<&UseNews>) {
         self.reported = own.iter().map(|u| (u.address, u.held())).collect();
         let Some(news) = news else {
             return;
         };
         if news.all {
-            self.told.clear();
+            self.fleet.clear();
         }
-        for one in &news.engines {
-            match one.held() == Held::default() {
-                true => self.told.remove(&one.address),
-                false => self.told.insert(one.address, one.held()),
+        for engine in &news.engines {
+            match engine.held() == Held::default() {
+                true => self.fleet.remove(&engine.address),
+                false => self.fleet.insert(engine.address, engine.held()),
             };
         }
         self.use_known = Some(news.upto);
     }
 
-    /// Up to where the leader has told what the streams of all routers hold.
+    /// Returns the position up to which the leader's load updates have been applied.
     pub fn use_known(&self) -> Option<UseNumber> {
         self.use_known
     }
 
-    /// What this router's streams hold, for the others; by address.
+    /// Returns the load of this router's streams for the report to the leader, sorted by
+    /// address.
     pub fn own_use(&self) -> Vec<EngineUse> {
         let own = self.own.iter();
         let own = own.map(|(address, held)| EngineUse::new(*address, *held));
@@ -374,36 +381,37 @@
         own
     }
 
-    /// What the streams of all routers hold at an engine.
+    /// Returns the load of all routers' streams at an engine.
     pub fn held(&self, address: SocketAddr) -> Held {
         let of = |map: &HashMap<SocketAddr, Held>| map.get(&address).copied().unwrap_or_default();
-        let (own, told, reported) = (of(&self.own), of(&self.told), of(&self.reported));
-        let others = told.layer_tokens.saturating_sub(reported.layer_tokens);
+        let (own, fleet, reported) = (of(&self.own), of(&self.fleet), of(&self.reported));
+        let others = fleet.layer_tokens.saturating_sub(reported.layer_tokens);
         Held {
             layer_tokens: own.layer_tokens + others,
-            begun: own.begun + told.begun.saturating_sub(reported.begun),
+            begun: own.begun + fleet.begun.saturating_sub(reported.begun),
         }
     }
 
-    /// The life at an address is over: how it failed says nothing of the next one.
-    /// What still passes through it stands still, so it counts as doubtful for
-    /// streams until `until`.
+    /// Resets the failure record of an address after its incarnation has ended, since
+    /// earlier failures say nothing about the next incarnation. Streams that still pass
+    /// through the old one have stalled, so the address counts as unreliable for streams
+    /// until `until`.
     pub fn life_over(&mut self, until: Instant, address: SocketAddr) {
-        let account = self.targets.entry(address).or_default();
-        *account = Account {
-            in_flight: account.in_flight,
-            doubted_until: until,
-            ..Account::default()
+        let record = self.targets.entry(address).or_default();
+        *record = TargetRecord {
+            in_flight: record.in_flight,
+            unreliable_until: until,
+            ..TargetRecord::default()
         };
     }
 
-    /// Targets that are down now.
+    /// Returns the targets that are down at `now`.
     pub fn failing(&self, now: Instant) -> Vec<SocketAddr> {
         let failing = self.targets.iter().filter(|(_, t)| t.down_until > now);
         failing.map(|(a, _)| *a).collect()
     }
 
-    /// Forgets targets that `keep` does not name and that serve nothing.
+    /// Removes targets that `keep` rejects and that have no requests in flight.
     pub fn retain(&mut self, now: Instant, keep: impl Fn(&SocketAddr) -> bool) {
         self.notices.forget(now, &keep);
         self.limits.forget(&keep);
--- a/crates/deckwind-core/src/routes/choice.rs
+++ b/crates/deckwind-core/src/routes/choice.rs
@@ -1,4 +1,4 @@
-//! Which target or path a request takes.
+//! Choice of the target, or of the path through engines, that a request takes.
 
 use super::book::TargetBook;
 use crate::control::LimitKey;
@@ -10,86 +10,89 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How full an engine may get with requests that begin.
-const MOST: f64 = 1.0;
+/// Maximum use of an engine for new requests, as a fraction of its capacity.
+const MAX_USE_NEW: f64 = 1.0;
 
-/// How full with requests that are late already, as their callers were refused
-/// before: the last room is for those that can still be in time.
-const LATE_MOST: f64 = 0.99;
+/// Maximum use of an engine for requests that are already late because their callers were
+/// refused before. The last room is reserved for requests that can still be on time.
+const MAX_USE_LATE: f64 = 0.99;
 
-/// How full with requests that have begun elsewhere: breaking one off costs more
-/// than a little crowding. Well past the edge engines refuse, and each refusal
-/// costs a repeat.
-const BEGUN_MOST: f64 = 1.1;
+/// Maximum use of an engine for requests that have begun at another target. Interrupting
+/// one costs more than slight overload. Engines refuse requests well above this value, and
+/// each refusal costs a retry.
+const MAX_USE_BEGUN: f64 = 1.1;
 
-/// Below this use a request stays in its own data centre.
-const STAY_BELOW: f64 = 0.7;
+/// A request stays in its own data centre while the use of the fullest engine is below
+/// this.
+const MAX_LOCAL_USE: f64 = 0.7;
 
-/// Tells the draw of a data centre from those of the stages in it.
-const DATA_CENTRES: u64 = u64::MAX;
+/// Draw index for the choice of a data centre, distinct from those of the stages inside it.
+const DATA_CENTRE_DRAW: u64 = u64::MAX;
 
-/// Room that a full data centre counts with, for requests that may crowd it.
-const LEAST_ROOM: f64 = 0.02;
+/// Room that a full data centre counts with when one is drawn, for requests that may
+/// overload it.
+const MIN_ROOM: f64 = 0.02;
 
-/// What a request may claim of the room that is left.
+/// Priority of a request for the capacity that is left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// It begins, and can still be in time.
+    /// The request begins and can still be on time.
     New,
-    /// It begins, and is late already.
+    /// The request begins and is already late.
     Late,
-    /// It has begun at another target.
+    /// The request has begun at another target.
     Begun,
 }
 
 impl Claim {
-    /// How full an engine may get with it, as a part of what it has.
-    fn most(self) -> f64 {
+    /// Maximum use of an engine with this request, as a fraction of its capacity.
+    fn max_use(self) -> f64 {
         match self {
-            Claim::New => MOST,
-            Claim::Late => LATE_MOST,
-            Claim::Begun => BEGUN_MOST,
+            Claim::New => MAX_USE_NEW,
+            Claim::Late => MAX_USE_LATE,
+            Claim::Begun => MAX_USE_BEGUN,
         }
     }
 }
 
-/// What a request takes of the engines on its path.
+/// Capacity that a request takes of the engines on its path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Room {
-    /// Tokens that it will keep.
+    /// Number of tokens that the request will hold.
     pub tokens: u64,
-    /// What it may claim.
+    /// Priority for the capacity that is left.
     pub claim: Claim,
-    /// A random number that spreads requests over engines that are alike.
+    /// Random number that spreads requests over equivalent engines.
     pub draw: u64,
 }
 
 impl Room {
-    /// What it needs of each engine.
+    /// Returns the demand on each engine of the path.
     pub fn need(&self) -> Need {
         Need {
             tokens: self.tokens,
-            most: self.claim.most(),
+            most: self.claim.max_use(),
             draw: self.draw,
         }
     }
 }
 
-/// A target, and the path where engines hold layers.
+/// The chosen target, with the path if engines hold layers.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// Where the request is sent.
+    /// Address to which the request is sent.
     pub address: SocketAddr,
-    /// Only a target with this id may run it.
+    /// Id of the target. A target with another id must not run the request.
     pub instance: String,
-    /// The path.
+    /// Path through engines, if the target is an engine.
     pub path: Option<EnginePath>,
-    /// When the life that is meant started.
+    /// Start time of the chosen incarnation.
     pub born: Option<u64>,
 }
 
 impl Choice {
-    /// The life that is meant. A target can't tell it from a later one by the id.
+    /// Returns the chosen incarnation. The id alone does not distinguish it from a later
+    /// incarnation of the same target.
     pub fn life(&self) -> Life {
         Life {
             id: self.instance.clone(),
@@ -97,7 +100,7 @@
         }
     }
 
-    /// The target that is meant, as limits are kept.
+    /// Returns the key under which request limits of the target are stored.
     pub fn limit_key(&self) -> LimitKey {
         LimitKey {
             address: self.address,
@@ -106,23 +109,30 @@
     }
 }
 
-/// Why there is none.
+/// The reason why no target was chosen.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NoChoice {
-    /// No target, or no whole chain.
+    /// There is no target, or no complete chain of engines.
     NoTarget,
-    /// On every path some engine is as full as it may be; the least full one.
+    /// Every path has an engine at its maximum use. Holds the least full of these engines.
     Full(Fullest),
-    /// Those that are there want to be left alone, or get as much as they take already;
-    /// the time until enough of them take requests again.
+    /// The available targets asked for a rest period or already get as many requests as
+    /// they accept. Holds the time until enough of them accept requests again.
     Resting(Duration),
 }
 
-/// The path for a request that needs this room; through targets in
-/// `avoid` only if there is no other. Before it is refused for want of room, it
-/// is sent through targets that have lately answered badly: most of their
-/// answers may be whole, and one without whose range a data centre has no chain
-/// would take all of its engines away.
+/// Chooses a path for a request that needs this capacity, through targets in `avoid` only
+/// if there is no other path.
+///
+/// Before a request is refused for lack of room, targets that recently gave bad answers are
+/// allowed too. Most of their answers may be complete. If such an engine is the only one
+/// with its layer range, excluding it would leave its data centre without a chain and waste
+/// all engines there.
+///
+/// # Errors
+///
+/// Returns [`NoChoice`] if there is no chain, if all paths are full, or if the engines
+/// needed for a chain are resting.
 pub fn choose_path(
     model: &EngineModel,
     instances: &[Instance],
@@ -149,7 +159,7 @@
         found = find_any(&HashSet::new());
     }
     let found = found.map_err(|none| match none {
-        NoPath::Broken => match chain_after(model, instances, book, now) {
+        NoPath::Broken => match time_until_chain(model, instances, book, now) {
             Some(rest) => NoChoice::Resting(rest),
             None => NoChoice::NoTarget,
         },
@@ -165,9 +175,9 @@
     })
 }
 
-/// The time until enough of the engines that rest are there again for a whole chain;
-/// nothing if all of them are not enough.
-fn chain_after(
+/// Returns the time until enough resting engines are available again for a complete chain,
+/// or `None` if even all of them are not enough.
+fn time_until_chain(
     model: &EngineModel,
     instances: &[Instance],
     book: &TargetBook,
@@ -176,55 +186,60 @@
     let mut ends = rest_ends(instances, book, now);
     ends.sort_unstable();
     let none = HashSet::new();
-    let lacks = |then: &Instant| {
+    let lacks_chain = |then: &Instant| {
         let view = book.rested_by(now, *then, &none);
         !has_chain(model, instances.iter(), &view)
     };
-    let end = ends.get(ends.partition_point(lacks))?;
+    let end = ends.get(ends.partition_point(lacks_chain))?;
     Some(end.since(now))
 }
 
-/// When the rests of these targets end.
+/// Returns the ends of the rest periods of these targets.
 fn rest_ends(instances: &[Instance], book: &TargetBook, now: Instant) -> Vec<Instant> {
-    let takes_work = |i: &&Instance| takes_work(i, book);
-    let takes_work = instances.iter().filter(takes_work);
-    let ends = takes_work.filter_map(|i| book.rests_until(now, i));
+    let accepts_work = |i: &&Instance| accepts_work(i, book);
+    let accepts_work = instances.iter().filter(accepts_work);
+    let ends = accepts_work.filter_map(|i| book.rests_until(now, i));
     ends.collect()
 }
 
-/// Whether a target takes new work, as far as it is known; it may want to rest first.
-fn takes_work(instance: &Instance, book: &TargetBook) -> bool {
+/// Whether a target accepts new work, as far as is known. It may still be in a rest period.
+fn accepts_work(instance: &Instance, book: &TargetBook) -> bool {
     instance.state != InstanceState::Draining && !book.notices.leaves(instance)
 }
 
-/// The path at home if there is room to spare; else one of all, in proportion to
-/// the square of their room. If all routers took the emptiest data centre, what
-/// they were told would be out of date before the next of them chose.
+/// Picks the path in the router's own data centre if it has room to spare, otherwise one of
+/// all paths with a probability proportional to the square of its room. If all routers
+/// picked the emptiest data centre, its load would rise before their load reports were
+/// updated.
 fn draw_data_centre(mut found: Vec<EnginePath>, own: &DataCentre, draw: u64) -> Option<EnginePath> {
-    let home = |p: &EnginePath| p.data_centre == *own && p.fullest.used < STAY_BELOW;
-    let drawn = match found.iter().position(home) {
-        Some(home) => home,
+    let local = |p: &EnginePath| p.data_centre == *own && p.fullest.used < MAX_LOCAL_USE;
+    let drawn = match found.iter().position(local) {
+        Some(local) => local,
         None => {
-            let room = |p: &EnginePath| (1.0 - p.fullest.used).max(LEAST_ROOM).powi(2);
-            Draws::new(draw, DATA_CENTRES).in_proportion(found.iter().map(room))?
+            let room = |p: &EnginePath| (1.0 - p.fullest.used).max(MIN_ROOM).powi(2);
+            Draws::new(draw, DATA_CENTRE_DRAW).in_proportion(found.iter().map(room))?
         }
     };
     Some(found.swap_remove(drawn))
 }
 
-/// The target for a request that one target serves alone: the least busy; one's
-/// own data centre where that is equal.
+/// Chooses the target for a request that a single target serves: the least busy one,
+/// preferring the router's own data centre among equals.
+///
+/// # Errors
+///
+/// Returns [`NoChoice`] if there is no target or all targets are resting.
 pub fn choose_plain(
     instances: &[Instance],
     book: &TargetBook,
     own: &DataCentre,
     avoid: &HashSet<SocketAddr>,
-    at: f64,
+    draw: f64,
     now: Instant,
 ) -> Result<Choice, NoChoice> {
-    let takes_work = |i: &&Instance| takes_work(i, book);
+    let accepts_work = |i: &&Instance| accepts_work(i, book);
     let rests = |i: &Instance| book.rests_until(now, i).is_some();
-    let ready = instances.iter().filter(takes_work).filter(|i| !rests(i));
+    let ready = instances.iter().filter(accepts_work).filter(|i| !rests(i));
     let ready: Vec<&Instance> = ready.collect();
     if ready.is_empty()
         && let Some(end) = rest_ends(instances, book, now).into_iter().min()
@@ -233,12 +248,12 @@
     }
     let usable = ready.into_iter().filter(|i| !avoid.contains(&i.address));
     let usable: Vec<&Instance> = usable.collect();
-    let start = (at * usable.len() as f64) as usize;
+    let start = (draw * usable.len() as f64) as usize;
     let rotated = usable.iter().cycle().skip(start).take(usable.len());
     let cost = |i: &Instance| {
-        let doubtful = i.state == InstanceState::Silent || book.avoids(now, i.address);
+        let is_unreliable = i.state == InstanceState::Silent || book.avoids(now, i.address);
         let load = book.in_flight(i.address) * 1_000 / i.slots.max(1);
-        (doubtful, load, i.data_centre != *own)
+        (is_unreliable, load, i.data_centre != *own)
     };
     let best = rotated.min_by_key(|i| cost(i)).ok_or(NoChoice::NoTarget)?;
     Ok(Choice {
--- a/crates/deckwind-core/src/routes/events.rs
+++ b/crates/deckwind-core/src/routes/events.rs
@@ -1,32 +1,32 @@
-//! Events of a stream, taken apart as they come.
+//! Splits a stream into server-sent events as data arrives.
 //!
-//! Only whole events are passed on: a target may break off inside one, and the
-//! next target then begins with that event anew (WHATWG HTML, server-sent
-//! events).
+//! Only complete events are passed on. A target may break off inside an event, and the next
+//! target then starts with that event again (WHATWG HTML, server-sent events).
 
-/// Longest event that is waited for, bytes; a longer one is passed on in parts.
-const MAX_EVENT: usize = 1 << 20;
+/// Maximum number of buffered bytes of an incomplete event. A longer event is passed on in
+/// parts.
+const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Cuts a stream into whole events.
+/// Splits a stream into complete events.
 #[derive(Clone, Debug, Default)]
 pub struct EventCutter {
     buf: Vec<u8>,
 }
 
-/// Some bytes of a stream that end with an event.
+/// Part of a stream that ends with a complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Events {
-    /// The bytes.
+    /// The bytes of the events.
     pub bytes: Vec<u8>,
-    /// Id of the last event in them that has one.
+    /// Id of the last event that has one.
     pub last: Option<u64>,
-    /// Events.
+    /// Number of events.
     pub count: u32,
 }
 
 impl EventCutter {
-    /// Takes what came, and answers with the whole events so far that come
-    /// after event `after`.
+    /// Adds received data and returns the complete events so far whose id is greater than
+    /// `after`. Events without an id are always returned.
     pub fn take(&mut self, data: &[u8], after: Option<u64>) -> Option<Events> {
         self.buf.extend_from_slice(data);
         let mut events = Events {
@@ -37,7 +37,7 @@
         let mut start = 0;
         while let Some(length) = event_length(&self.buf[start..]) {
             let event = &self.buf[start..start + length];
-            let id = id_of(event);
+            let id = event_id(event);
             let seen = matches!((id, after), (Some(id), Some(after)) if id <= after);
             if !seen {
                 events.bytes.extend_from_slice(event);
@@ -47,19 +47,19 @@
             start += length;
         }
         self.buf.drain(..start);
-        if self.buf.len() > MAX_EVENT {
+        if self.buf.len() > MAX_EVENT_BYTES {
             events.bytes.append(&mut self.buf);
         }
         (!events.bytes.is_empty()).then_some(events)
     }
 
-    /// What is left when the stream has ended as it should.
+    /// Returns the remaining bytes once the stream has ended normally.
     pub fn rest(self) -> Vec<u8> {
         self.buf
     }
 }
 
-/// Length of the first event with the empty line that ends it.
+/// Returns the length of the first event, including the empty line that ends it.
 fn event_length(buf: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (i, b) in buf.iter().enumerate() {
@@ -75,7 +75,7 @@
     None
 }
 
-fn id_of(event: &[u8]) -> Option<u64> {
+fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|b| *b == b'\n');
     let value = lines.find_map(|l| l.strip_prefix(b"id:"))?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
--- a/crates/deckwind-core/src/routes/index.rs
+++ b/crates/deckwind-core/src/routes/index.rs
@@ -1,4 +1,4 @@
-//! A release and the announced targets, ready to be looked up.
+//! Lookup indexes over a release and the announced targets.
 
 use crate::state::{
     AccountName, Configuration, Instance, InstanceState, KeyDigest, Life, Pool, Release, Revision,
@@ -8,27 +8,27 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What a key gives.
+/// Rights that an API key grants.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyRights {
-    /// Whose it is.
+    /// The client account that owns the key.
     pub account: AccountName,
-    /// Rank of the account, before that of the route.
+    /// Priority of the account. Takes precedence over that of the route.
     pub priority: Option<u8>,
 }
 
-/// A release by host and path, and by key.
+/// Index of a release by host, path and API key.
 #[derive(Clone, Debug, Default)]
 pub struct ReleaseIndex {
     release: Arc<Release>,
     revision: Revision,
-    /// Routes of a host, the longest prefix first.
+    /// Indexes of the routes of each host, longest path prefix first.
     by_host: HashMap<String, Vec<usize>>,
     keys: HashMap<KeyDigest, KeyRights>,
 }
 
 impl ReleaseIndex {
-    /// Of the release that holds; nothing if there is none.
+    /// Builds the index of the release in force, or returns `None` if there is none.
     pub fn of(cfg: &Configuration) -> Option<Self> {
         let release = cfg.release()?.clone();
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
@@ -56,17 +56,17 @@
         })
     }
 
-    /// Revision that wrote the release.
+    /// The revision that wrote the release.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The release.
+    /// The indexed release.
     pub fn release(&self) -> &Release {
         &self.release
     }
 
-    /// The route of a request: of those of its host, the longest prefix.
+    /// Returns the route of a request: the longest matching path prefix of its host.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.split(':').next().unwrap_or_default();
         let host = host.to_ascii_lowercase();
@@ -75,8 +75,13 @@
         routes.find(|r| path.starts_with(&r.path_prefix))
     }
 
-    /// Whether a request may take a route, and for whom. An error means that
-    /// the key is missing or not known.
+    /// Checks whether a request may use a route and returns the rights of its key, if it
+    /// has a known one.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`UnknownKey`] if the route requires a key and the key is missing or
+    /// unknown.
     pub fn admit(
         &self,
         route: &Route,
@@ -89,16 +94,17 @@
         rights.map(Some).ok_or(UnknownKey)
     }
 
-    /// The pool of one request of a route; `at` is a random number in 0..1.
-    pub fn pool(&self, route: &Route, at: f64) -> Option<&Pool> {
+    /// Picks the pool for a request by the weights of the route. `draw` is a random number in
+    /// 0..1.
+    pub fn pool(&self, route: &Route, draw: f64) -> Option<&Pool> {
         let total: f64 = route.split.iter().map(|s| s.weight).sum();
-        let mut left = at * total;
+        let mut remaining = draw * total;
         let weighted = route.split.iter().filter(|s| s.weight > 0.0);
         let mut chosen = None;
         for split in weighted {
             chosen = Some(split);
-            left -= split.weight;
-            if left < 0.0 {
+            remaining -= split.weight;
+            if remaining < 0.0 {
                 break;
             }
         }
@@ -106,18 +112,19 @@
     }
 }
 
-/// The key is missing or not known.
+/// Error: the API key is missing or unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownKey;
 
-/// A life that is over at an address.
+/// An incarnation that has ended at an address.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LifeOver {
-    /// Where it was.
+    /// Address of the incarnation.
     pub address: SocketAddr,
-    /// It.
+    /// The incarnation that has ended.
     pub life: Life,
-    /// Who is there now. An engine that holds no layers yet isn't known here.
+    /// The incarnation that is now at the address. Engines that hold no layers yet are not
+    /// known here.
     pub by: Option<Life>,
 }
 
@@ -128,7 +135,7 @@
 }
 
 impl InstanceIndex {
-    /// Of the targets that have not left.
+    /// Builds the index of all targets that have not left.
     pub fn of(cfg: &Configuration) -> Self {
         let mut by_pool: BTreeMap<String, Vec<Instance>> = BTreeMap::new();
         for i in cfg.instances().iter() {
@@ -137,45 +144,46 @@
         Self { by_pool }
     }
 
-    /// Targets of a pool.
+    /// Returns the targets of a pool.
     pub fn of_pool(&self, pool: &str) -> &[Instance] {
         self.by_pool.get(pool).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether the target at this address has certainly ended: it started again since,
-    /// or another one is there. One that drains, has left or is silent may still run
-    /// what it was sent.
+    /// Whether the incarnation at this address has certainly ended: the target has
+    /// restarted, or another target has the address. A target that is draining, silent or
+    /// has left may still run requests.
     pub fn has_ended(&self, address: SocketAddr, life: &Life) -> bool {
         let is_another = |i: &Instance| i.id != life.id || i.born != life.born;
-        let mut there = self.iter().filter(|i| i.address == address);
-        there.any(is_another)
+        let mut at_address = self.iter().filter(|i| i.address == address);
+        at_address.any(is_another)
     }
 
-    /// Lives known before that are over: another one is at their address, or they
-    /// had been silent and are gone. What is known of the address is of them.
+    /// Returns the incarnations known to `before` that have ended: another one has the
+    /// address, or they had been silent and are gone. State kept for the address belongs to
+    /// them.
     pub fn lives_over(&self, before: &InstanceIndex) -> Vec<LifeOver> {
-        let there: HashMap<SocketAddr, &Instance> = self.iter().map(|i| (i.address, i)).collect();
-        let over = |old: &Instance| {
-            let new = there.get(&old.address);
-            let is_over = match new {
+        let current: HashMap<SocketAddr, &Instance> = self.iter().map(|i| (i.address, i)).collect();
+        let ended = |old: &Instance| {
+            let new = current.get(&old.address);
+            let has_ended = match new {
                 Some(new) => new.id != old.id || new.born != old.born,
                 None => old.state == InstanceState::Silent,
             };
-            is_over.then(|| LifeOver {
+            has_ended.then(|| LifeOver {
                 address: old.address,
                 life: old.life(),
                 by: new.map(|new| new.life()),
             })
         };
-        before.iter().filter_map(over).collect()
+        before.iter().filter_map(ended).collect()
     }
 
-    /// Lives that were ready before and are over, and that nobody had planned to end:
-    /// they fell silent, or another life is at their address. One that is just gone
-    /// has left.
+    /// Returns the incarnations that were ready in `before` and ended unplanned: they fell
+    /// silent, or another one has the address. A target that is merely missing has left as
+    /// planned.
     pub fn lives_cut(&self, before: &InstanceIndex) -> Vec<Life> {
-        let there: HashMap<SocketAddr, &Instance> = self.iter().map(|i| (i.address, i)).collect();
-        let cut = |old: &&Instance| match there.get(&old.address) {
+        let current: HashMap<SocketAddr, &Instance> = self.iter().map(|i| (i.address, i)).collect();
+        let cut = |old: &&Instance| match current.get(&old.address) {
             Some(new) if new.id == old.id && new.born == old.born => {
                 new.state == InstanceState::Silent
             }
@@ -186,7 +194,7 @@
         ready.filter(cut).map(Instance::life).collect()
     }
 
-    /// All targets.
+    /// Iterates over all targets.
     pub fn iter(&self) -> impl Iterator<Item = &Instance> {
         self.by_pool.values().flatten()
     }
--- a/crates/deckwind-core/src/routes/limits.rs
+++ b/crates/deckwind-core/src/routes/limits.rs
@@ -1,9 +1,9 @@
-//! Limits that targets have named, as one router knows them.
+//! Request limits that targets have set, as known to one router.
 //!
-//! A limit is for all VMs together, so the leader gives out permits
-//! ([`crate::control::LimitDesk`]); a request to a limited target is sent with one or not
-//! at all. A router tells the leader what it has heard, and keeps to a limit that it knows
-//! of only from the leader as to its own.
+//! A limit applies to all VMs together, so the leader issues permits
+//! ([`crate::control::LimitDesk`]), and a request to a limited target needs one. A router
+//! reports the limits it receives to the leader, and applies a limit that it knows only
+//! from the leader like one it received itself.
 
 use crate::control::{
     LeaderTime, LimitHeard, LimitKey, LimitList, LimitReport, LimitRevision, PERMIT_FOR,
@@ -16,21 +16,21 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// May be used once, for one request to one target.
+/// Permit for a single request to one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// From then on.
+    /// Start of the validity.
     pub from: Instant,
-    /// Until then.
+    /// End of the validity.
     pub until: Instant,
-    /// When the leader issued it.
+    /// Time at which the leader issued the permit.
     pub issued: LeaderTime,
 }
 
 impl Permit {
-    /// The permit that was asked for at `asked`, of which an answer at `now` says that
-    /// it may be used after `wait`. The end counts from the question: the leader issued
-    /// it no earlier.
+    /// Creates the permit that was requested at `asked` and granted by an answer at `now`,
+    /// valid after `wait`. The validity ends relative to `asked`, since the leader can't
+    /// have issued it earlier.
     pub fn new(asked: Instant, now: Instant, wait: Duration, issued: LeaderTime) -> Self {
         Self {
             from: now + wait,
@@ -39,41 +39,41 @@
         }
     }
 
-    /// Whether it may be used now.
+    /// Whether the permit is valid at `now`.
     pub fn is_good(&self, now: Instant) -> bool {
         (self.from..self.until).contains(&now)
     }
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct KnownLimit {
     rate: Rate,
-    /// When that was last named.
-    named: Instant,
-    /// Of the request whose answer named it.
+    /// Time at which the rate was last received.
+    rate_received_at: Instant,
+    /// Issue time of the permit of the request whose answer set the rate.
     permitted: Option<LeaderTime>,
-    /// An answer since, to a request of this permit, has named no limit: the leader
-    /// judges whether the limit is over.
+    /// Issue time of the permit of a later request whose answer set no limit. The leader
+    /// decides whether the limit has ended.
     none_named: Option<LeaderTime>,
-    /// When the last of this was heard.
-    heard: Instant,
-    /// No permit is to be had before.
+    /// Time of the last answer that concerned the limit.
+    last_received_at: Instant,
+    /// Time until which the leader grants no permit.
     denied_until: Instant,
 }
 
-/// What one router knows of limits.
+/// Limits known to one router.
 #[derive(Clone, Debug, Default)]
 pub struct TargetLimits {
-    known: HashMap<LimitKey, Known>,
-    /// The leader's list that these were last compared with.
-    list: Option<LimitRevision>,
-    /// What was heard before then the leader of that list knows.
-    told_until: Instant,
+    known: HashMap<LimitKey, KnownLimit>,
+    /// Revision of the leader's list with which the limits were last compared.
+    list_revision: Option<LimitRevision>,
+    /// Everything received before this time is known to the leader of that list.
+    reported_until: Instant,
 }
 
 impl TargetLimits {
-    /// An answer of a target named this limit, or none. `permitted` is of the permit of
-    /// the request. Whether it was not known that the target has a limit.
+    /// Records the limit in a target's answer, or its absence. `permitted` is the issue
+    /// time of the request's permit. Returns whether the limit is new.
     pub fn hear(
         &mut self,
         now: Instant,
@@ -85,33 +85,39 @@
         match (rate, known) {
             (Some(rate), Some(known)) => {
                 known.rate = rate;
-                known.named = now;
+                known.rate_received_at = now;
                 known.permitted = permitted;
                 known.none_named = None;
-                known.heard = now;
+                known.last_received_at = now;
                 false
             }
             (Some(rate), None) => {
-                self.put(target, rate, now, permitted);
+                self.insert(target, rate, now, permitted);
                 true
             }
             (None, Some(known)) if permitted.is_some() => {
-                known.heard = now;
+                known.last_received_at = now;
                 known.none_named = permitted;
                 false
             }
-            // Without a permit the request may have been sent before the limit began.
+            // Without a permit, the request may have been sent before the limit began.
             (None, _) => false,
         }
     }
 
-    fn put(&mut self, target: &LimitKey, rate: Rate, at: Instant, permitted: Option<LeaderTime>) {
-        let known = Known {
+    fn insert(
+        &mut self,
+        target: &LimitKey,
+        rate: Rate,
+        at: Instant,
+        permitted: Option<LeaderTime>,
+    ) {
+        let known = KnownLimit {
             rate,
-            named: at,
+            rate_received_at: at,
             permitted,
             none_named: None,
-            heard: at,
+            last_received_at: at,
             denied_until: Instant::ZERO,
         };
         self.known.insert(target.clone(), known);
@@ -122,12 +128,13 @@
         self.known.contains_key(target)
     }
 
-    /// Targets that are limited.
+    /// The number of limited targets.
     pub fn limited(&self) -> usize {
         self.known.len()
     }
 
-    /// Until when no permit is to be had for a target; nothing if there may be one.
+    /// Returns the time until which no permit is granted for a target, or `None` if one may
+    /// be granted now.
     pub fn denied_until(&self, now: Instant, instance: &Instance) -> Option<Instant> {
         if self.known.is_empty() {
             return None;
@@ -136,78 +143,82 @@
         (until > now).then_some(until)
     }
 
-    /// The leader gives no permit for so long.
+    /// Records that the leader grants no permit for this time.
     pub fn denied(&mut self, now: Instant, target: &LimitKey, wait: Duration) {
         if let Some(known) = self.known.get_mut(target) {
             known.denied_until = known.denied_until.max(now + wait);
         }
     }
 
-    /// The leader answered a question of `asked` that a target has no limit any more.
-    /// What was heard since stands. Whether the limit is over.
+    /// Applies the leader's answer that the limit of a target has ended. Limits received
+    /// after the request was sent at `asked` are kept. Returns whether the limit has ended.
     pub fn is_over(&mut self, asked: Instant, target: &LimitKey) -> bool {
-        let over = self.known.get(target).is_some_and(|k| k.heard < asked);
+        let over = self
+            .known
+            .get(target)
+            .is_some_and(|k| k.last_received_at < asked);
         if over {
             self.known.remove(target);
         }
         over
     }
 
-    /// What the leader is to know of a limited target.
+    /// Returns the report to the leader for one limited target.
     pub fn heard_of(&self, now: Instant, target: &LimitKey) -> Option<LimitHeard> {
         let known = self.known.get(target)?;
-        Some(self.heard(now, target, known))
+        Some(self.limit_entry(now, target, known))
     }
 
-    fn heard(&self, now: Instant, target: &LimitKey, known: &Known) -> LimitHeard {
+    fn limit_entry(&self, now: Instant, target: &LimitKey, known: &KnownLimit) -> LimitHeard {
         LimitHeard {
             target: target.clone(),
             rate: known.rate,
-            ago: now.since(known.named),
+            ago: now.since(known.rate_received_at),
             permitted: known.permitted,
             none_named: known.none_named,
         }
     }
 
-    /// What the leader is to hear with a renewal.
+    /// Builds the report to the leader for a lease renewal.
     pub fn report(&self, now: Instant) -> LimitReport {
         let news = self
             .known
             .iter()
-            .filter(|(_, k)| k.heard >= self.told_until);
+            .filter(|(_, k)| k.last_received_at >= self.reported_until);
         LimitReport {
-            known: self.list,
-            heard: news.map(|(t, k)| self.heard(now, t, k)).collect(),
+            known: self.list_revision,
+            heard: news.map(|(t, k)| self.limit_entry(now, t, k)).collect(),
         }
     }
 
-    /// A leader of this term answered the report that was made at `asked`. Its list
-    /// holds for what it was told of; another leader is to be told all first. Targets
-    /// whose limits are over, or begin.
+    /// Applies the answer of the leader of `term` to the report made at `asked`. The
+    /// leader's list is authoritative for everything it has been told. If the leader has
+    /// changed, the next report includes all limits again. Returns the limits that have
+    /// begun or ended.
     pub fn told(
         &mut self,
         asked: Instant,
         now: Instant,
         term: Term,
         list: Option<&LimitList>,
-    ) -> LimitsTold {
-        let same = self.list.is_none_or(|l| l.term == term);
-        self.told_until = if same { asked } else { Instant::ZERO };
-        let mut told = LimitsTold::default();
+    ) -> LimitListChanges {
+        let same = self.list_revision.is_none_or(|l| l.term == term);
+        self.reported_until = if same { asked } else { Instant::ZERO };
+        let mut told = LimitListChanges::default();
         let Some(list) = list else {
             return told;
         };
-        self.list = Some(list.revision);
+        self.list_revision = Some(list.revision);
         for limit in &list.limits {
             if !self.known.contains_key(&limit.target) {
-                self.put(&limit.target, limit.rate, now - limit.ago, None);
+                self.insert(&limit.target, limit.rate, now - limit.ago, None);
                 told.begin.push(limit.target.clone());
             }
         }
-        let told_until = self.told_until;
+        let reported_until = self.reported_until;
         self.known.retain(|target, known| {
-            let holds =
-                known.heard >= told_until || list.limits.iter().any(|l| l.target == *target);
+            let holds = known.last_received_at >= reported_until
+                || list.limits.iter().any(|l| l.target == *target);
             if !holds {
                 told.over.push(target.clone());
             }
@@ -216,17 +227,17 @@
         told
     }
 
-    /// Forgets targets that are not known any more.
+    /// Removes the limits of targets that `keep` rejects.
     pub fn forget(&mut self, keep: impl Fn(&SocketAddr) -> bool) {
         self.known.retain(|target, _| keep(&target.address));
     }
 }
 
-/// What a leader's list has changed.
+/// Changes caused by the leader's list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct LimitsTold {
-    /// Limits that others have heard of.
+pub struct LimitListChanges {
+    /// Limits that other routers reported.
     pub begin: Vec<LimitKey>,
-    /// Limits that are over.
+    /// Limits that have ended.
     pub over: Vec<LimitKey>,
 }
--- a/crates/deckwind-core/src/routes/mod.rs
+++ b/crates/deckwind-core/src/routes/mod.rs
@@ -1,35 +1,36 @@
-//! Published routes: which one a request takes, who may, and which target.
+//! Routing of published routes: matching a request to a route, checking its key and
+//! choosing a target.
 //!
-//! For: routers that serve releases and announced targets. Not for: chat
-//! completions and services by template, which `crate::router` decides.
+//! Used by routers that serve releases and announced targets. Chat completions and
+//! template-based services are handled by `crate::router`.
 
+mod attempt_result;
+mod attempts;
 mod book;
 mod choice;
-mod come_back;
 mod cut_runs;
 mod events;
-mod held_back;
 mod index;
-mod leased;
+mod leased_retries;
 mod limits;
 mod notices;
 mod patience;
-mod promise;
-mod repeats;
+mod retry_after;
+mod retry_budget;
 pub mod silence;
-mod tries;
+mod slow_readers;
 
+pub use attempt_result::{Came, Told, is_promise, told};
+pub use attempts::Tries;
 pub use book::{BookAt, TargetBook, TargetFault};
 pub use choice::{Choice, Claim, NoChoice, Room, choose_path, choose_plain};
-pub use come_back::Refusal;
 pub use cut_runs::{CutRuns, JUST_BEGUN};
 pub use events::{EventCutter, Events};
-pub use held_back::{AnswerArena, AnswerKey, Behind, FEW, HoldLimits, Way};
 pub use index::{InstanceIndex, KeyRights, LifeOver, ReleaseIndex, UnknownKey};
-pub use leased::{LeasedRepeats, may_take};
-pub use limits::{LimitsTold, Permit, TargetLimits};
+pub use leased_retries::{LeasedRetries, may_take};
+pub use limits::{LimitListChanges, Permit, TargetLimits};
 pub use notices::{Heard, TargetNotice, TargetNotices};
 pub use patience::Patience;
-pub use promise::{Came, Told, is_promise, told};
-pub use repeats::{Paid, RepeatBudget, RepeatBudgets, RepeatLimits, Started};
-pub use tries::Tries;
+pub use retry_after::Refusal;
+pub use retry_budget::{Paid, PoolRetryBudget, RepeatBudgets, RepeatLimits, Started};
+pub use slow_readers::{AnswerArena, AnswerKey, Behind, FEW, HoldLimits, Way};
--- a/crates/deckwind-core/src/routes/notices.rs
+++ b/crates/deckwind-core/src/routes/notices.rs
@@ -1,9 +1,9 @@
-//! What targets say of themselves in their answers, whatever they answer.
+//! Notices about their own state that targets send with their answers, whatever the status.
 //!
-//! A target that turns a request away may ask this VM to leave it alone for a while;
-//! one that is about to end says so in all its answers. Both are its own word, so both
-//! outlast the request that heard them, are kept by life, and need no contact to
-//! control replicas.
+//! A target that refuses a request may ask this VM for a rest period, and a target that is
+//! about to shut down says so in all its answers. Both come from the target itself, so they
+//! outlast the request that received them, are stored by incarnation, and need no contact
+//! with the control replicas.
 
 use crate::rate::Rate;
 use crate::state::{Instance, Life};
@@ -12,59 +12,59 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Addresses of which something is kept: more than there are targets (3,300 in two
-/// years), a hundred bytes each. The one heard of longest ago goes.
-const MOST: usize = 4_096;
+/// Maximum number of addresses with notices, a hundred bytes each. More than there are
+/// targets (3,300 in two years). The one not heard from for longest is removed.
+const MAX_ADDRESSES: usize = 4_096;
 
-/// Lives kept at one address: the last word of one that is over may come after the
-/// first of the next.
-const MOST_LIVES: usize = 2;
+/// Incarnations kept per address. The last notice of one that has ended may arrive after
+/// the first of the next one.
+const MAX_LIVES_PER_ADDRESS: usize = 2;
 
-/// How long a word of leaving is kept of a target that is not known any more: ten times
-/// as long as targets serve after such a word. One that is known is never forgotten.
-const KEPT: Duration = Duration::from_secs(120);
+/// Time for which a shutdown notice of an unknown target is kept: ten times as long as
+/// targets keep serving after sending it. Notices of known targets are never dropped.
+const UNKNOWN_TARGET_TTL: Duration = Duration::from_secs(120);
 
-/// What the head of an answer says of the target that wrote it.
+/// Notices in the head of a target's answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetNotice {
-    /// It wants no request of this VM for so long.
+    /// Time for which the target wants no requests from this VM.
     pub rest: Option<Duration>,
-    /// What should have told the rest, and can't be read.
+    /// Value of the rest field, if it can't be parsed.
     pub unreadable_rest: Option<String>,
-    /// It is about to end, and takes nothing new.
+    /// The target is about to shut down and accepts no new requests.
     pub leaves: bool,
-    /// It takes so many requests from all VMs together.
+    /// Request rate that the target accepts from all VMs together.
     pub limit: Option<Rate>,
-    /// What should have told the limit, and can't be read.
+    /// Value of the limit field, if it can't be parsed.
     pub unreadable_limit: Option<String>,
 }
 
-/// What changed by a notice.
+/// Changes caused by a notice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Heard {
-    /// It rests for longer than was known: until then.
+    /// New end of the rest period, if the notice extended it.
     pub rests_until: Option<Instant>,
-    /// It was not known that it leaves.
+    /// Whether the target was not yet known to be shutting down.
     pub leaves: bool,
 }
 
 #[derive(Clone, Debug)]
-struct Said {
+struct StoredNotice {
     life: Life,
     rests_until: Instant,
     leaves: bool,
-    heard: Instant,
+    received_at: Instant,
 }
 
-/// What targets have said, by address and life.
+/// Notices by address and incarnation.
 #[derive(Clone, Debug, Default)]
 pub struct TargetNotices {
-    by_address: HashMap<SocketAddr, Vec<Said>>,
+    by_address: HashMap<SocketAddr, Vec<StoredNotice>>,
 }
 
 impl TargetNotices {
-    /// A target has answered. A shorter rest doesn't end a longer one: each was asked
-    /// for by itself.
+    /// Records the notice in a target's answer. A shorter rest period doesn't end a longer
+    /// one, since each was requested independently.
     pub fn hear(
         &mut self,
         now: Instant,
@@ -75,80 +75,81 @@
         if notice.rest.is_none() && !notice.leaves {
             return Heard::default();
         }
-        let said = self.said_mut(now, address, life);
-        said.heard = now;
+        let stored = self.stored_mut(now, address, life);
+        stored.received_at = now;
         let until = now + notice.rest.unwrap_or_default();
-        let longer = until > said.rests_until && until > now;
-        let leaves = notice.leaves && !said.leaves;
-        said.rests_until = said.rests_until.max(until);
-        said.leaves |= notice.leaves;
+        let longer = until > stored.rests_until && until > now;
+        let leaves = notice.leaves && !stored.leaves;
+        stored.rests_until = stored.rests_until.max(until);
+        stored.leaves |= notice.leaves;
         Heard {
             rests_until: longer.then_some(until),
             leaves,
         }
     }
 
-    fn said_mut(&mut self, now: Instant, address: SocketAddr, life: &Life) -> &mut Said {
-        if self.by_address.len() >= MOST && !self.by_address.contains_key(&address) {
+    fn stored_mut(&mut self, now: Instant, address: SocketAddr, life: &Life) -> &mut StoredNotice {
+        if self.by_address.len() >= MAX_ADDRESSES && !self.by_address.contains_key(&address) {
             self.forget_oldest();
         }
         let lives = self.by_address.entry(address).or_default();
         if !lives.iter().any(|s| s.life == *life) {
-            lives.truncate(MOST_LIVES - 1);
-            let said = Said {
+            lives.truncate(MAX_LIVES_PER_ADDRESS - 1);
+            let stored = StoredNotice {
                 life: life.clone(),
                 rests_until: Instant::ZERO,
                 leaves: false,
-                heard: now,
+                received_at: now,
             };
-            lives.insert(0, said);
+            lives.insert(0, stored);
         }
         let known = lives.iter_mut().find(|s| s.life == *life);
-        known.expect("it is there now")
+        known.expect("an entry was inserted above")
     }
 
     fn forget_oldest(&mut self) {
-        let heard = |lives: &[Said]| lives.iter().map(|s| s.heard).max();
-        let oldest = self.by_address.iter().min_by_key(|(_, l)| heard(l));
+        let received_at = |lives: &[StoredNotice]| lives.iter().map(|s| s.received_at).max();
+        let oldest = self.by_address.iter().min_by_key(|(_, l)| received_at(l));
         if let Some(address) = oldest.map(|(a, _)| *a) {
             self.by_address.remove(&address);
         }
     }
 
-    fn said(&self, instance: &Instance) -> Option<&Said> {
+    fn stored(&self, instance: &Instance) -> Option<&StoredNotice> {
         let lives = self.by_address.get(&instance.address)?;
-        let is_it = |s: &&Said| s.life.id == instance.id && s.life.born == instance.born;
-        lives.iter().find(is_it)
+        let is_same = |s: &&StoredNotice| s.life.id == instance.id && s.life.born == instance.born;
+        lives.iter().find(is_same)
     }
 
-    /// Until when it wants to be left alone; nothing if it doesn't.
+    /// Returns the end of the rest period, or `None` if the target does not rest at `now`.
     pub fn rests_until(&self, now: Instant, instance: &Instance) -> Option<Instant> {
-        let until = self.said(instance)?.rests_until;
+        let until = self.stored(instance)?.rests_until;
         (until > now).then_some(until)
     }
 
-    /// Whether this life has said that it leaves.
+    /// Whether this incarnation has announced its shutdown.
     pub fn leaves(&self, instance: &Instance) -> bool {
-        self.said(instance).is_some_and(|s| s.leaves)
+        self.stored(instance).is_some_and(|s| s.leaves)
     }
 
-    /// Whether nothing new may be sent to this life at `now`.
+    /// Whether this incarnation accepts no new requests at `now`.
     pub fn turns_away(&self, now: Instant, address: SocketAddr, life: &Life) -> bool {
         let lives = self.by_address.get(&address);
         let mut lives = lives.into_iter().flatten();
         lives.any(|s| s.life == *life && (s.leaves || s.rests_until > now))
     }
 
-    /// Targets that rest now.
+    /// The number of targets that are in a rest period at `now`.
     pub fn resting(&self, now: Instant) -> usize {
-        let rests = |lives: &&Vec<Said>| lives.iter().any(|s| s.rests_until > now);
+        let rests = |lives: &&Vec<StoredNotice>| lives.iter().any(|s| s.rests_until > now);
         self.by_address.values().filter(rests).count()
     }
 
-    /// Forgets rests that are over, and targets that are not known any more.
+    /// Removes rest periods that are over, and notices of targets that are no longer known.
     pub fn forget(&mut self, now: Instant, known: impl Fn(&SocketAddr) -> bool) {
         self.by_address.retain(|address, lives| {
-            let lasts = |s: &Said| known(address) || now.since(s.heard) < KEPT;
+            let lasts =
+                |s: &StoredNotice| known(address) || now.since(s.received_at) < UNKNOWN_TARGET_TTL;
             lives.retain(|s| s.rests_until > now || (s.leaves && lasts(s)));
             !lives.is_empty()
         });
--- a/crates/deckwind-core/src/routes/patience.rs
+++ b/crates/deckwind-core/src/routes/patience.rs
@@ -1,21 +1,21 @@
-//! Tells callers that come back from those that ask for the first time.
+//! Distinguishes returning callers from those that ask for the first time.
 //!
-//! A caller says how long it will still wait. One that was refused and comes back
-//! says less than it did at first. How much callers of a route have at first is
-//! not told; it is the most that any of them has said.
+//! A caller sends the time for which it will still wait. A caller that was refused and
+//! comes back sends a shorter time than at first. The initial time of a route's callers is
+//! not known in advance; the longest time that any of them has sent is used.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The longest patience of callers, by route.
+/// Longest waiting time that callers have sent, by route.
 #[derive(Clone, Debug, Default)]
 pub struct Patience {
     longest: HashMap<String, Duration>,
 }
 
 impl Patience {
-    /// Whether a caller that will still wait for `patience` has been asking for
-    /// longer than the route's objective: it is late whatever is done.
+    /// Whether a caller that will still wait for `patience` has been asking for longer than
+    /// the route's objective, so that its answer will be late in any case.
     pub fn is_late(&mut self, route: &str, patience: Duration, objective: Duration) -> bool {
         let longest = match self.longest.get_mut(route) {
             Some(longest) => longest,
@@ -25,7 +25,7 @@
         patience + objective < *longest
     }
 
-    /// Forgets routes that `keep` does not name.
+    /// Removes routes that `keep` rejects.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.longest.retain(|route, _| keep(route));
     }
--- a/crates/deckwind-core/src/routes/silence/explain.rs
+++ b/crates/deckwind-core/src/routes/silence/explain.rs
@@ -1,75 +1,79 @@
-//! The fewest engines that explain why streams are silent.
+//! Finds the smallest set of engines that explains the stalled streams.
 //!
-//! Boolean network tomography: a path is silent if any engine on it is, so an
-//! engine with an event through it since is none of them, and the smallest set
-//! of the others that meets every silent path is the likeliest (Duffield,
-//! "Network Tomography of Binary Network Performance Characteristics", IEEE
-//! Trans. Inf. Theory 2006). Found greedily; each engine named must meet so many
-//! silent streams that chance would hardly bring them together.
+//! This is Boolean network tomography: a path stalls if any engine on it fails, so an
+//! engine through which an event has come since is excluded, and the smallest set of the
+//! other engines that covers every stalled path is the most likely one (Duffield, "Network
+//! Tomography of Binary Network Performance Characteristics", IEEE Trans. Inf. Theory
+//! 2006). The set is built greedily. Each named engine must cover so many stalled streams
+//! that a coincidence is unlikely.
 
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Fewest silent streams that name an engine.
-const LEAST_STREAMS: usize = 2;
+/// Minimum number of stalled streams for an engine to be named.
+const MIN_STREAMS: usize = 2;
 
-/// Greatest chance that so many streams through an engine are silent for other
-/// reasons. A wrong engine costs one question.
-const CHANCE: f64 = 1e-3;
+/// Maximum probability that so many streams through an engine stall for other reasons. A
+/// wrongly named engine costs one probe.
+const MAX_COINCIDENCE: f64 = 1e-3;
 
-/// Of the streams through a dead engine one in so many is silent at least when it
-/// is named; the rest have had their last event just before it died.
-const SILENT_ONE_IN: usize = 2;
+/// At least one in this many of the streams through a dead engine has stalled when the
+/// engine is named. The others had their last event just before it died.
+const STALLED_ONE_IN: usize = 2;
 
-/// Engines that can't be told apart and are named together, at most.
-const MOST_ALIKE: usize = 2;
+/// Maximum number of indistinguishable engines that are named together.
+const MAX_INDISTINGUISHABLE: usize = 2;
 
-/// A silent stream: the engines on its path that may be why.
+/// Engines on the path of a stalled stream that may have caused the stall.
 pub type Candidates<K> = Vec<K>;
 
-/// The engines that explain the silent streams, of `lively` others in the same
-/// data centre. `through` tells how many streams, silent or not, pass an engine.
-/// Those of which it is not sure enough are left out.
+/// Returns the engines that explain the stalled streams `stalled`, given the number of
+/// `active` streams in the same data centre. `through` returns the number of streams that
+/// pass an engine, stalled or not. Engines without enough evidence are left out.
 pub fn explain<K: Copy + Eq + Hash + Ord>(
-    silent: &[Candidates<K>],
-    lively: usize,
+    stalled: &[Candidates<K>],
+    active: usize,
     through: impl Fn(K) -> usize,
 ) -> Vec<K> {
-    let mut left: Vec<&Candidates<K>> = silent.iter().filter(|c| !c.is_empty()).collect();
-    let mut named = Vec::new();
-    let meets = |e: K| silent.iter().filter(|c| c.contains(&e)).count();
-    let mostly_silent = |e: K| meets(e) * SILENT_ONE_IN >= through(e);
-    while left.len() >= LEAST_STREAMS {
-        let alike = most_met(&left, &mostly_silent);
-        let Some(first) = alike.first().copied() else {
+    let mut unexplained: Vec<&Candidates<K>> = stalled.iter().filter(|c| !c.is_empty()).collect();
+    let mut suspects = Vec::new();
+    let covered_by = |e: K| stalled.iter().filter(|c| c.contains(&e)).count();
+    let mostly_stalled = |e: K| covered_by(e) * STALLED_ONE_IN >= through(e);
+    while unexplained.len() >= MIN_STREAMS {
+        let equivalent = widest_cover(&unexplained, &mostly_stalled);
+        let Some(first) = equivalent.first().copied() else {
             break;
         };
-        let met = left.iter().filter(|c| c.contains(&first)).count();
-        let others = left.len() - met;
-        if alike.len() > MOST_ALIKE || !is_sure(met, others, lively) {
+        let covered = unexplained.iter().filter(|c| c.contains(&first)).count();
+        let others = unexplained.len() - covered;
+        if equivalent.len() > MAX_INDISTINGUISHABLE || !is_significant(covered, others, active) {
             break;
         }
-        left.retain(|c| !c.contains(&first));
-        named.extend(alike);
+        unexplained.retain(|c| !c.contains(&first));
+        suspects.extend(equivalent);
     }
-    named.sort_unstable();
-    named
+    suspects.sort_unstable();
+    suspects
 }
 
-/// The engine that meets most of the streams, and those that meet the same ones.
-fn most_met<K: Copy + Eq + Hash + Ord>(
-    left: &[&Candidates<K>],
-    mostly_silent: &impl Fn(K) -> bool,
+/// Returns the engine that covers the most streams, and those that cover exactly the same
+/// ones.
+fn widest_cover<K: Copy + Eq + Hash + Ord>(
+    unexplained: &[&Candidates<K>],
+    mostly_stalled: &impl Fn(K) -> bool,
 ) -> Vec<K> {
-    let mut met: HashMap<K, Vec<usize>> = HashMap::new();
-    for (i, candidates) in left.iter().enumerate() {
+    let mut covered: HashMap<K, Vec<usize>> = HashMap::new();
+    for (i, candidates) in unexplained.iter().enumerate() {
         for engine in candidates.iter() {
-            met.entry(*engine).or_default().push(i);
+            covered.entry(*engine).or_default().push(i);
         }
     }
-    met.retain(|e, _| mostly_silent(*e));
-    let most = met.values().map(Vec::len).max().unwrap_or_default();
-    let mut best: Vec<(K, Vec<usize>)> = met.into_iter().filter(|(_, m)| m.len() == most).collect();
+    covered.retain(|e, _| mostly_stalled(*e));
+    let max_covered = covered.values().map(Vec::len).max().unwrap_or_default();
+    let mut best: Vec<(K, Vec<usize>)> = covered
+        .into_iter()
+        .filter(|(_, m)| m.len() == max_covered)
+        .collect();
     best.sort_unstable();
     let Some((_, streams)) = best.first().cloned() else {
         return Vec::new();
@@ -78,9 +82,9 @@
     same.map(|(engine, _)| engine).collect()
 }
 
-/// Whether so many silent streams through one engine are no chance, where so many
-/// that don't pass through it are silent, and lively.
-fn is_sure(met: usize, others: usize, lively: usize) -> bool {
-    let silent_anyway = (others as f64 + 0.5) / ((others + lively) as f64 + 1.0);
-    met >= LEAST_STREAMS && silent_anyway.powi(met as i32) < CHANCE
+/// Whether `covered` stalled streams through one engine are unlikely to be a coincidence, given
+/// the numbers of other streams that stalled and that are active.
+fn is_significant(covered: usize, others: usize, active: usize) -> bool {
+    let base_rate = (others as f64 + 0.5) / ((others + active) as f64 + 1.0);
+    covered >= MIN_STREAMS && base_rate.powi(covered as i32) < MAX_COINCIDENCE
 }
--- a/crates/deckwind-core/src/routes/silence/mod.rs
+++ b/crates/deckwind-core/src/routes/silence/mod.rs
@@ -1,26 +1,25 @@
-//! Which engines are dead, told from the streams that fell silent together.
+//! Detects dead engines from streams that stall together.
 //!
-//! A stream passes a dozen engines. When one dies, all streams through it stop at
-//! the same moment, and those that don't pass it go on. So streams, their paths
-//! and the times of their events come in; the engines that all silent ones share
-//! and no lively one does come out, after little more than one usual gap. Asking
-//! takes longer, since engines report what was so some 200 ms ago.
+//! A stream passes about a dozen engines. When one of them dies, all streams through it
+//! stall at the same moment while the others continue. From the streams, their paths and
+//! the times of their events, the detector derives the engines that are shared by all
+//! stalled streams and by no active one, within little more than one usual gap. Asking the
+//! engines for their reports would take longer, since these are some 200 ms old.
 //!
 //! ```text
-//!  event ──► gap of the stream ──► silent? ──┐
-//!       └──► engines on its path are alive ──┴► explain ──► ask about one stream
+//!  event ──► gap of the stream ──► stalled? ─┐
+//!       └──► engines on its path are alive ──┴► explain ──► probe one stream
 //!                             suspect ◄── answer ◄──────────┘   └► streams to move
 //! ```
 //!
-//! What streams show is how things look; a first engine that is ordered to keep a
-//! stream's path as it is refuses at once if a stage of it is gone, and names it
-//! (its report tells what was so some 200 ms ago). So the streams decide when to
-//! ask, and about which of them: one question for all that fell silent together.
-//! If no answer comes, what they show holds.
+//! The streams only give an indication. A probe confirms it: the first engine of a stream
+//! is ordered to keep the stream's path unchanged, and at once refuses and names the stage
+//! if one is gone. The streams decide when to probe and which stream to use, with one probe
+//! for all streams that stalled together. If a probe gets no answer, the indication counts.
 //!
-//! For streams on routes that say how long a pause may be; that sets the time
-//! scale. A router that was itself kept from running draws no conclusions for a
-//! moment: all its streams look silent then.
+//! Only streams on routes that set a maximum pause are watched, since the pause sets the
+//! time scale. A router that was itself suspended draws no conclusions for a moment,
+//! because all its streams look stalled then.
 
 mod explain;
 mod gaps;
@@ -31,118 +30,117 @@
 
 use crate::state::DataCentre;
 use crate::time::Instant;
-use gaps::Gaps;
+use gaps::GapEstimate;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::time::Duration;
-use stream::{EngineKey, EngineSeen, Stream, get_mut};
+use stream::{EngineKey, EngineState, Stream, stream_mut};
 
-/// How long an engine is suspected, unless an event passes through it before.
-/// The leader has asked it by then, and all routers know.
+/// Time for which an engine is suspected, unless an event passes through it before. By its
+/// end the leader has probed the engine and all routers know the result.
 pub const SUSPECTED_FOR: Duration = Duration::from_millis(1_000);
 
-/// Between two looks while streams are silent and nobody knows why: a fifth of a
+/// Interval between checks while streams are stalled and the cause is unknown: a fifth of a
 /// usual gap.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A look that comes so late was kept from running, and what came meanwhile may
-/// not have been read yet.
-const LATE: Duration = Duration::from_millis(20);
+/// Delay of a check from which the router counts as having been suspended, so that received
+/// events may not have been read yet.
+const MAX_CHECK_DELAY: Duration = Duration::from_millis(20);
 
-/// How long nothing is concluded after that.
-const BLIND_FOR: Duration = Duration::from_millis(15);
+/// Time for which no conclusions are drawn after a late check.
+const HOLD_OFF_TIME: Duration = Duration::from_millis(15);
 
-/// Between two tries to move one stream.
-const MOVE_AGAIN: Duration = Duration::from_millis(150);
+/// Interval between two attempts to move a stream.
+const MOVE_RETRY_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Part of the longest pause on time after which a stream that is silent alone is
-/// asked about: of 5,500 streams on a calm day 24 pause for longer in their lives.
-const ALONE_PART: f64 = 0.5;
+/// Fraction of the longest pause on time after which a stream that stalls alone is probed.
+/// Of 5,500 streams on a calm day 24 pause for longer in their lifetime.
+const LONE_STALL_FRACTION: f64 = 0.5;
 
-/// Between two questions about one stream.
-const ASK_AGAIN: Duration = Duration::from_millis(200);
+/// Interval between two probes about one stream.
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Questions of a router under way at a time.
-const MOST_ASKED: usize = 4;
+/// Maximum number of probes in flight per router.
+const MAX_PROBES_IN_FLIGHT: usize = 4;
 
-/// Questions in vain that a router may ask at once, and the time that brings back
-/// one. An order costs a little, and engines that are slow, not gone, make streams
-/// look silent all the time: 26,736 questions by 60 routers on a day of 34 s with 14
-/// engines 12 times as slow.
-const VAIN_AT_ONCE: u32 = 6;
-const VAIN_EVERY: Duration = Duration::from_secs(4);
+/// Budget of probes that find nothing, and the interval at which one is restored. A probe
+/// costs a little, and slow engines that are not gone make streams look stalled all the
+/// time: 60 routers sent 26,736 probes on a day of 34 s with 14 engines 12 times as slow.
+const MAX_FRUITLESS_PROBES: u32 = 6;
+const FRUITLESS_PROBE_REFILL_INTERVAL: Duration = Duration::from_secs(4);
 
-/// Longest silence that says anything: engines let go of what depends on a dead
-/// one after some 2 s.
-const STALE: Duration = Duration::from_millis(1_000);
+/// Longest stall that is evidence. Engines release what depends on a dead engine after some
+/// 2 s.
+const MAX_STALL_AGE: Duration = Duration::from_millis(1_000);
 
-/// What became of a question about a stream.
+/// Result of a probe about a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// This stage of its path is gone.
+    /// This stage of the stream's path is gone.
     Gone(SocketAddr),
     /// All stages are there.
     AllThere,
-    /// None came, or one that tells nothing.
+    /// No answer came, or one without a result.
     Unknown,
 }
 
-/// What a look found.
+/// Result of a check.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Found {
-    /// Streams about which their first engine is to be asked.
+    /// Streams whose first engine is to be probed.
     pub to_ask: Vec<StreamKey>,
-    /// Streams that pass through a suspected engine and should leave it.
+    /// Streams that pass through a suspected engine and should move to another path.
     pub to_move: Vec<StreamKey>,
 }
 
-/// The streams of one router.
+/// Stall detector for the streams of one router.
 #[derive(Clone, Debug, Default)]
 pub struct SilenceWatch {
     streams: Vec<Option<Stream>>,
     free: Vec<u32>,
-    lives: u32,
-    engines: Vec<EngineSeen>,
+    last_generation: u32,
+    engines: Vec<EngineState>,
     by_address: HashMap<SocketAddr, EngineKey>,
-    /// Gaps of all streams, with which a new one begins.
-    usual: Option<Gaps>,
-    look_at: Option<Instant>,
-    blind_until: Instant,
-    /// Streams that were silent then have been looked at.
-    looked_at: Instant,
-    /// Questions under way, with the engine that the silent streams name.
-    asked: BTreeMap<StreamKey, Option<EngineKey>>,
-    vain: Vain,
+    /// Gap estimate over all streams, used as the initial estimate of a new one.
+    overall_gaps: Option<GapEstimate>,
+    next_check: Option<Instant>,
+    hold_off_until: Instant,
+    /// Streams that were stalled by this time have been checked.
+    checked_at: Instant,
+    /// Probes in flight, with the engine that the stalled streams point to.
+    probes: BTreeMap<StreamKey, Option<EngineKey>>,
+    fruitless_probes: FruitlessProbes,
 }
 
-/// Questions in vain, as a bucket that empties.
+/// Probes that found nothing, counted as a leaky bucket.
 #[derive(Clone, Copy, Debug, Default)]
-struct Vain {
+struct FruitlessProbes {
     count: u32,
-    /// When the last one was forgotten.
-    at: Instant,
+    /// Time at which the bucket last leaked.
+    leaked_at: Instant,
 }
 
-impl Vain {
-    /// Whether another question may be asked, beside `under_way`.
+impl FruitlessProbes {
+    /// Whether another probe may be sent while `under_way` are in flight.
     fn allows(&mut self, now: Instant, under_way: usize) -> bool {
-        while self.count > 0 && now.since(self.at) >= VAIN_EVERY {
+        while self.count > 0 && now.since(self.leaked_at) >= FRUITLESS_PROBE_REFILL_INTERVAL {
             self.count -= 1;
-            self.at = self.at + VAIN_EVERY;
+            self.leaked_at = self.leaked_at + FRUITLESS_PROBE_REFILL_INTERVAL;
         }
-        self.count + (under_way as u32) < VAIN_AT_ONCE
+        self.count + (under_way as u32) < MAX_FRUITLESS_PROBES
     }
 
-    fn one_more(&mut self, now: Instant) {
+    fn record(&mut self, now: Instant) {
         if self.count == 0 {
-            self.at = now;
+            self.leaked_at = now;
         }
         self.count += 1;
     }
 }
 
 impl SilenceWatch {
-    /// A stream has begun on this path; `pause` is the longest that is on time.
+    /// Starts to watch a stream on this path. `pause` is the longest pause that is on time.
     pub fn begin(
         &mut self,
         now: Instant,
@@ -150,18 +148,18 @@
         path: &[SocketAddr],
         pause: Duration,
     ) -> StreamKey {
-        self.lives += 1;
-        let path = self.engines_of(now, path);
+        self.last_generation += 1;
+        let path = self.watch_engines(now, path);
         let stream = Stream {
-            life: self.lives,
+            generation: self.last_generation,
             data_centre: data_centre.clone(),
             path,
             pause,
-            gaps: self.usual.unwrap_or(Gaps::unknown(pause)),
-            last: now,
-            heard: false,
-            moved: None,
-            asked: None,
+            gaps: self.overall_gaps.unwrap_or(GapEstimate::initial(pause)),
+            last_activity: now,
+            has_event: false,
+            moved_at: None,
+            probed_at: None,
         };
         let slot = match self.free.pop() {
             Some(slot) => slot,
@@ -173,90 +171,93 @@
         self.streams[slot as usize] = Some(stream);
         StreamKey {
             slot,
-            life: self.lives,
+            generation: self.last_generation,
         }
     }
 
-    /// An event of a stream came. The engines that are no longer suspected for it.
+    /// Records an event of a stream. Returns the engines that are no longer suspected
+    /// because of it.
     pub fn event(&mut self, now: Instant, key: StreamKey) -> Vec<SocketAddr> {
-        let Some(stream) = get_mut(&mut self.streams, key) else {
+        let Some(stream) = stream_mut(&mut self.streams, key) else {
             return Vec::new();
         };
-        if stream.heard {
-            let gap = now.since(stream.last);
+        if stream.has_event {
+            let gap = now.since(stream.last_activity);
             stream.gaps.add(gap);
-            let usual = self.usual.get_or_insert(Gaps::unknown(stream.pause));
+            let usual = self
+                .overall_gaps
+                .get_or_insert(GapEstimate::initial(stream.pause));
             usual.add(gap);
         }
-        stream.heard = true;
-        stream.last = now;
-        stream.moved = None;
-        stream.asked = None;
+        stream.has_event = true;
+        stream.last_activity = now;
+        stream.moved_at = None;
+        stream.probed_at = None;
         let mut cleared = Vec::new();
         for engine in &stream.path {
-            let seen = &mut self.engines[engine.0 as usize];
-            seen.alive = now;
-            if seen.suspected_until > now {
-                seen.suspected_until = Instant::ZERO;
-                cleared.push(seen.address);
+            let engine_state = &mut self.engines[engine.0 as usize];
+            engine_state.last_event = now;
+            if engine_state.suspected_until > now {
+                engine_state.suspected_until = Instant::ZERO;
+                cleared.push(engine_state.address);
             }
         }
         cleared
     }
 
-    /// A stream goes on over another path.
+    /// Records that a stream continues on another path.
     pub fn path_is(&mut self, now: Instant, key: StreamKey, path: &[SocketAddr]) {
-        let path = self.engines_of(now, path);
-        let Some(stream) = get_mut(&mut self.streams, key) else {
-            self.leave(&path);
+        let path = self.watch_engines(now, path);
+        let Some(stream) = stream_mut(&mut self.streams, key) else {
+            self.unwatch_engines(&path);
             return;
         };
         let before = std::mem::replace(&mut stream.path, path);
-        stream.last = now;
-        stream.heard = false;
-        stream.moved = None;
-        stream.asked = None;
-        self.leave(&before);
+        stream.last_activity = now;
+        stream.has_event = false;
+        stream.moved_at = None;
+        stream.probed_at = None;
+        self.unwatch_engines(&before);
     }
 
-    /// A stream has ended.
+    /// Stops watching a stream that has ended.
     pub fn end(&mut self, key: StreamKey) {
-        if get_mut(&mut self.streams, key).is_none() {
+        if stream_mut(&mut self.streams, key).is_none() {
             return;
         }
-        self.asked.remove(&key);
+        self.probes.remove(&key);
         if let Some(stream) = self.streams[key.slot as usize].take() {
             self.free.push(key.slot);
-            self.leave(&stream.path);
+            self.unwatch_engines(&stream.path);
         }
     }
 
-    /// The leader names engines. One through which an event came within a usual
-    /// gap is not suspected here.
+    /// Marks engines as suspected that the leader reports, except those through which an
+    /// event came within a usual gap.
     pub fn told(&mut self, now: Instant, suspects: &[SocketAddr]) {
-        let usual = self.usual.map_or(Duration::ZERO, |g| g.usual());
+        let usual = self.overall_gaps.map_or(Duration::ZERO, |g| g.mean());
         for address in suspects {
             let Some(key) = self.by_address.get(address) else {
                 continue;
             };
-            let seen = &mut self.engines[key.0 as usize];
-            if now.since(seen.alive) > usual && seen.suspected_until <= now {
-                seen.suspected_until = now + SUSPECTED_FOR;
-                seen.gone = false;
-                self.look_at = Some(now);
+            let engine_state = &mut self.engines[key.0 as usize];
+            if now.since(engine_state.last_event) > usual && engine_state.suspected_until <= now {
+                engine_state.suspected_until = now + SUSPECTED_FOR;
+                engine_state.is_gone = false;
+                self.next_check = Some(now);
             }
         }
     }
 
-    /// When to look next; nothing while no stream is watched.
+    /// Returns the time of the next check, or `None` while no stream is watched.
     pub fn look_at(&self) -> Option<Instant> {
-        let silent_at = self.streams.iter().flatten().map(Stream::silent_at);
-        let first = silent_at.filter(|at| *at > self.looked_at).min();
-        let sooner = match (self.look_at, first) {
+        let stalled_at = self.streams.iter().flatten().map(Stream::stalled_at);
+        let first = stalled_at.filter(|at| *at > self.checked_at).min();
+        let next = match (self.next_check, first) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         };
-        sooner.map(|at| at.max(self.blind_until))
+        next.map(|at| at.max(self.hold_off_until))
     }
 
     /// Whether an engine is suspected.
@@ -265,201 +266,212 @@
         key.is_some_and(|k| self.engines[k.0 as usize].suspected_until > now)
     }
 
-    /// Streams that are watched.
+    /// The number of watched streams.
     pub fn streams(&self) -> usize {
         self.streams.len() - self.free.len()
     }
 
-    /// Looks who is silent, and why. `due` is when this look was to be.
+    /// Checks which streams have stalled and why. `due` is the time for which this check
+    /// was planned.
     pub fn look(&mut self, now: Instant, due: Instant) -> Found {
-        self.look_at = None;
-        if now.since(due) > LATE {
-            self.blind_until = now + BLIND_FOR;
+        self.next_check = None;
+        if now.since(due) > MAX_CHECK_DELAY {
+            self.hold_off_until = now + HOLD_OFF_TIME;
         }
-        if now < self.blind_until {
-            self.look_at = Some(self.blind_until);
+        if now < self.hold_off_until {
+            self.next_check = Some(self.hold_off_until);
             return Found::default();
         }
-        self.looked_at = now;
+        self.checked_at = now;
         let mut found = Found::default();
-        for view in self.by_centre(now).into_values() {
-            self.choose_to_ask(now, &view, &mut found);
+        for view in self.stalled_by_data_centre(now).into_values() {
+            self.select_probes(now, &view, &mut found);
         }
-        self.take_to_move(now, &mut found);
+        self.select_moves(now, &mut found);
         found
     }
 
-    /// What the first engine of a stream said. The engine that is suspected from now
-    /// on.
+    /// Records the result of a probe about a stream. Returns the engine that becomes
+    /// suspected by it.
     pub fn answered(&mut self, now: Instant, key: StreamKey, answer: Answer) -> Option<SocketAddr> {
-        let named = self.asked.remove(&key).flatten();
+        let implicated = self.probes.remove(&key).flatten();
         if answer == Answer::AllThere {
-            self.vain.one_more(now);
+            self.fruitless_probes.record(now);
         }
         let gone = match answer {
             Answer::Gone(address) => self.by_address.get(&address).copied(),
             Answer::AllThere => None,
-            Answer::Unknown => named,
+            Answer::Unknown => implicated,
         };
-        let seen = &mut self.engines[gone?.0 as usize];
-        let news = seen.suspected_until <= now;
-        seen.suspected_until = now + SUSPECTED_FOR;
-        seen.gone = matches!(answer, Answer::Gone(_));
-        self.look_at = Some(now);
-        news.then_some(seen.address)
+        let engine_state = &mut self.engines[gone?.0 as usize];
+        let is_new = engine_state.suspected_until <= now;
+        engine_state.suspected_until = now + SUSPECTED_FOR;
+        engine_state.is_gone = matches!(answer, Answer::Gone(_));
+        self.next_check = Some(now);
+        is_new.then_some(engine_state.address)
     }
 
-    /// Engines that may be slow: a stream pauses though all of its stages are there,
-    /// and nothing came through these since its event was due.
+    /// Returns the engines that may be slow when a stream has paused although all of its
+    /// stages are there: those without an event since the stream's next event was due.
     pub fn perhaps_slow(&self, now: Instant, key: StreamKey) -> Vec<SocketAddr> {
         let stream = self.streams.get(key.slot as usize);
-        let stream = stream.and_then(|s| s.as_ref().filter(|s| s.life == key.life));
+        let stream = stream.and_then(|s| s.as_ref().filter(|s| s.generation == key.generation));
         let candidates = stream.map(|s| self.candidates(now, s));
         let address = |e: EngineKey| self.engines[e.0 as usize].address;
         candidates.into_iter().flatten().map(address).collect()
     }
 
-    /// Silent streams with their candidates, and lively ones, by data centre.
-    fn by_centre(&self, now: Instant) -> BTreeMap<DataCentre, View> {
-        let mut views: BTreeMap<DataCentre, View> = BTreeMap::new();
+    /// Groups stalled streams with their candidates, and counts active ones, by data
+    /// centre.
+    fn stalled_by_data_centre(&self, now: Instant) -> BTreeMap<DataCentre, DataCentreStreams> {
+        let mut views: BTreeMap<DataCentre, DataCentreStreams> = BTreeMap::new();
         for (slot, stream) in self.streams.iter().enumerate() {
             let Some(stream) = stream else {
                 continue;
             };
             let view = views.entry(stream.data_centre.clone()).or_default();
-            if now < stream.silent_at() {
-                view.lively += 1;
-            } else if now.since(stream.last) < STALE {
+            if now < stream.stalled_at() {
+                view.active += 1;
+            } else if now.since(stream.last_activity) < MAX_STALL_AGE {
                 let candidates = self.candidates(now, stream);
                 if !candidates.is_empty() {
                     let slot = slot as u32;
-                    let life = stream.life;
-                    view.silent.push((StreamKey { slot, life }, candidates));
+                    let generation = stream.generation;
+                    view.stalled
+                        .push((StreamKey { slot, generation }, candidates));
                 }
             }
         }
-        views.retain(|_, v| !v.silent.is_empty());
+        views.retain(|_, v| !v.stalled.is_empty());
         views
     }
 
-    /// Engines that may be why a stream is silent: nothing came through them since
-    /// its event was due, and a little later, as what is past a dead engine still
-    /// comes. None if a suspected one explains it.
+    /// Returns the engines that may have caused a stream to stall: those without an event
+    /// since the stream's next event was due, plus a margin, as events already past a dead
+    /// engine still arrive. Empty if a suspected engine explains the stall.
     fn candidates(&self, now: Instant, stream: &Stream) -> Vec<EngineKey> {
         let path = stream.path.iter();
-        let seen = |e: &EngineKey| &self.engines[e.0 as usize];
-        if path.clone().any(|e| seen(e).suspected_until > now) {
+        let engine_state = |e: &EngineKey| &self.engines[e.0 as usize];
+        if path.clone().any(|e| engine_state(e).suspected_until > now) {
             return Vec::new();
         }
-        let since = stream.due() + past_it(stream.gaps.usual());
-        let quiet = path.filter(|e| seen(e).alive <= since);
-        quiet.copied().collect()
+        let since = stream.due() + propagation_margin(stream.gaps.mean());
+        let without_event = path.filter(|e| engine_state(e).last_event <= since);
+        without_event.copied().collect()
     }
 
-    /// One stream for each engine that silent ones name, and those that have been
-    /// silent alone for long.
-    fn choose_to_ask(&mut self, now: Instant, view: &View, found: &mut Found) {
-        self.look_at = Some(now + LOOK_EVERY);
-        let silent: Vec<_> = view.silent.iter().map(|(_, c)| c.clone()).collect();
-        let through = |e: EngineKey| self.engines[e.0 as usize].streams as usize;
-        let named = explain(&silent, view.lively, through);
-        let mut unasked = named.clone();
-        for (key, candidates) in &view.silent {
-            let names = candidates.iter().find(|e| unasked.contains(e)).copied();
-            let Some(stream) = get_mut(&mut self.streams, *key) else {
+    /// Selects the streams to probe: one for each engine that stalled streams point to, and
+    /// those that have stalled alone for long.
+    fn select_probes(&mut self, now: Instant, view: &DataCentreStreams, found: &mut Found) {
+        self.next_check = Some(now + CHECK_INTERVAL);
+        let stalled: Vec<_> = view.stalled.iter().map(|(_, c)| c.clone()).collect();
+        let streams_through = |e: EngineKey| self.engines[e.0 as usize].streams as usize;
+        let implicated = explain(&stalled, view.active, streams_through);
+        let mut unprobed = implicated.clone();
+        for (key, candidates) in &view.stalled {
+            let suspect = candidates.iter().find(|e| unprobed.contains(e)).copied();
+            let Some(stream) = stream_mut(&mut self.streams, *key) else {
                 continue;
             };
-            let alone = stream.pause.mul_f64(ALONE_PART);
-            let explained = candidates.iter().any(|e| named.contains(e));
-            let long = now.since(stream.last) >= alone && !explained;
-            let lately = stream.asked.is_some_and(|at| now.since(at) < ASK_AGAIN);
-            // Whoever waits for an answer waits for all that share the engine.
-            let waits = self.asked.values().any(|e| e.is_some() && *e == names);
-            let under_way = self.asked.len();
-            let full = under_way >= MOST_ASKED || !self.vain.allows(now, under_way);
-            if lately || waits || full || (names.is_none() && !long) {
+            let lone_limit = stream.pause.mul_f64(LONE_STALL_FRACTION);
+            let is_explained = candidates.iter().any(|e| implicated.contains(e));
+            let is_long = now.since(stream.last_activity) >= lone_limit && !is_explained;
+            let is_recently_probed = stream
+                .probed_at
+                .is_some_and(|at| now.since(at) < PROBE_INTERVAL);
+            // A probe in flight serves all streams that point to the same engine.
+            let has_probe = self.probes.values().any(|e| e.is_some() && *e == suspect);
+            let under_way = self.probes.len();
+            let is_exhausted =
+                under_way >= MAX_PROBES_IN_FLIGHT || !self.fruitless_probes.allows(now, under_way);
+            if is_recently_probed || has_probe || is_exhausted || (suspect.is_none() && !is_long) {
                 continue;
             }
-            stream.asked = Some(now);
-            unasked.retain(|e| !candidates.contains(e));
-            self.asked.insert(*key, names);
+            stream.probed_at = Some(now);
+            unprobed.retain(|e| !candidates.contains(e));
+            self.probes.insert(*key, suspect);
             found.to_ask.push(*key);
         }
     }
 
-    /// Streams through a suspected engine whose next event is overdue, or can't come.
-    fn take_to_move(&mut self, now: Instant, found: &mut Found) {
-        let mut again = None;
+    /// Selects the streams through a suspected engine whose next event is overdue or can't
+    /// come.
+    fn select_moves(&mut self, now: Instant, found: &mut Found) {
+        let mut next_attempt = None;
         for (slot, stream) in self.streams.iter_mut().enumerate() {
             let Some(stream) = stream else {
                 continue;
             };
-            let seen = stream.path.iter().map(|e| &self.engines[e.0 as usize]);
-            let mut suspected = seen.filter(|e| e.suspected_until > now).peekable();
+            let engines = stream.path.iter().map(|e| &self.engines[e.0 as usize]);
+            let mut suspected = engines.filter(|e| e.suspected_until > now).peekable();
             if suspected.peek().is_none() {
                 continue;
             }
-            let since = match suspected.any(|e| e.gone) {
-                true => stream.last,
+            let since = match suspected.any(|e| e.is_gone) {
+                true => stream.last_activity,
                 false => stream.due(),
             };
-            let not_before = stream.moved.map_or(since, |at| at + MOVE_AGAIN);
+            let not_before = stream.moved_at.map_or(since, |at| at + MOVE_RETRY_INTERVAL);
             if now < not_before {
-                again = Some(again.map_or(not_before, |a: Instant| a.min(not_before)));
+                next_attempt =
+                    Some(next_attempt.map_or(not_before, |a: Instant| a.min(not_before)));
                 continue;
             }
-            stream.moved = Some(now);
+            stream.moved_at = Some(now);
             found.to_move.push(StreamKey {
                 slot: slot as u32,
-                life: stream.life,
+                generation: stream.generation,
             });
         }
-        if let Some(again) = again {
-            self.look_at = Some(self.look_at.map_or(again, |at| at.min(again)));
+        if let Some(next_attempt) = next_attempt {
+            self.next_check = Some(
+                self.next_check
+                    .map_or(next_attempt, |at| at.min(next_attempt)),
+            );
         }
     }
 
-    fn engines_of(&mut self, now: Instant, path: &[SocketAddr]) -> Vec<EngineKey> {
-        path.iter().map(|a| self.engine(now, *a)).collect()
+    fn watch_engines(&mut self, now: Instant, path: &[SocketAddr]) -> Vec<EngineKey> {
+        path.iter().map(|a| self.watch_engine(now, *a)).collect()
     }
 
-    fn engine(&mut self, now: Instant, address: SocketAddr) -> EngineKey {
+    fn watch_engine(&mut self, now: Instant, address: SocketAddr) -> EngineKey {
         let engines = &mut self.engines;
         let key = *self.by_address.entry(address).or_insert_with(|| {
-            engines.push(EngineSeen {
+            engines.push(EngineState {
                 address,
-                alive: Instant::ZERO,
+                last_event: Instant::ZERO,
                 suspected_until: Instant::ZERO,
-                gone: false,
+                is_gone: false,
                 streams: 0,
             });
             EngineKey(engines.len() as u32 - 1)
         });
-        let seen = &mut engines[key.0 as usize];
-        // Nobody has watched it for a while: what was known of it is old.
-        if seen.streams == 0 {
-            seen.alive = now;
+        let engine_state = &mut engines[key.0 as usize];
+        // The engine was not watched for a while, so its recorded state is outdated.
+        if engine_state.streams == 0 {
+            engine_state.last_event = now;
         }
-        seen.streams += 1;
+        engine_state.streams += 1;
         key
     }
 
-    fn leave(&mut self, path: &[EngineKey]) {
+    fn unwatch_engines(&mut self, path: &[EngineKey]) {
         for engine in path {
-            let seen = &mut self.engines[engine.0 as usize];
-            seen.streams = seen.streams.saturating_sub(1);
+            let engine_state = &mut self.engines[engine.0 as usize];
+            engine_state.streams = engine_state.streams.saturating_sub(1);
         }
     }
 }
 
-/// How long after its death events still come that have passed an engine: half a
-/// usual gap.
-fn past_it(usual: Duration) -> Duration {
-    usual / 2
+/// Time after the death of an engine during which events that had passed it still arrive:
+/// half a usual gap.
+fn propagation_margin(mean_gap: Duration) -> Duration {
+    mean_gap / 2
 }
 
 #[derive(Default)]
-struct View {
-    silent: Vec<(StreamKey, Candidates<EngineKey>)>,
-    lively: usize,
+struct DataCentreStreams {
+    stalled: Vec<(StreamKey, Candidates<EngineKey>)>,
+    active: usize,
 }
--- a/crates/deckwind-core/src/routes/silence/stream.rs
+++ b/crates/deckwind-core/src/routes/silence/stream.rs
@@ -1,70 +1,70 @@
-//! Streams that are watched, and the engines on their paths.
+//! Watched streams and the engines on their paths.
 
-use super::gaps::Gaps;
+use super::gaps::GapEstimate;
 use crate::state::DataCentre;
 use crate::time::Instant;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A stream that is watched.
+/// Key of a watched stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct StreamKey {
     pub(super) slot: u32,
-    pub(super) life: u32,
+    pub(super) generation: u32,
 }
 
-/// An engine on the path of a watched stream.
+/// Index of an engine on the path of a watched stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct EngineKey(pub u32);
 
-/// What is known of a stream.
+/// State of a watched stream.
 #[derive(Clone, Debug)]
 pub(super) struct Stream {
-    pub life: u32,
+    pub generation: u32,
     pub data_centre: DataCentre,
     pub path: Vec<EngineKey>,
     pub pause: Duration,
-    pub gaps: Gaps,
-    /// Its last event, or when its path changed.
-    pub last: Instant,
-    /// Whether anything came over its present path.
-    pub heard: bool,
-    /// When it was last to move.
-    pub moved: Option<Instant>,
-    /// When it was last asked about.
-    pub asked: Option<Instant>,
+    pub gaps: GapEstimate,
+    /// Time of the last event or path change.
+    pub last_activity: Instant,
+    /// Whether an event has come over the current path.
+    pub has_event: bool,
+    /// Time at which the stream was last asked to move.
+    pub moved_at: Option<Instant>,
+    /// Time of the last probe about the stream.
+    pub probed_at: Option<Instant>,
 }
 
 impl Stream {
-    /// When its next event is due.
+    /// Returns the time at which the next event is due.
     pub fn due(&self) -> Instant {
-        self.last + self.gaps.usual()
+        self.last_activity + self.gaps.mean()
     }
 
-    /// When it is silent.
-    pub fn silent_at(&self) -> Instant {
-        let reread = match self.heard {
+    /// Returns the time from which the stream counts as stalled.
+    pub fn stalled_at(&self) -> Instant {
+        let reread_margin = match self.has_event {
             true => Duration::ZERO,
-            false => self.gaps.usual(),
+            false => self.gaps.mean(),
         };
-        self.last + self.gaps.silent_after(self.pause) + reread
+        self.last_activity + self.gaps.stall_timeout(self.pause) + reread_margin
     }
 }
 
-/// What streams show of an engine.
+/// State of an engine as observed through its streams.
 #[derive(Clone, Debug)]
-pub(super) struct EngineSeen {
+pub(super) struct EngineState {
     pub address: SocketAddr,
-    /// Last event through it.
-    pub alive: Instant,
+    /// Time of the last event through the engine.
+    pub last_event: Instant,
     pub suspected_until: Instant,
-    /// It is gone, as a first engine says: no event is to be waited for.
-    pub gone: bool,
+    /// Whether a first engine has reported it gone, so that no event will come.
+    pub is_gone: bool,
     pub streams: u32,
 }
 
-/// The stream with this key, unless it has ended.
-pub(super) fn get_mut(streams: &mut [Option<Stream>], key: StreamKey) -> Option<&mut Stream> {
+/// Returns the stream with this key, or `None` if it has ended.
+pub(super) fn stream_mut(streams: &mut [Option<Stream>], key: StreamKey) -> Option<&mut Stream> {
     let stream = streams.get_mut(key.slot as usize)?.as_mut()?;
-    (stream.life == key.life).then_some(stream)
+    (stream.generation == key.generation).then_some(stream)
 }
--- a/crates/deckwind-core/src/routes/held_back.rs
+++ b/crates/deckwind-core/src/routes/slow_readers.rs
@@ -1,65 +1,65 @@
-//! Who is cut when callers that don't read fill a router's memory.
+//! Choice of the callers to disconnect when slow readers fill a router's memory.
 //!
-//! Engines are read at their own pace, so what a slow caller leaves unread is the
-//! router's to hold. Past a bound some callers are cut, so that the others go on;
-//! new requests are refused only where that is not enough.
+//! Engines are read at their own pace, so the router buffers what a slow caller leaves
+//! unread. Above a limit some callers are disconnected so that the others can continue. New
+//! requests are refused only if that is not enough.
 
 use crate::time::Instant;
 use slotmap::{SlotMap, new_key_type};
 use std::collections::BTreeMap;
 
 new_key_type! {
-    /// An answer that a router holds for its caller.
+    /// Key of an answer that a router buffers for its caller.
     pub struct AnswerKey;
 }
 
-/// Something for each answer that a router holds.
+/// Values stored for each buffered answer.
 pub type AnswerArena<T> = SlotMap<AnswerKey, T>;
 
 /// An answer whose caller is behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Behind {
-    /// Which.
+    /// Key of the answer.
     pub key: AnswerKey,
-    /// The account that asks, as a number.
+    /// Number of the client account that made the request.
     pub account: u64,
-    /// Bytes that wait.
+    /// Buffered bytes.
     pub bytes: u64,
-    /// Pieces that wait: of a stream about as many events.
+    /// Buffered chunks. For a stream this is roughly the number of events.
     pub pieces: u32,
-    /// When its caller last took something, or the first of what waits came.
+    /// Time of the caller's last read, or of the first buffered chunk if that is later.
     pub since: Instant,
 }
 
-/// Who goes first.
+/// Order in which callers are disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// Whoever has read nothing for longest.
+    /// The caller that has read nothing for the longest time goes first.
     LongestUnread,
-    /// Whoever has most bytes waiting.
+    /// The caller with the most buffered bytes goes first.
     MostBytes,
 }
 
-/// How much a router may hold, bytes.
+/// Buffer limits of a router, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HoldLimits {
     /// New requests are refused above this.
     pub refuse_above: u64,
-    /// Callers are cut above this.
+    /// Callers are disconnected above this.
     pub cut_above: u64,
-    /// Down to this.
+    /// Callers are disconnected until the total has fallen to this.
     pub cut_to: u64,
-    /// One account's callers are cut first above this.
+    /// Callers of an account that buffers more than this are disconnected first.
     pub account: u64,
 }
 
-/// A caller this few pieces behind is not cut: a pause of its network, not a
-/// caller that does not read. At the usual 20 to 40 events a second this is some
-/// 0.2 to 0.4 s.
+/// Number of chunks up to which a slow caller is not disconnected, since this may be a
+/// network pause rather than a caller that does not read. At the usual 20 to 40 events a
+/// second this is some 0.2 to 0.4 s.
 pub const FEW: u32 = 8;
 
 impl HoldLimits {
-    /// For a bound on all that is held.
+    /// Returns the limits for a bound on all buffered bytes.
     pub fn of(bound: u64) -> Self {
         Self {
             refuse_above: bound,
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Who is cut while `held` bytes are held in all, first to last.
+    /// Returns the callers to disconnect while `held` bytes are buffered in total, in
+    /// order.
     pub fn cut(&self, way: Way, held: u64, all: &[Behind]) -> Vec<AnswerKey> {
         if held <= self.cut_above {
             return Vec::new();
@@ -96,7 +97,7 @@
             cut.push(b.key);
             true
         };
-        // An account that has more than its part gives first, down to its part.
+        // Accounts over their limit are reduced first, down to that limit.
         order.retain(|b| !take(b, true));
         order.retain(|b| !take(b, false));
         cut
