--- a/crates/deckwind-core/src/admission/queue.rs
+++ b/crates/deckwind-core/src/admission/queue.rs
@@ -81,7 +81,7 @@
 
 /// Maximum fraction of the slots that requests of higher priority may be expected to take.
 /// Above it a request is refused as unable to start in time.
-const MAX_HIGHER_PRIORITY_USE: f64 = 0.98;
+const MAX_HIGHER_PRIORITY_LOAD: f64 = 0.98;
 
 /// Minimum retry-after time.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -238,7 +238,7 @@
             .map(|(rate, hold)| rate.per_s(now) * hold)
             .sum::<f64>()
             / slots;
-        if taken >= MAX_HIGHER_PRIORITY_USE {
+        if taken >= MAX_HIGHER_PRIORITY_LOAD {
             return MAX_RETRY_AFTER;
         }
         let wait_s = (ahead_s + self.hold_s[priority]) / slots / (1.0 - taken);
--- a/crates/deckwind-core/src/routes/book.rs
+++ b/crates/deckwind-core/src/routes/book.rs
@@ -1,5 +1,5 @@
-//! Per-target state of one router: requests in flight, tokens that streams hold at engines,
-//! and failures.
+//! Per-target state of one router: requests in flight, load of streams at engines, and
+//! failures.
 
 use super::limits::TargetLimits;
 use super::notices::TargetNotices;
@@ -26,12 +26,12 @@
 const MAX_FAULTS: u32 = 4 * FAULTS_PER_FAILURE;
 
 /// Time for which a router avoids an engine that refused one of its requests for lack of
-/// room. A few answers end in that time.
+/// capacity. A few answers end in that time.
 const FULL_ENGINE_BACKOFF: Duration = Duration::from_millis(300);
 
 /// Time for which a refusal caps the load that the engine is assumed to accept. The cap is
-/// what streams held there when the engine refused. The router's count is outdated after
-/// this time; with a longer time, more requests would find no path at all.
+/// the load of the engine when it refused. The router's count is outdated after this time;
+/// with a longer time, more requests would find no path at all.
 const REFUSED_LOAD_TTL: Duration = Duration::from_millis(250);
 
 /// The kind of a target failure.
@@ -51,8 +51,9 @@
     avoided_until: Instant,
     /// Time until which the target counts as down.
     down_until: Instant,
-    /// Time until which a failure reported by another router counts.
-    unreliable_until: Instant,
+    /// Time until which the target counts as unconfirmed: another router reported a
+    /// failure.
+    unconfirmed_until: Instant,
     /// Time until which the target is suspected because streams through it stalled
     /// together.
     suspected_until: Instant,
@@ -72,7 +73,7 @@
     use_known: Option<UseNumber>,
     /// Load of this router's streams in its last report. Included in `fleet`.
     reported: HashMap<SocketAddr, Held>,
-    /// Engines that recently refused a request for lack of room.
+    /// Engines that recently refused a request for lack of capacity.
     refused: HashMap<SocketAddr, CapacityRefusal>,
     /// Slow engines as last reported by the leader. Valid until `slow_until`.
     slow: HashSet<SocketAddr>,
@@ -83,7 +84,7 @@
     pub limits: TargetLimits,
 }
 
-/// A refusal by an engine for lack of room.
+/// A refusal by an engine for lack of capacity.
 #[derive(Clone, Copy, Debug)]
 struct CapacityRefusal {
     /// Load of the engine at the refusal, in tokens times layers.
@@ -198,7 +199,7 @@
     /// Records targets that other routers report as down.
     pub fn doubt(&mut self, until: Instant, addresses: &[SocketAddr]) {
         for address in addresses {
-            self.targets.entry(*address).or_default().unreliable_until = until;
+            self.targets.entry(*address).or_default().unconfirmed_until = until;
         }
     }
 
@@ -219,12 +220,11 @@
         self.slow_until > now && self.slow.contains(&address)
     }
 
-    /// Clears the suspicion and the failures that other routers reported, after an event
-    /// came through the target.
+    /// Clears the suspected and unconfirmed states, after an event came through the target.
     pub fn cleared(&mut self, address: SocketAddr) {
         if let Some(record) = self.targets.get_mut(&address) {
             record.suspected_until = Instant::ZERO;
-            record.unreliable_until = Instant::ZERO;
+            record.unconfirmed_until = Instant::ZERO;
         }
     }
 
@@ -237,7 +237,7 @@
     /// Whether stalled streams should leave a target: it was recently down for this router
     /// or another one, or is suspected.
     pub fn doubts(&self, now: Instant, address: SocketAddr) -> bool {
-        let until = |a: &TargetRecord| a.down_until.max(a.unreliable_until).max(a.suspected_until);
+        let until = |a: &TargetRecord| a.down_until.max(a.unconfirmed_until).max(a.suspected_until);
         let record = self.targets.get(&address);
         record.is_some_and(|a| until(a) > now)
     }
@@ -277,8 +277,8 @@
         wait
     }
 
-    /// Records that a target had no room: this router avoids it briefly. Returns the report
-    /// for the other routers.
+    /// Records that a target had no free capacity: this router avoids it briefly. Returns
+    /// the report for the other routers.
     pub fn had_no_room(&mut self, now: Instant, address: SocketAddr) -> EngineFull {
         self.avoid_full(now, address);
         let full = EngineFull {
@@ -289,15 +289,15 @@
         full
     }
 
-    /// Avoids an engine without room for a short time.
+    /// Avoids an engine without free capacity for a short time.
     pub fn avoid_full(&mut self, now: Instant, address: SocketAddr) {
         let record = self.targets.entry(address).or_default();
         record.avoided_until = record.avoided_until.max(now + FULL_ENGINE_BACKOFF);
     }
 
     /// Records that engines have just refused a request of this router or another one. The
-    /// engines are healthy, so they are expected to accept again as much as they held at
-    /// the refusal.
+    /// engines are healthy, so they are expected to accept the same load again as at the
+    /// refusal.
     pub fn are_full(&mut self, now: Instant, full: &[EngineFull]) {
         self.refused.retain(|_, r| r.until > now);
         for engine in full {
@@ -394,13 +394,13 @@
 
     /// Resets the failure record of an address after its incarnation has ended, since
     /// earlier failures say nothing about the next incarnation. Streams that still pass
-    /// through the old one have stalled, so the address counts as unreliable for streams
+    /// through the old one have stalled, so the address counts as unconfirmed for streams
     /// until `until`.
     pub fn life_over(&mut self, until: Instant, address: SocketAddr) {
         let record = self.targets.entry(address).or_default();
         *record = TargetRecord {
             in_flight: record.in_flight,
-            unreliable_until: until,
+            unconfirmed_until: until,
             ..TargetRecord::default()
         };
     }
--- a/crates/deckwind-core/src/routes/choice.rs
+++ b/crates/deckwind-core/src/routes/choice.rs
@@ -10,28 +10,28 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Maximum use of an engine for new requests, as a fraction of its capacity.
-const MAX_USE_NEW: f64 = 1.0;
+/// Maximum load of an engine for new requests, as a fraction of its capacity.
+const MAX_LOAD_NEW: f64 = 1.0;
 
-/// Maximum use of an engine for requests that are already late because their callers were
-/// refused before. The last room is reserved for requests that can still be on time.
-const MAX_USE_LATE: f64 = 0.99;
+/// Maximum load of an engine for requests that are already late because their callers were
+/// refused before. The last capacity is reserved for requests that can still be on time.
+const MAX_LOAD_LATE: f64 = 0.99;
 
-/// Maximum use of an engine for requests that have begun at another target. Interrupting
+/// Maximum load of an engine for requests that have begun at another target. Interrupting
 /// one costs more than slight overload. Engines refuse requests well above this value, and
 /// each refusal costs a retry.
-const MAX_USE_BEGUN: f64 = 1.1;
+const MAX_LOAD_BEGUN: f64 = 1.1;
 
-/// A request stays in its own data centre while the use of the fullest engine is below
+/// A request stays in its own data centre while the load of the fullest engine is below
 /// this.
-const MAX_LOCAL_USE: f64 = 0.7;
+const MAX_LOCAL_LOAD: f64 = 0.7;
 
 /// Draw index for the choice of a data centre, distinct from those of the stages inside it.
 const DATA_CENTRE_DRAW: u64 = u64::MAX;
 
-/// Room that a full data centre counts with when one is drawn, for requests that may
-/// overload it.
-const MIN_ROOM: f64 = 0.02;
+/// Free capacity that a full data centre counts with when one is drawn, for requests that
+/// may overload it.
+const MIN_FREE_CAPACITY: f64 = 0.02;
 
 /// Priority of a request for the capacity that is left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,12 +45,12 @@
 }
 
 impl Claim {
-    /// Maximum use of an engine with this request, as a fraction of its capacity.
-    fn max_use(self) -> f64 {
+    /// Maximum load of an engine with this request, as a fraction of its capacity.
+    fn max_load(self) -> f64 {
         match self {
-            Claim::New => MAX_USE_NEW,
-            Claim::Late => MAX_USE_LATE,
-            Claim::Begun => MAX_USE_BEGUN,
+            Claim::New => MAX_LOAD_NEW,
+            Claim::Late => MAX_LOAD_LATE,
+            Claim::Begun => MAX_LOAD_BEGUN,
         }
     }
 }
@@ -71,7 +71,7 @@
     pub fn need(&self) -> Need {
         Need {
             tokens: self.tokens,
-            most: self.claim.max_use(),
+            most: self.claim.max_load(),
             draw: self.draw,
         }
     }
@@ -114,7 +114,7 @@
 pub enum NoChoice {
     /// There is no target, or no complete chain of engines.
     NoTarget,
-    /// Every path has an engine at its maximum use. Holds the least full of these engines.
+    /// Every path has an engine at its maximum load. Holds the least full of these engines.
     Full(Fullest),
     /// The available targets asked for a rest period or already get as many requests as
     /// they accept. Holds the time until enough of them accept requests again.
@@ -124,10 +124,10 @@
 /// Chooses a path for a request that needs this capacity, through targets in `avoid` only
 /// if there is no other path.
 ///
-/// Before a request is refused for lack of room, targets that recently gave bad answers are
-/// allowed too. Most of their answers may be complete. If such an engine is the only one
-/// with its layer range, excluding it would leave its data centre without a chain and waste
-/// all engines there.
+/// Before a request is refused for lack of capacity, targets that recently gave bad answers
+/// are allowed too. Most of their answers may be complete. If such an engine is the only
+/// one with its layer range, excluding it would leave its data centre without a chain and
+/// waste all engines there.
 ///
 /// # Errors
 ///
@@ -207,17 +207,17 @@
     instance.state != InstanceState::Draining && !book.notices.leaves(instance)
 }
 
-/// Picks the path in the router's own data centre if it has room to spare, otherwise one of
-/// all paths with a probability proportional to the square of its room. If all routers
-/// picked the emptiest data centre, its load would rise before their load reports were
-/// updated.
+/// Picks the path in the router's own data centre if it has capacity to spare, otherwise
+/// one of all paths with a probability proportional to the square of its free capacity. If
+/// all routers picked the emptiest data centre, its load would rise before their load
+/// reports were updated.
 fn draw_data_centre(mut found: Vec<EnginePath>, own: &DataCentre, draw: u64) -> Option<EnginePath> {
-    let local = |p: &EnginePath| p.data_centre == *own && p.fullest.used < MAX_LOCAL_USE;
+    let local = |p: &EnginePath| p.data_centre == *own && p.fullest.used < MAX_LOCAL_LOAD;
     let drawn = match found.iter().position(local) {
         Some(local) => local,
         None => {
-            let room = |p: &EnginePath| (1.0 - p.fullest.used).max(MIN_ROOM).powi(2);
-            Draws::new(draw, DATA_CENTRE_DRAW).in_proportion(found.iter().map(room))?
+            let weight = |p: &EnginePath| (1.0 - p.fullest.used).max(MIN_FREE_CAPACITY).powi(2);
+            Draws::new(draw, DATA_CENTRE_DRAW).in_proportion(found.iter().map(weight))?
         }
     };
     Some(found.swap_remove(drawn))
@@ -251,9 +251,9 @@
     let start = (draw * usable.len() as f64) as usize;
     let rotated = usable.iter().cycle().skip(start).take(usable.len());
     let cost = |i: &Instance| {
-        let is_unreliable = i.state == InstanceState::Silent || book.avoids(now, i.address);
+        let is_unconfirmed = i.state == InstanceState::Silent || book.avoids(now, i.address);
         let load = book.in_flight(i.address) * 1_000 / i.slots.max(1);
-        (is_unreliable, load, i.data_centre != *own)
+        (is_unconfirmed, load, i.data_centre != *own)
     };
     let best = rotated.min_by_key(|i| cost(i)).ok_or(NoChoice::NoTarget)?;
     Ok(Choice {
--- a/crates/deckwind-core/src/routes/cut_runs.rs
+++ b/crates/deckwind-core/src/routes/cut_runs.rs
@@ -1,15 +1,16 @@
-//! Counts, at one router, the contents of requests under which targets ended.
+//! Counts, at one router, the target crashes for each request content. Requests on which
+//! targets crash are called poison requests and are quarantined.
 //!
 //! An interrupted run by itself is weak evidence: the connection may have broken or the
-//! caller left. It counts against its content if the target incarnation that ran it is
-//! known to have ended and the run had only just begun. A content that ends its targets
-//! does so as they begin to run it (40 to 115 ms after); streams that ran for longer were
+//! caller left. It counts against its request content if the target incarnation that ran it
+//! is known to have crashed and the run had only just begun. A poison request crashes its
+//! targets as they begin to run it (40 to 115 ms after); streams that ran for longer were
 //! only there by chance.
 //!
 //! ```text
-//!  cut, just begun ──► waits ── incarnation ended ──► an end under this content ──► leader
-//!  cut, ran for long ─┐
-//!  answered in full ──┴─► served: earlier ends are forgotten ─────────────────────► leader
+//!  interrupted, just begun ──► waits ── incarnation crashed ──► a crash is counted ──► leader
+//!  interrupted, ran for long ─┐
+//!  answered in full ──────────┴─► served: earlier crashes are forgotten ─────────────► leader
 //! ```
 
 use crate::control::{DEFAULT_PERIOD, SILENT_PERIODS};
@@ -21,36 +22,38 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A run that continues for this long after its first event is not what ended its target.
-/// This is four times as long as such requests take to end one. If all streams that an end
-/// breaks off were counted, streams that are moved together would be quarantined by chance.
+/// A run that continues for this long after its first event is not what crashed its target.
+/// This is four times as long as poison requests take to crash one. If all streams that a
+/// crash breaks off were counted, streams that are moved together would be quarantined by
+/// chance.
 pub const JUST_BEGUN: Duration = Duration::from_millis(500);
 
-/// Time for which an interrupted run waits for the end of its incarnation to be known, in
+/// Time for which an interrupted run waits for the crash of its incarnation to be known, in
 /// announcement periods plus a fixed time. A silent target counts as such after some of its
 /// periods; that is then agreed on and sent to the routers.
 const WAIT_PERIODS: u32 = SILENT_PERIODS;
 const WAIT_MARGIN: Duration = Duration::from_millis(2_400);
 
-/// Time for which a content that was served completely is exempt from counting at this
-/// router. Targets that end together, for instance with their data centre, must not
-/// quarantine a content that many callers request at the same time.
+/// Time for which a request content that was served completely is exempt from counting at
+/// this router. Targets that crash together, for instance with their data centre, must not
+/// quarantine one that many callers request at the same time.
 const SERVED_EXEMPTION: Duration = Duration::from_secs(10);
 
-/// Time for which an end counts that is not agreed, as in the agreed state.
-const OWN_ENDS_TTL: Duration = Duration::from_secs(10 * 60);
+/// Time for which a crash counts that is not agreed, as in the agreed state.
+const OWN_CRASHES_TTL: Duration = Duration::from_secs(10 * 60);
 
-/// Time for which two or more ends count that are missing from the agreed list. A router
-/// that could not reach the leader for this long has no lease, so a missing content was
-/// served at other routers.
+/// Time for which two or more crashes count that are missing from the agreed list. A router
+/// that could not reach the leader for this long has no lease, so a missing request content
+/// was served at other routers.
 const AGREEMENT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Maximum number of waiting runs, ended incarnations, contents with ends, and unreported
-/// changes, each. More than a router has streams. The oldest entry of a queue is dropped.
+/// Maximum number of waiting runs, ended incarnations, request contents with crashes, and
+/// unreported changes, each. More than a router has streams. The oldest entry of a queue is
+/// dropped.
 const MAX_ENTRIES: usize = 1_024;
 
-/// Maximum number of recently served contents: ten seconds of nine times a router's load at
-/// 30,000 requests a second over 350 routers.
+/// Maximum number of recently served request contents: ten seconds of nine times a router's
+/// load at 30,000 requests a second over 350 routers.
 const MAX_SERVED: usize = 8_192;
 
 #[derive(Clone, Debug)]
@@ -62,25 +65,26 @@
     until: Instant,
 }
 
-/// Ends under one content that this router observed.
+/// Crashes for one request content that this router observed.
 #[derive(Clone, Debug)]
-struct OwnEnds {
+struct OwnCrashes {
     lives: Vec<Life>,
-    /// Number of ends known when the last one was recorded, including those seen by other
-    /// routers.
-    known_ends: usize,
-    last_end: Instant,
+    /// Number of crashes known when the last one was recorded, including those seen by
+    /// other routers.
+    known_crashes: usize,
+    last_crash: Instant,
 }
 
-/// Contents and target ends known to one router.
+/// Request contents and target crashes known to one router.
 #[derive(Clone, Debug)]
 pub struct CutRuns {
     pending_timeout: Duration,
     pending: VecDeque<PendingRun>,
-    /// Recently ended incarnations. A run may be noticed as cut after its target ended.
-    ended_lives: VecDeque<(Life, Instant)>,
-    /// Ends that this router observed and that are not agreed.
-    own_ends: HashMap<ContentDigest, OwnEnds>,
+    /// Recently ended incarnations. A run may be noticed as interrupted after its target
+    /// crashed.
+    ended_incarnations: VecDeque<(Life, Instant)>,
+    /// Crashes that this router observed and that are not agreed.
+    own_crashes: HashMap<ContentDigest, OwnCrashes>,
     served: HashMap<ContentDigest, Instant>,
     /// The agreed list of suspects.
     agreed: Arc<SuspectList>,
@@ -107,8 +111,8 @@
         Self {
             pending_timeout: period * WAIT_PERIODS + WAIT_MARGIN,
             pending: VecDeque::new(),
-            ended_lives: VecDeque::new(),
-            own_ends: HashMap::new(),
+            ended_incarnations: VecDeque::new(),
+            own_crashes: HashMap::new(),
             served: HashMap::new(),
             agreed: Arc::default(),
             unreported: VecDeque::new(),
@@ -116,7 +120,7 @@
     }
 
     /// Records an interrupted run. `ran` is the time since its first event, if there was
-    /// one. Returns whether the run may have ended its target.
+    /// one. Returns whether the run may have crashed its target.
     pub fn cut(
         &mut self,
         now: Instant,
@@ -131,9 +135,13 @@
         if self.is_exempt(now, &content) {
             return false;
         }
-        if self.ended_lives.iter().any(|(ended, _)| ended == life) {
-            // Another router may have seen the same end, and it may already be agreed.
-            self.record_end(now, content, life.clone(), ran.is_some(), 0);
+        if self
+            .ended_incarnations
+            .iter()
+            .any(|(ended, _)| ended == life)
+        {
+            // Another router may have seen the same crash, and it may already be agreed.
+            self.record_crash(now, content, life.clone(), ran.is_some(), 0);
         } else {
             let until = now + self.pending_timeout;
             let life = life.clone();
@@ -150,7 +158,7 @@
         true
     }
 
-    /// Records that a target has run the content and is still there.
+    /// Records that a target has run the request content and is still there.
     pub fn served(&mut self, now: Instant, content: ContentDigest) {
         if self.served.len() >= MAX_SERVED {
             self.served
@@ -160,13 +168,13 @@
             self.served.insert(content, now);
         }
         self.pending.retain(|w| w.content != content);
-        let had_ends = self.own_ends.remove(&content).is_some();
-        if had_ends || self.agreed.ends(&content) > 0 {
+        let had_crashes = self.own_crashes.remove(&content).is_some();
+        if had_crashes || self.agreed.ends(&content) > 0 {
             push_bounded(&mut self.unreported, SuspectChange::Served(content));
         }
     }
 
-    /// Records incarnations that ended unplanned. Returns the contents that were running
+    /// Records incarnations that crashed. Returns the request contents that were running
     /// there, with the incarnation.
     pub fn lives_over(&mut self, now: Instant, lives: Vec<Life>) -> Vec<(ContentDigest, Life)> {
         self.remove_expired(now);
@@ -175,19 +183,19 @@
             pending.into_iter().partition(|w| lives.contains(&w.life));
         self.pending = rest.into();
         for life in lives {
-            push_bounded(&mut self.ended_lives, (life, now));
+            push_bounded(&mut self.ended_incarnations, (life, now));
         }
         for w in &cut {
             let before = self.agreed.ends(&w.content);
-            self.record_end(now, w.content, w.life.clone(), w.begun, before);
+            self.record_crash(now, w.content, w.life.clone(), w.begun, before);
         }
         cut.into_iter().map(|w| (w.content, w.life)).collect()
     }
 
-    /// Records the end of an incarnation under a content. `begun` says whether an event had
-    /// come from there; `before` is the number of agreed ends that are certainly different
-    /// from this one.
-    fn record_end(
+    /// Records the crash of an incarnation for a request content. `begun` says whether an
+    /// event had come from there; `before` is the number of agreed crashes that are
+    /// certainly different from this one.
+    fn record_crash(
         &mut self,
         now: Instant,
         content: ContentDigest,
@@ -195,29 +203,32 @@
         begun: bool,
         before: usize,
     ) {
-        if self.own_ends.len() >= MAX_ENTRIES {
-            self.own_ends
-                .retain(|_, own| now.since(own.last_end) < OWN_ENDS_TTL);
+        if self.own_crashes.len() >= MAX_ENTRIES {
+            self.own_crashes
+                .retain(|_, own| now.since(own.last_crash) < OWN_CRASHES_TTL);
         }
-        if self.own_ends.len() >= MAX_ENTRIES && !self.own_ends.contains_key(&content) {
+        if self.own_crashes.len() >= MAX_ENTRIES && !self.own_crashes.contains_key(&content) {
             return;
         }
-        if self.counted_own_ends(now, &content) == 0 {
-            self.own_ends.remove(&content);
+        if self.counted_own_crashes(now, &content) == 0 {
+            self.own_crashes.remove(&content);
         }
-        let own = self.own_ends.entry(content).or_insert_with(|| OwnEnds {
-            lives: Vec::new(),
-            known_ends: 0,
-            last_end: now,
-        });
-        own.last_end = now;
+        let own = self
+            .own_crashes
+            .entry(content)
+            .or_insert_with(|| OwnCrashes {
+                lives: Vec::new(),
+                known_crashes: 0,
+                last_crash: now,
+            });
+        own.last_crash = now;
         if own.lives.contains(&life) || own.lives.len() >= MOST_ENDS {
             return;
         }
         own.lives.push(life.clone());
-        // Counted on top of the agreed ends, which can't include this one yet: from the
-        // third end on, the router that saw it sends the content to no target.
-        own.known_ends = own.known_ends.max(before) + 1;
+        // Counted on top of the agreed crashes, which can't include this one yet: from the
+        // third crash on, the router that saw it sends the request content to no target.
+        own.known_crashes = own.known_crashes.max(before) + 1;
         let end = SuspectChange::Ended {
             content,
             life,
@@ -226,12 +237,12 @@
         push_bounded(&mut self.unreported, end);
     }
 
-    /// Replaces the agreed list and returns the previous one. Ends that this router
-    /// observed are forgotten once the content is quarantined, and when the agreed count
-    /// falls, since they end with the agreed state.
+    /// Replaces the agreed list and returns the previous one. Crashes that this router
+    /// observed are forgotten once the request content is quarantined, and when the agreed
+    /// count falls, since they expire with the agreed state.
     pub fn agreed(&mut self, now: Instant, list: Arc<SuspectList>) -> Arc<SuspectList> {
         let before = std::mem::replace(&mut self.agreed, list.clone());
-        self.own_ends.retain(|content, _| {
+        self.own_crashes.retain(|content, _| {
             let agreed = list.ends(content);
             let no_longer = agreed < before.ends(content);
             !no_longer && agreed < ENDS_TO_QUARANTINE
@@ -240,9 +251,9 @@
         before
     }
 
-    /// Reports contents that this router recently served as served, so that the other
-    /// routers exempt them too. A router that has just started has served nothing and would
-    /// quarantine a popular content after three unrelated ends.
+    /// Reports request contents that this router recently served as served, so that the
+    /// other routers exempt them too. A router that has just started has served nothing and
+    /// would quarantine a popular one after three unrelated crashes.
     fn report_exempt(&mut self, now: Instant, before: &SuspectList) {
         let increased = |c: &&ContentDigest| self.agreed.ends(c) > before.ends(c);
         let increased = self.agreed.contents().filter(increased);
@@ -253,26 +264,26 @@
         }
     }
 
-    /// The number of ends that count by this router's own observations.
-    fn counted_own_ends(&self, now: Instant, content: &ContentDigest) -> usize {
-        let Some(own) = self.own_ends.get(content) else {
+    /// The number of crashes that count by this router's own observations.
+    fn counted_own_crashes(&self, now: Instant, content: &ContentDigest) -> usize {
+        let Some(own) = self.own_crashes.get(content) else {
             return 0;
         };
-        let age = now.since(own.last_end);
+        let age = now.since(own.last_crash);
         let cleared =
-            own.known_ends > 1 && self.agreed.ends(content) == 0 && age >= AGREEMENT_TIMEOUT;
-        match age >= OWN_ENDS_TTL || cleared {
+            own.known_crashes > 1 && self.agreed.ends(content) == 0 && age >= AGREEMENT_TIMEOUT;
+        match age >= OWN_CRASHES_TTL || cleared {
             true => 0,
-            false => own.known_ends,
+            false => own.known_crashes,
         }
     }
 
     /// Whether a request with this content may be sent to a target. Interrupted runs whose
-    /// targets may have ended count until the outcome is known.
+    /// targets may have crashed count until the outcome is known.
     pub fn may_send(&mut self, now: Instant, content: &ContentDigest) -> bool {
         self.remove_expired(now);
         let known = self
-            .counted_own_ends(now, content)
+            .counted_own_crashes(now, content)
             .max(self.agreed.ends(content));
         if known >= ENDS_TO_QUARANTINE {
             return false;
@@ -314,8 +325,12 @@
         }
         let pending_timeout = self.pending_timeout;
         let old = |at: &Instant| now.since(*at) >= pending_timeout;
-        while self.ended_lives.front().is_some_and(|(_, at)| old(at)) {
-            self.ended_lives.pop_front();
+        while self
+            .ended_incarnations
+            .front()
+            .is_some_and(|(_, at)| old(at))
+        {
+            self.ended_incarnations.pop_front();
         }
     }
 }
--- a/crates/deckwind-core/src/routes/leased_retries.rs
+++ b/crates/deckwind-core/src/routes/granted_retries.rs
@@ -1,12 +1,13 @@
-//! Retries that the leader has leased to this router.
+//! Retries that the leader has granted to this router.
 //!
-//! The router may use leased retries for one lease time after it sent the request for them,
-//! measured by its own monotonic clock. Each answer that names the allowance renews that
-//! time. The router reports what it has used and what it returns, both counted from the
-//! start of the allowance, and never uses what it has returned.
+//! The router may use granted retries for one lease time after it sent the request for
+//! them, measured by its own monotonic clock. Each answer that names the retry allowance
+//! renews that time. The router reports what it has used and what it returns, both counted
+//! from the start of the allowance, and never uses what it has returned.
 //!
-//! An allowance is remembered for the life of the process, and a router never goes back to
-//! an older one: otherwise a late answer could restore an allowance that was already spent.
+//! A retry allowance is remembered for the life of the process, and a router never goes
+//! back to an older one: otherwise a late answer could restore an allowance that was
+//! already spent.
 
 use super::choice::Claim;
 use crate::control::{PoolReport, RepeatGrant};
@@ -26,7 +27,7 @@
 const MIN_FREE_PERCENT_NEW: u64 = 40;
 const MIN_FREE_PERCENT_LATE: u64 = 60;
 
-/// Maximum number of recent retry requests remembered per pool. A router is never leased
+/// Maximum number of recent retry requests remembered per pool. A router is never granted
 /// more retries than this.
 const MAX_REQUESTS: usize = 1_000;
 
@@ -42,9 +43,9 @@
     left > 0 && free_percent >= min_free
 }
 
-/// Leased retries of one pool.
+/// Granted retries of one pool.
 #[derive(Clone, Debug, Default)]
-pub struct LeasedRetries {
+pub struct GrantedRetries {
     allowance: Option<AllowanceId>,
     issued: u64,
     spent: u64,
@@ -60,7 +61,7 @@
     requests: VecDeque<(Instant, u64)>,
 }
 
-impl LeasedRetries {
+impl GrantedRetries {
     /// The number of retries that may be used now.
     pub fn left(&self, now: Instant) -> u64 {
         match now < self.valid_until {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Whether the leader has ever granted an allowance.
+    /// Whether the leader has ever granted a retry allowance.
     pub fn has_allowance(&self) -> bool {
         self.allowance.is_some()
     }
--- a/crates/deckwind-core/src/routes/index.rs
+++ b/crates/deckwind-core/src/routes/index.rs
@@ -94,8 +94,8 @@
         rights.map(Some).ok_or(UnknownKey)
     }
 
-    /// Picks the pool for a request by the weights of the route. `draw` is a random number in
-    /// 0..1.
+    /// Picks the pool for a request by the weights of the route. `draw` is a random number
+    /// in 0..1.
     pub fn pool(&self, route: &Route, draw: f64) -> Option<&Pool> {
         let total: f64 = route.split.iter().map(|s| s.weight).sum();
         let mut remaining = draw * total;
@@ -178,9 +178,8 @@
         before.iter().filter_map(ended).collect()
     }
 
-    /// Returns the incarnations that were ready in `before` and ended unplanned: they fell
-    /// silent, or another one has the address. A target that is merely missing has left as
-    /// planned.
+    /// Returns the incarnations that were ready in `before` and crashed: they fell silent,
+    /// or another one has the address. A target that is merely missing has left as planned.
     pub fn lives_cut(&self, before: &InstanceIndex) -> Vec<Life> {
         let current: HashMap<SocketAddr, &Instance> = self.iter().map(|i| (i.address, i)).collect();
         let cut = |old: &&Instance| match current.get(&old.address) {
--- a/crates/deckwind-core/src/routes/limits.rs
+++ b/crates/deckwind-core/src/routes/limits.rs
@@ -192,7 +192,7 @@
     }
 
     /// Applies the answer of the leader of `term` to the report made at `asked`. The
-    /// leader's list is authoritative for everything it has been told. If the leader has
+    /// leader's list is authoritative for everything reported to it. If the leader has
     /// changed, the next report includes all limits again. Returns the limits that have
     /// begun or ended.
     pub fn told(
--- a/crates/deckwind-core/src/routes/notices.rs
+++ b/crates/deckwind-core/src/routes/notices.rs
@@ -18,7 +18,7 @@
 
 /// Incarnations kept per address. The last notice of one that has ended may arrive after
 /// the first of the next one.
-const MAX_LIVES_PER_ADDRESS: usize = 2;
+const MAX_INCARNATIONS_PER_ADDRESS: usize = 2;
 
 /// Time for which a shutdown notice of an unknown target is kept: ten times as long as
 /// targets keep serving after sending it. Notices of known targets are never dropped.
@@ -94,7 +94,7 @@
         }
         let lives = self.by_address.entry(address).or_default();
         if !lives.iter().any(|s| s.life == *life) {
-            lives.truncate(MAX_LIVES_PER_ADDRESS - 1);
+            lives.truncate(MAX_INCARNATIONS_PER_ADDRESS - 1);
             let stored = StoredNotice {
                 life: life.clone(),
                 rests_until: Instant::ZERO,
--- a/crates/deckwind-core/src/routes/retry_after.rs
+++ b/crates/deckwind-core/src/routes/retry_after.rs
@@ -16,7 +16,7 @@
 pub enum Refusal {
     /// The router has no lease.
     NoLease,
-    /// The router is stopping or cut off. Other routers can serve the request.
+    /// The router is stopping or partitioned. Other routers can serve the request.
     OtherRouter,
     /// The router has no retry budget left. Other routers have budgets of their own.
     NoRepeat,
@@ -28,7 +28,7 @@
     Full,
     /// All targets are in a rest period. Holds the time until the first one ends.
     Resting(Duration),
-    /// The content is quarantined because targets have ended while running it.
+    /// The request content is quarantined because targets have crashed while running it.
     Quarantined,
 }
 
@@ -50,7 +50,7 @@
                 let remaining = remaining.as_secs_f64() * 1e3;
                 (remaining, remaining + REST_SPREAD_MS)
             }
-            // No router serves the content sooner, see `state::quarantine`.
+            // No router serves the request content sooner, see `state::quarantine`.
             Refusal::Quarantined => (QUARANTINED_FOR_MS as f64, QUARANTINED_FOR_MS as f64 * 1.1),
         }
     }
--- a/crates/deckwind-core/src/routes/retry_budget.rs
+++ b/crates/deckwind-core/src/routes/retry_budget.rs
@@ -2,7 +2,7 @@
 //!
 //! Within any window all routers together may send at most a share of the requests again,
 //! plus a fixed number. Each router applies the share to its own requests. The fixed number
-//! is leased out by the leader (see [`LeasedRetries`]), so that the total also keeps within
+//! is granted by the leader (see [`GrantedRetries`]), so that the total also keeps within
 //! the bound.
 //!
 //! Requests that are new to a router, because their callers used another router before or
@@ -11,7 +11,7 @@
 //! have been used.
 
 use super::choice::Claim;
-use super::leased_retries::LeasedRetries;
+use super::granted_retries::GrantedRetries;
 use crate::control::{RepeatGrant, RepeatReport};
 use crate::time::Instant;
 use std::collections::{HashMap, VecDeque};
@@ -45,8 +45,8 @@
 /// callers may have come from other routers.
 const INCREASE_FRACTION: f64 = 0.5;
 
-/// The same fraction in the first two windows after the process has started, when all
-/// callers may have come from other routers.
+/// The same fraction in the first two windows after the process has started, since all
+/// routers may have started together.
 const STARTUP_FRACTION: f64 = 0.25;
 
 /// Start of a router process.
@@ -63,7 +63,7 @@
 struct Bucket {
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// Source from which a retry was paid.
@@ -71,7 +71,7 @@
 pub enum Paid {
     /// The share of this router's own requests.
     Share,
-    /// Retries leased by the leader.
+    /// Retries granted by the leader.
     Leased,
 }
 
@@ -81,7 +81,7 @@
     limits: RepeatLimits,
     started: Started,
     buckets: VecDeque<Bucket>,
-    leased: LeasedRetries,
+    leased: GrantedRetries,
 }
 
 impl PoolRetryBudget {
@@ -91,7 +91,7 @@
             limits,
             started,
             buckets: VecDeque::new(),
-            leased: LeasedRetries::default(),
+            leased: GrantedRetries::default(),
         }
     }
 
@@ -113,12 +113,12 @@
 
     fn spend_share(&mut self, now: Instant) -> bool {
         self.current_bucket(now);
-        let (_, repeats) = self.counts(now);
-        let max_repeats = BOUND_FRACTION * self.limits.share * self.earning_requests(now);
-        if f64::from(repeats + 1) > max_repeats {
+        let (_, retries) = self.counts(now);
+        let max_retries = BOUND_FRACTION * self.limits.share * self.earning_requests(now);
+        if f64::from(retries + 1) > max_retries {
             return false;
         }
-        self.current_bucket(now).repeats += 1;
+        self.current_bucket(now).retries += 1;
         true
     }
 
@@ -127,8 +127,8 @@
         let oldest = self.oldest_bucket_of_window(now);
         let within = || self.buckets.iter().filter(|s| s.number >= oldest);
         let requests = within().map(|s| s.requests);
-        let repeats = within().map(|s| s.repeats);
-        (requests.sum(), repeats.sum())
+        let retries = within().map(|s| s.retries);
+        (requests.sum(), retries.sum())
     }
 
     /// Requests that earn the share. New requests count for less.
@@ -172,8 +172,8 @@
         now.as_micros() / length
     }
 
-    /// Retries leased by the leader.
-    pub fn leased(&mut self) -> &mut LeasedRetries {
+    /// Retries granted by the leader.
+    pub fn leased(&mut self) -> &mut GrantedRetries {
         &mut self.leased
     }
 
@@ -223,10 +223,12 @@
             let fresh = PoolRetryBudget::new(self.limits, self.started);
             self.by_pool.insert(pool.to_string(), fresh);
         }
-        self.by_pool.get_mut(pool).expect("the budget was inserted above")
+        self.by_pool
+            .get_mut(pool)
+            .expect("the budget was inserted above")
     }
 
-    /// Clears the requests of pools that `keep` rejects. Leased retries are remembered,
+    /// Clears the requests of pools that `keep` rejects. Granted retries are remembered,
     /// since a late answer must not grant them again.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.by_pool
@@ -270,7 +272,7 @@
         more
     }
 
-    /// Whether some pool needs more leased retries soon.
+    /// Whether some pool needs more granted retries soon.
     pub fn runs_short(&self, now: Instant) -> bool {
         let mut budgets = self.by_pool.values();
         self.limits.beyond > 0.0 && budgets.any(|b| b.leased.runs_short(now))
--- a/crates/deckwind-core/src/routes/silence/explain.rs
+++ b/crates/deckwind-core/src/routes/silence/explain.rs
@@ -82,8 +82,8 @@
     same.map(|(engine, _)| engine).collect()
 }
 
-/// Whether `covered` stalled streams through one engine are unlikely to be a coincidence, given
-/// the numbers of other streams that stalled and that are active.
+/// Whether `covered` stalled streams through one engine are unlikely to be a coincidence,
+/// given the numbers of other streams that stalled and that are active.
 fn is_significant(covered: usize, others: usize, active: usize) -> bool {
     let base_rate = (others as f64 + 0.5) / ((others + active) as f64 + 1.0);
     covered >= MIN_STREAMS && base_rate.powi(covered as i32) < MAX_COINCIDENCE
