--- a/crates/deckwind-core/src/lib.rs
+++ b/crates/deckwind-core/src/lib.rs
@@ -1,11 +1,11 @@
-//! Decisions and state machines of deckwind.
+//! Decision logic and state machines of deckwind.
 //!
-//! For: embedding. Everything here takes events, the time and seeds as
-//! arguments, and returns actions or decisions, so that each fault is a row
-//! of a table and each run repeats.
+//! The code in this crate takes events, the current time and random seeds as
+//! arguments and returns actions or decisions. Faults can therefore be tested as
+//! rows of a table, and every run is reproducible.
 //!
-//! Not for: sockets, files, threads, clocks or global random numbers. Those
-//! stand round this crate, in `deckwind-store`, `deckwind-net` and `deckwindd`.
+//! The crate uses no sockets, files, threads, clocks or global random numbers.
+//! `deckwind-store`, `deckwind-net` and `deckwindd` provide them.
 //!
 //! ```text
 //!  control VM                              router VM
--- a/crates/deckwind-core/src/membership/lease_table.rs
+++ b/crates/deckwind-core/src/membership/lease_table.rs
@@ -1,16 +1,16 @@
-//! The leader's side of the leases.
+//! Router leases on the leader's side.
 
 use crate::state::{Holder, Revision, VmName};
 use crate::time::Instant;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Length of a lease and bound on the clocks' drift.
+/// Duration of a lease and bound on the clock drift.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseTiming {
-    /// How long a router may act after it asked.
+    /// Time for which a router may act on a lease, counted from its request.
     pub ttl: Duration,
-    /// Bound on how much faster one clock runs than another, parts in 1,000.
+    /// Upper bound on how much faster one clock runs than another, in parts per 1,000.
     pub drift_per_mille: u32,
 }
 
@@ -24,86 +24,87 @@
 }
 
 impl LeaseTiming {
-    /// How long the leader counts a lease as live after it answered.
+    /// Returns the time for which the leader counts a lease as live after it answered.
     pub fn with_drift(&self) -> Duration {
         self.ttl * (1_000 + self.drift_per_mille) / 1_000
     }
 }
 
-/// A lease as the leader knows it.
+/// Lease of a router, as known to the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouterLease {
-    /// Boot of the router's process.
+    /// Boot number of the router process.
     pub boot: u64,
-    /// Revision that it has applied.
+    /// Revision that the router has applied.
     pub applied: Revision,
-    /// When it has certainly run out.
+    /// Time at which the lease has expired even with the largest clock drift.
     pub until: Instant,
 }
 
-/// Whether a revision is in force everywhere.
+/// Whether a revision is in force on every router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum InForce {
-    /// No router acts on an older one.
+    /// No router acts on an older revision.
     Yes,
-    /// These routers may still act on an older one.
+    /// These routers may still act on an older revision.
     Lagging(Vec<VmName>),
-    /// The leader is new: leases that it doesn't know may still be live.
+    /// Until this time leases may be live that a previous leader granted and this
+    /// leader does not know.
     UnknownUntil(Instant),
 }
 
-/// All leases that a leader has granted in its term.
+/// Leases that a leader has granted in its term.
 #[derive(Clone, Debug)]
 pub struct LeaseTable {
     timing: LeaseTiming,
-    since: Instant,
+    elected_at: Instant,
     routers: BTreeMap<VmName, RouterLease>,
-    /// How many routers have applied each revision.
-    applied: BTreeMap<Revision, usize>,
-    /// No lease runs out before.
-    none_over_before: Instant,
-    /// Leases that were looked at in vain or not, for metrics.
-    looks: u64,
+    /// Number of routers by the revision that they have applied.
+    routers_by_revision: BTreeMap<Revision, usize>,
+    /// Lower bound of the time at which the next lease expires.
+    earliest_expiry: Instant,
+    /// Number of leases scanned for expiry so far, for metrics.
+    rows_scanned: u64,
 }
 
 impl LeaseTable {
-    /// An empty table of a leader that began at `since`.
-    pub fn new(timing: LeaseTiming, since: Instant) -> Self {
+    /// Creates an empty table for a leader that was elected at `elected_at`.
+    pub fn new(timing: LeaseTiming, elected_at: Instant) -> Self {
         Self {
             timing,
-            since,
+            elected_at,
             routers: BTreeMap::new(),
-            applied: BTreeMap::new(),
-            none_over_before: since,
-            looks: 0,
+            routers_by_revision: BTreeMap::new(),
+            earliest_expiry: elected_at,
+            rows_scanned: 0,
         }
     }
 
-    /// Records that a router asked, and grants it a lease.
+    /// Grants or renews the lease of a router process.
     ///
-    /// Answers with the process that the same VM had before, if it was another
-    /// one: it is gone, and so are the requests that it had claimed.
+    /// Returns the previous process of the same VM if the table held a lease of another
+    /// one. That process has ended, and so have the requests that it had claimed.
     pub fn renew(&mut self, now: Instant, holder: &Holder, applied: Revision) -> Option<Holder> {
         let lease = RouterLease {
             boot: holder.boot,
             applied,
             until: now + self.timing.with_drift(),
         };
-        self.none_over_before = match self.routers.is_empty() {
+        self.earliest_expiry = match self.routers.is_empty() {
             true => lease.until,
-            false => self.none_over_before.min(lease.until),
+            false => self.earliest_expiry.min(lease.until),
         };
-        *self.applied.entry(applied).or_default() += 1;
-        let before = self.routers.insert(holder.vm.clone(), lease)?;
-        self.no_longer_at(before.applied);
-        let replaced = before.boot != holder.boot;
-        replaced.then(|| Holder {
+        *self.routers_by_revision.entry(applied).or_default() += 1;
+        let previous = self.routers.insert(holder.vm.clone(), lease)?;
+        self.decrement_revision(previous.applied);
+        let is_replaced = previous.boot != holder.boot;
+        is_replaced.then(|| Holder {
             vm: holder.vm.clone(),
-            boot: before.boot,
+            boot: previous.boot,
         })
     }
 
-    /// Forgets a router that said it has stopped.
+    /// Removes the lease of a router process that has announced its stop.
     pub fn release(&mut self, holder: &Holder) {
         if self
             .routers
@@ -116,28 +117,28 @@
 
     fn remove(&mut self, vm: &VmName) {
         if let Some(lease) = self.routers.remove(vm) {
-            self.no_longer_at(lease.applied);
+            self.decrement_revision(lease.applied);
         }
     }
 
-    /// One router less has applied this last.
-    fn no_longer_at(&mut self, applied: Revision) {
-        if let Some(count) = self.applied.get_mut(&applied) {
+    /// Decrements the number of routers that have applied a revision.
+    fn decrement_revision(&mut self, revision: Revision) {
+        if let Some(count) = self.routers_by_revision.get_mut(&revision) {
             *count -= 1;
             if *count == 0 {
-                self.applied.remove(&applied);
+                self.routers_by_revision.remove(&revision);
             }
         }
     }
 
-    /// Drops leases that have run out, and answers with their holders. Looks at all
-    /// of them only when one may have.
+    /// Removes expired leases and returns their holders. Scans the leases only if one
+    /// may have expired.
     pub fn expire(&mut self, now: Instant) -> Vec<Holder> {
-        if now < self.none_over_before || self.routers.is_empty() {
+        if now < self.earliest_expiry || self.routers.is_empty() {
             return Vec::new();
         }
-        self.looks += self.routers.len() as u64;
-        let gone: Vec<Holder> = self
+        self.rows_scanned += self.routers.len() as u64;
+        let expired: Vec<Holder> = self
             .routers
             .iter()
             .filter(|(_, l)| l.until <= now)
@@ -146,57 +147,61 @@
                 boot: l.boot,
             })
             .collect();
-        for holder in &gone {
+        for holder in &expired {
             self.remove(&holder.vm);
         }
         let first = self.routers.values().map(|l| l.until).min();
-        self.none_over_before = first.unwrap_or(now);
-        gone
+        self.earliest_expiry = first.unwrap_or(now);
+        expired
     }
 
-    /// Whether a router on this VM has a lease.
+    /// Returns whether a router process on this VM has a lease.
     pub fn knows(&self, vm: &VmName) -> bool {
         self.routers.contains_key(vm)
     }
 
-    /// How many routers have a lease.
+    /// Returns the number of leases.
     pub fn len(&self) -> usize {
         self.routers.len()
     }
 
-    /// Whether no router has one.
+    /// Returns whether there are no leases.
     pub fn is_empty(&self) -> bool {
         self.routers.is_empty()
     }
 
-    /// Whether the leases of the leader before have run out.
+    /// Returns whether all leases that a previous leader granted have expired, so that
+    /// this table holds all live leases.
     pub fn are_known(&self, now: Instant) -> bool {
-        now >= self.since + self.timing.with_drift()
+        now >= self.elected_at + self.timing.with_drift()
     }
 
-    /// The oldest revision that a router has applied last; nothing without routers.
+    /// Returns the oldest of the revisions that the routers have applied, or `None` if
+    /// there are no leases.
     pub fn oldest_applied(&self) -> Option<Revision> {
-        self.applied.first_key_value().map(|(r, _)| *r)
+        self.routers_by_revision.first_key_value().map(|(r, _)| *r)
     }
 
-    /// Leases that were looked at one by one so far.
+    /// Returns the number of leases scanned for expiry so far.
     pub fn looks(&self) -> u64 {
-        self.looks
+        self.rows_scanned
     }
 
-    /// Live leases.
+    /// Returns the leases by VM. An expired lease is included until
+    /// [`expire`](Self::expire) removes it.
     pub fn routers(&self) -> impl Iterator<Item = (&VmName, &RouterLease)> {
         self.routers.iter()
     }
 
-    /// The revision that is in force on every router. Nothing while leases that the
-    /// leader does not know may still be live; with no router at all, every revision.
+    /// Returns the latest revision that is in force on every router, or `None` while
+    /// leases of a previous leader may still be live. Returns [`Revision::MAX`] if there
+    /// are no routers.
     pub fn in_force_through(&self, now: Instant) -> Option<Revision> {
         if !self.are_known(now) {
             return None;
         }
-        if now < self.none_over_before {
-            let oldest = self.applied.first_key_value();
+        if now < self.earliest_expiry {
+            let oldest = self.routers_by_revision.first_key_value();
             return Some(oldest.map_or(Revision::MAX, |(revision, _)| *revision));
         }
         let live = self.routers.values().filter(|l| l.until > now);
@@ -204,10 +209,10 @@
         Some(oldest.unwrap_or(Revision::MAX))
     }
 
-    /// Whether `revision` is in force on every router, and if not, where it is
-    /// not.
+    /// Returns whether `revision` is in force on every router, and if not, which routers
+    /// lag behind.
     pub fn in_force(&self, now: Instant, revision: Revision) -> InForce {
-        let known_at = self.since + self.timing.with_drift();
+        let known_at = self.elected_at + self.timing.with_drift();
         let lagging: Vec<VmName> = self
             .routers
             .iter()
--- a/crates/deckwind-core/src/membership/mod.rs
+++ b/crates/deckwind-core/src/membership/mod.rs
@@ -1,16 +1,17 @@
-//! Who is in force: routers' leases on the configuration.
+//! Leases that routers hold on the configuration, and related views of the cluster.
 //!
 //! ```text
 //!  router ──Renew{applied}──► leader            accepted(R): committed
 //!         ◄─Grant{delta,ttl}─                   in force(R): every router with a live lease
-//!                                                            has applied R, or its lease ran out
+//!                                                            has applied R, or its lease expired
 //! ```
 //!
-//! A router counts its lease from the moment that it *asked*; the leader from
-//! the moment that it *answered*, plus clock drift. So the leader never thinks
-//! that a lease has ended while the router still acts on it (Gray and Cheriton,
-//! "Leases", SOSP 1989). A new leader does not know the leases of the one
-//! before it, and so counts nothing as in force until they have run out.
+//! A router counts its lease from the time at which it *sent* the request; the
+//! leader counts it from the time at which it *answered*, and adds the clock drift.
+//! Therefore no lease ends at the leader while the router still acts on it (Gray
+//! and Cheriton, "Leases", SOSP 1989). A new leader does not know the leases that
+//! the previous one granted, so it reports no revision as in force until they have
+//! expired.
 
 mod lease_table;
 mod platform;
--- a/crates/deckwind-core/src/membership/platform.rs
+++ b/crates/deckwind-core/src/membership/platform.rs
@@ -1,21 +1,21 @@
-//! The platform's lagging list of live and leaving VMs.
+//! The platform's list of live and leaving VMs, which may be outdated.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// What the platform says of a VM.
+/// Status of a VM as reported by the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PlatformStatus {
-    /// It runs.
+    /// The VM is running.
     Live,
-    /// It will stop soon.
+    /// The VM will stop soon.
     Leaving,
 }
 
-/// The latest list, by IP. The list lags: absence proves nothing, so only
-/// "leaving" is acted on.
+/// Latest list of VMs, by IP address. The list lags behind, so a missing VM may well
+/// be running; only the status "leaving" is acted on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PlatformView {
     sequence: u64,
@@ -23,7 +23,8 @@
 }
 
 impl PlatformView {
-    /// Takes a list, unless a later one came before it.
+    /// Replaces the list, unless its sequence number is lower than that of the current
+    /// one. Returns whether it was replaced.
     pub fn update(
         &mut self,
         sequence: u64,
@@ -37,7 +38,7 @@
         true
     }
 
-    /// Whether the VM at `ip` is leaving.
+    /// Returns whether the VM at `ip` is leaving.
     pub fn is_leaving(&self, ip: IpAddr) -> bool {
         self.vms.get(&ip) == Some(&PlatformStatus::Leaving)
     }
--- a/crates/deckwind-core/src/membership/replica_choice.rs
+++ b/crates/deckwind-core/src/membership/replica_choice.rs
@@ -1,9 +1,9 @@
-//! Which control replica a router asks.
+//! Choice of the control replica that a router sends its requests to.
 //!
-//! Any replica takes requests and passes them on to the leader, so a router stays
-//! with one of them: the first of an order that its own name gives. All routers
-//! together so spread evenly over the replicas, and a change of leader moves none
-//! of them (rendezvous hashing: Thaler and Ravishankar, IEEE/ACM ToN 1998).
+//! Every replica accepts requests and forwards them to the leader, so a router stays
+//! with one replica: the first in an order derived from a hash of the router's name.
+//! This spreads the routers evenly over the replicas, and a change of leader moves
+//! no router (rendezvous hashing: Thaler and Ravishankar, IEEE/ACM ToN 1998).
 
 use crate::state::VmName;
 use crate::time::Instant;
@@ -11,53 +11,55 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-/// How long a replica is not asked that gave no answer, or knew no leader, unless all are
-/// like that: it may be cut off for a while, and each question there is a lost half second.
-const AVOIDED_FOR: Duration = Duration::from_secs(10);
+/// Time for which a replica is avoided after it gave no answer or knew no leader, unless
+/// all replicas are avoided. It may be partitioned for a while, and each request to it
+/// costs half a second.
+const FAILURE_BACKOFF: Duration = Duration::from_secs(10);
 
-/// The same where it was only slow to answer what is not held.
-const SLOW_FOR: Duration = Duration::from_secs(1);
+/// Time for which a replica is avoided after it missed the shorter timeout of requests
+/// that the leader answers at once, unlike lease renewals, which it holds back.
+const SLOW_BACKOFF: Duration = Duration::from_secs(1);
 
-/// A router's choice among the control replicas.
+/// Chooses among the control replicas on behalf of a router.
 #[derive(Clone, Debug)]
 pub struct ReplicaChoice {
     vm: VmName,
-    /// From the settings.
+    /// Slots from the settings.
     seeds: Vec<u32>,
-    /// As the leader told; empty before it did.
+    /// Slots of the members as reported by the leader; empty before the first report.
     members: Vec<u32>,
-    /// Until when each is not asked.
-    avoided: BTreeMap<u32, Instant>,
-    /// Who leads, where another replica has just said so: asked once.
-    named: Option<u32>,
+    /// Time until which each replica is avoided.
+    avoided_until: BTreeMap<u32, Instant>,
+    /// Leader that another replica has just named; used for the next request only.
+    redirect: Option<u32>,
 }
 
 impl ReplicaChoice {
-    /// Of a router on this VM that knows the slots in its settings.
+    /// Creates the choice of a router on `vm` whose settings name the slots `seeds`.
     pub fn new(vm: VmName, seeds: Vec<u32>) -> Self {
         Self {
             vm,
             seeds,
             members: Vec::new(),
-            avoided: BTreeMap::new(),
-            named: None,
+            avoided_until: BTreeMap::new(),
+            redirect: None,
         }
     }
 
-    /// The leader named the members.
+    /// Replaces the members by those that the leader reported.
     pub fn members_are(&mut self, slots: &[u32]) {
         if self.members != slots {
             self.members = slots.to_vec();
         }
     }
 
-    /// The settings name other replicas now.
+    /// Replaces the seeds after a change of the settings.
     pub fn seeds_are(&mut self, slots: Vec<u32>) {
         self.seeds = slots;
     }
 
-    /// All that may be asked, the preferred ones first: members, then others that the
-    /// settings name, since replicas that have gone come back at other addresses.
+    /// Returns all known slots in order of preference: members, then other slots from the
+    /// settings, since replicas that have left may return at other addresses.
     pub fn order(&self) -> Vec<u32> {
         let rank = |slot: &u32| {
             let mut hasher = DefaultHasher::new();
@@ -72,36 +74,40 @@
         all
     }
 
-    /// Who is to be asked now; nothing if nobody is known.
+    /// Returns the slot for the next request, or `None` if no replica is known. If all
+    /// replicas are avoided, it is the one whose time ends first.
     pub fn next(&mut self, now: Instant) -> Option<u32> {
-        if let Some(named) = self.named.take() {
-            return Some(named);
+        if let Some(leader) = self.redirect.take() {
+            return Some(leader);
         }
-        self.avoided.retain(|_, until| *until > now);
+        self.avoided_until.retain(|_, until| *until > now);
         let order = self.order();
-        let first = order.iter().find(|slot| !self.avoided.contains_key(slot));
-        let soonest = || order.iter().min_by_key(|slot| self.avoided.get(slot));
+        let first = order
+            .iter()
+            .find(|slot| !self.avoided_until.contains_key(slot));
+        let soonest = || order.iter().min_by_key(|slot| self.avoided_until.get(slot));
         first.or_else(soonest).copied()
     }
 
-    /// A replica has answered well.
+    /// Records a successful answer, after which the replica is no longer avoided.
     pub fn answered(&mut self, slot: u32) {
-        self.avoided.remove(&slot);
+        self.avoided_until.remove(&slot);
     }
 
-    /// It gave no answer.
+    /// Records that a request failed or was not answered in time.
     pub fn failed(&mut self, now: Instant, slot: u32) {
-        self.avoided.insert(slot, now + AVOIDED_FOR);
+        self.avoided_until.insert(slot, now + FAILURE_BACKOFF);
     }
 
-    /// It gave no answer in a time that is short for a busy one.
+    /// Records that a replica missed a timeout so short that a busy one may miss it too.
     pub fn was_slow(&mut self, now: Instant, slot: u32) {
-        self.avoided.insert(slot, now + SLOW_FOR);
+        self.avoided_until.insert(slot, now + SLOW_BACKOFF);
     }
 
-    /// It could not pass the request on; it may have named who leads.
+    /// Records that a replica could not forward a request to the leader. If it named the
+    /// leader, the next request goes there.
     pub fn not_passed_on(&mut self, now: Instant, slot: u32, leader: Option<u32>) {
-        self.avoided.insert(slot, now + AVOIDED_FOR);
-        self.named = leader.filter(|leader| *leader != slot);
+        self.avoided_until.insert(slot, now + FAILURE_BACKOFF);
+        self.redirect = leader.filter(|leader| *leader != slot);
     }
 }
--- a/crates/deckwind-core/src/membership/router_lease.rs
+++ b/crates/deckwind-core/src/membership/router_lease.rs
@@ -1,4 +1,4 @@
-//! The router's side of its lease.
+//! Lease and configuration on the router's side.
 
 use super::lease_table::LeaseTiming;
 use crate::replication::Term;
@@ -9,98 +9,99 @@
 /// Whether a request may be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServeDecision {
-    /// Under a live lease.
+    /// Serve the request under a live lease.
     Serve,
-    /// The lease has run out, and the template allows this for a bounded time.
+    /// Serve the request although the lease has expired, which the template allows for
+    /// a bounded time.
     ServeStale,
-    /// Refuse as not run.
+    /// Refuse the request without running it.
     Refuse,
 }
 
-/// A lease as it was granted.
+/// Lease granted by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseGrant {
-    /// When the router sent the request that this answers, by its clock.
+    /// Time at which the router sent the request, by the router's clock.
     pub asked: Instant,
-    /// Term of the leader.
+    /// Term of the leader that granted the lease.
     pub term: Term,
-    /// How long it lasts from then; nothing for its usual length.
+    /// Duration of the lease, counted from `asked`; none for the usual duration.
     pub lasts: Option<Duration>,
 }
 
 impl LeaseGrant {
-    /// Of the usual length.
+    /// Creates a grant of the usual duration.
     pub fn new(asked: Instant, term: Term) -> Self {
         let lasts = None;
         Self { asked, term, lasts }
     }
 }
 
-/// What a router knows of the agreed state.
+/// Lease of a router and the configuration that it has applied.
 #[derive(Clone, Debug)]
 pub struct RouterLeaseState {
     timing: LeaseTiming,
     term: Term,
-    until: Instant,
+    expires_at: Instant,
     configuration: Configuration,
 }
 
 impl RouterLeaseState {
-    /// A router that has no lease yet.
+    /// Creates the state of a router without a lease.
     pub fn new(timing: LeaseTiming) -> Self {
         Self {
             timing,
             term: Term(0),
-            until: Instant::ZERO,
+            expires_at: Instant::ZERO,
             configuration: Configuration::default(),
         }
     }
 
-    /// Takes a grant. Grants of an older term are dropped: they come from a leader
-    /// that has been deposed. Answers whether the grant was taken.
+    /// Applies a grant and its configuration changes. Ignores grants of an older term,
+    /// which come from a deposed leader. Returns whether the grant was applied.
     pub fn granted(&mut self, grant: LeaseGrant, delta: Delta) -> bool {
         if grant.term < self.term {
             return false;
         }
         self.term = grant.term;
         let lasts = grant.lasts.unwrap_or(self.timing.ttl).min(self.timing.ttl);
-        self.until = self.until.max(grant.asked + lasts);
+        self.expires_at = self.expires_at.max(grant.asked + lasts);
         self.configuration.merge(delta);
         true
     }
 
-    /// Highest term that it took a grant of.
+    /// Returns the highest term of the applied grants.
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// The configuration in force here.
+    /// Returns the configuration in force on this router.
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// Revision that it has applied.
+    /// Returns the revision that this router has applied.
     pub fn applied(&self) -> Revision {
         self.configuration.revision()
     }
 
-    /// Whether the lease is live.
+    /// Returns whether the lease is live.
     pub fn is_live(&self, now: Instant) -> bool {
-        now < self.until
+        now < self.expires_at
     }
 
-    /// Whether a request of this template may be served now.
+    /// Returns whether a request of this template may be served now.
     ///
-    /// After the lease the router can't know what has been accepted. A request
-    /// that is not repeatable is then always refused; others go on for as long
+    /// After the lease has expired, the router may not know the latest accepted changes.
+    /// Requests that must not be retried are then refused. Others are served for as long
     /// as their template allows.
     pub fn decide(&self, now: Instant, template: &Template) -> ServeDecision {
         if self.is_live(now) {
             return ServeDecision::Serve;
         }
         let stale = Duration::from_millis(template.serve_stale_ms);
-        let had_one = self.until > Instant::ZERO;
-        if template.repeatable && had_one && now < self.until + stale {
+        let had_lease = self.expires_at > Instant::ZERO;
+        if template.repeatable && had_lease && now < self.expires_at + stale {
             return ServeDecision::ServeStale;
         }
         ServeDecision::Refuse
--- a/crates/deckwind-core/src/replication/election.rs
+++ b/crates/deckwind-core/src/replication/election.rs
@@ -1,27 +1,31 @@
-//! Pre-votes, votes, and the protection of a leader that is alive.
+//! Elections: pre-votes, votes, and the rule that no vote is granted while a leader
+//! may still be alive.
 
 use super::ids::{Position, ReplicaId, Term};
-use super::leader::Leading;
+use super::leader::LeaderState;
 use super::log::Payload;
 use super::message::Body;
 use super::replica::Replica;
 use super::types::{Action, Role};
 use crate::time::Instant;
 
-/// Part of an ordinary wait after which a first lost election is tried again:
-/// with waits of 400 to 800 ms, 50 to 100 ms, some ten times a vote with its sync.
-const RETRY_PART: u32 = 8;
+/// Divisor of the election timeout for the first retries after a lost election.
+/// With timeouts of 400 to 800 ms, a retry waits 50 to 100 ms, about ten times
+/// as long as a vote with its sync takes.
+const FIRST_RETRY_DIVISOR: u32 = 8;
 
-/// Elections lost in a row before the wait doubles: replicas that start over half
-/// a second, each of which gives no vote for 400 ms, are asked in time.
-const TRIES_ALIKE: u32 = 3;
+/// Number of consecutive lost elections after which the wait doubles. Replicas may
+/// start up to half a second apart and grant no vote for their first 400 ms; this
+/// keeps retries frequent until all of them can vote.
+const RETRIES_PER_DOUBLING: u32 = 3;
 
 impl Replica {
-    /// Whether a leader may still hold its lease by this replica's word.
-    pub(super) fn protects_leader(&self, now: Instant) -> bool {
+    /// Returns whether a leader may still hold a lease that relies on this replica, in
+    /// which case it must not vote for another candidate.
+    pub(super) fn may_have_live_leader(&self, now: Instant) -> bool {
         match self.role {
             Role::Leader => self.lease_valid(now),
-            _ => now.since(self.heard_leader) < self.cfg.timing.election_min,
+            _ => now.since(self.last_leader_contact) < self.cfg.timing.election_min,
         }
     }
 
@@ -36,16 +40,20 @@
         self.count_pre_vote(now, self.cfg.id, out);
     }
 
-    /// Waits before another election. The first waits are short: after a start of
-    /// all replicas the first pre-votes are refused by those that protect a leader
-    /// of before, and two candidates may split the votes. After some tries they
-    /// double, up to an ordinary wait.
+    /// Sets the time of the next election after a lost one. The first waits are short:
+    /// after all replicas have started, the first pre-votes are refused by those that
+    /// may still have promised a lease to a previous leader, and two candidates may
+    /// split the votes. The wait doubles every [`RETRIES_PER_DOUBLING`] attempts, up to
+    /// the usual election timeout.
     fn reset_retry_timer(&mut self, now: Instant) {
-        let doublings = self.failed_elections.saturating_sub(1) / TRIES_ALIKE;
-        let part = RETRY_PART.checked_shr(doublings).unwrap_or(0).max(1);
-        let min = self.cfg.timing.election_min / part;
-        let max = self.cfg.timing.election_max / part;
-        self.election_at = now + self.random_between(min, max);
+        let doublings = self.failed_elections.saturating_sub(1) / RETRIES_PER_DOUBLING;
+        let divisor = FIRST_RETRY_DIVISOR
+            .checked_shr(doublings)
+            .unwrap_or(0)
+            .max(1);
+        let min = self.cfg.timing.election_min / divisor;
+        let max = self.cfg.timing.election_max / divisor;
+        self.election_timeout_at = now + self.random_between(min, max);
     }
 
     fn ask_voters(&self, body: Body, needs_sync: bool, out: &mut Vec<Action>) {
@@ -64,8 +72,8 @@
         last: Position,
         out: &mut Vec<Action>,
     ) {
-        let current = term >= self.hard.term;
-        let granted = current && !self.protects_leader(now) && last >= self.log.last();
+        let is_current = term >= self.hard_state.term;
+        let granted = is_current && !self.may_have_live_leader(now) && last >= self.log.last();
         self.send(from, Body::PreVoteReply { granted }, false, out);
     }
 
@@ -82,15 +90,15 @@
     }
 
     fn count_pre_vote(&mut self, now: Instant, from: ReplicaId, out: &mut Vec<Action>) {
-        if self.won(from) {
+        if self.record_vote(from) {
             self.start_election(now, out);
         }
     }
 
     fn start_election(&mut self, now: Instant, out: &mut Vec<Action>) {
         self.role = Role::Candidate;
-        self.hard.term = Term(self.hard.term.0 + 1);
-        self.hard.voted_for = Some(self.cfg.id);
+        self.hard_state.term = Term(self.hard_state.term.0 + 1);
+        self.hard_state.voted_for = Some(self.cfg.id);
         self.votes.clear();
         self.reset_retry_timer(now);
         self.save_if_changed(out);
@@ -109,7 +117,7 @@
     ) {
         let granted = self.may_vote(now, from, term, last);
         if granted {
-            self.hard.voted_for = Some(from);
+            self.hard_state.voted_for = Some(from);
             self.reset_election_timer(now);
         }
         self.save_if_changed(out);
@@ -117,8 +125,11 @@
     }
 
     fn may_vote(&self, now: Instant, from: ReplicaId, term: Term, last: Position) -> bool {
-        let free = self.hard.voted_for.is_none_or(|v| v == from);
-        term == self.hard.term && free && !self.protects_leader(now) && last >= self.log.last()
+        let vote_is_free = self.hard_state.voted_for.is_none_or(|v| v == from);
+        term == self.hard_state.term
+            && vote_is_free
+            && !self.may_have_live_leader(now)
+            && last >= self.log.last()
     }
 
     pub(super) fn on_vote_reply(
@@ -129,19 +140,19 @@
         granted: bool,
         out: &mut Vec<Action>,
     ) {
-        if self.role == Role::Candidate && term == self.hard.term && granted {
+        if self.role == Role::Candidate && term == self.hard_state.term && granted {
             self.count_vote(now, from, out);
         }
     }
 
     fn count_vote(&mut self, now: Instant, from: ReplicaId, out: &mut Vec<Action>) {
-        if self.won(from) {
+        if self.record_vote(from) {
             self.become_leader(now, out);
         }
     }
 
-    /// Counts one vote; true once a majority of the voters has given theirs.
-    fn won(&mut self, from: ReplicaId) -> bool {
+    /// Records one vote. Returns whether a majority of the voters has granted theirs.
+    fn record_vote(&mut self, from: ReplicaId) -> bool {
         if self.members.voters.contains(&from) {
             self.votes.insert(from);
         }
@@ -153,8 +164,8 @@
         self.leader = Some(self.cfg.id);
         self.failed_elections = 0;
         let next = self.log.last().index.next();
-        self.leading = Some(Leading::new(now, next, self.peers()));
-        self.append_own(Payload::Noop, out);
-        self.heartbeat(now, out);
+        self.leader_state = Some(LeaderState::new(now, next, self.peers()));
+        self.append_to_log(Payload::Noop, out);
+        self.send_heartbeats(now, out);
     }
 }
--- a/crates/deckwind-core/src/replication/follower.rs
+++ b/crates/deckwind-core/src/replication/follower.rs
@@ -1,4 +1,5 @@
-//! What a follower does: take entries and snapshots, and answer for them.
+//! The follower's part of replication: storing entries and snapshots from the leader
+//! and acknowledging them.
 
 use super::ids::{Index, Position, ReplicaId, Term};
 use super::log::Entry;
@@ -8,14 +9,14 @@
 use crate::time::Instant;
 
 impl Replica {
-    /// Whether `from` leads the current term; if so, follows it.
+    /// Follows `from` if its term is current. Returns whether it is.
     pub(super) fn follow(&mut self, now: Instant, from: ReplicaId, term: Term) -> bool {
-        if term < self.hard.term || self.role == Role::Leader {
+        if term < self.hard_state.term || self.role == Role::Leader {
             return false;
         }
-        self.role = self.resting_role();
+        self.role = self.non_leader_role();
         self.leader = Some(from);
-        self.heard_leader = now;
+        self.last_leader_contact = now;
         self.failed_elections = 0;
         self.reset_election_timer(now);
         true
@@ -41,7 +42,8 @@
         self.reply_append(from, matched, true, sent, out);
     }
 
-    /// Appends the entries that are not there yet; drops those of another term.
+    /// Appends the entries that the log does not hold yet, after removing existing
+    /// entries that conflict with them.
     fn append_missing(&mut self, entries: Vec<Entry>, out: &mut Vec<Action>) {
         let base = self.log.base().index;
         let mut new = entries
@@ -53,7 +55,7 @@
             return;
         };
         let from = first.at.index;
-        debug_assert!(from > self.commit, "a committed entry never goes");
+        debug_assert!(from > self.commit, "a committed entry must not be removed");
         let new: Vec<Entry> = new.collect();
         self.truncate_from(from);
         for entry in &new {
@@ -63,7 +65,8 @@
         out.push(Action::Append(new));
     }
 
-    /// Drops entries; what is left is all that can still count as synced.
+    /// Removes the entries from `from` on. If some of them were synced, the synced
+    /// position moves back to the last entry that is left.
     fn truncate_from(&mut self, from: Index) {
         self.log.truncate_from(from);
         if self.synced.index >= from {
@@ -81,7 +84,7 @@
     ) {
         let last = meta.last;
         if last.index > self.commit && self.log.term_at(last.index) == Some(last.term) {
-            // One that comes late: what follows it here was acknowledged, and stays.
+            // A late snapshot: the entries after it have been acknowledged and must stay.
             self.set_commit(last.index, out);
         } else if last.index > self.commit {
             self.log.reset(last);
--- a/crates/deckwind-core/src/replication/ids.rs
+++ b/crates/deckwind-core/src/replication/ids.rs
@@ -1,50 +1,50 @@
-//! Keys of the log and of replicas.
+//! Identifiers of log entries, replicas and clusters.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A leader's term.
+/// Term of a leader.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Term(pub u64);
 
-/// Place of an entry in the log; the first is 1.
+/// Index of an entry in the log. The first entry has index 1.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Index(pub u64);
 
 impl Index {
-    /// The next place.
+    /// Returns the following index.
     pub fn next(self) -> Index {
         Index(self.0 + 1)
     }
 
-    /// The place before; zero stays zero.
+    /// Returns the preceding index, or zero for zero.
     pub fn prev(self) -> Index {
         Index(self.0.saturating_sub(1))
     }
 }
 
-/// An index with the term of the entry there. Ordered as Raft compares logs:
-/// by term, then by index.
+/// Index and term of an entry. Ordered as Raft compares logs: by term, then by
+/// index.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Position {
     /// Term of the entry.
     pub term: Term,
-    /// Its place.
+    /// Index of the entry.
     pub index: Index,
 }
 
-/// A replica: the slot of its VM and the identity of its data folder.
+/// Identifier of a replica: the slot of its VM and the identity of its data folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaId {
-    /// Which control VM, from the settings.
+    /// Slot of the control VM, from the settings.
     pub slot: u32,
-    /// Random, made with the data folder.
+    /// Random number created with the data folder.
     pub identity: u64,
 }
 
@@ -54,6 +54,6 @@
     }
 }
 
-/// Tells one cluster's messages from another's.
+/// Identifier of a cluster. Messages from other clusters are ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ClusterId(pub u64);
--- a/crates/deckwind-core/src/replication/join.rs
+++ b/crates/deckwind-core/src/replication/join.rs
@@ -1,4 +1,4 @@
-//! Forming a cluster, and taking in a replica whose data folder is new.
+//! Cluster formation and the admission of replicas with a new data folder.
 
 use super::ids::{ClusterId, Index, Position, ReplicaId, Term};
 use super::log::{Entry, Payload};
@@ -10,37 +10,37 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Between two requests to be taken in.
-const JOIN_PERIOD: Duration = Duration::from_millis(300);
+/// Interval between two join requests.
+const JOIN_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Elections lost in a row before a replica asks whether it was removed: some
-/// two of the longest waits before an election.
+/// Number of consecutive lost elections after which a member sends join requests, in
+/// case it has been removed. They take about twice the longest election timeout.
 const ELECTIONS_BEFORE_JOIN: u32 = 9;
 
 impl Replica {
-    /// Asks all other slots to be taken in, if this replica is in no members or
-    /// seems to have been removed.
+    /// Sends a join request to all other slots if this replica is not a member or seems
+    /// to have been removed.
     pub(super) fn join_tick(&mut self, now: Instant, out: &mut Vec<Action>) {
-        let member = self.members.contains(self.cfg.id);
-        if member && self.failed_elections < ELECTIONS_BEFORE_JOIN {
+        let is_member = self.members.contains(self.cfg.id);
+        if is_member && self.failed_elections < ELECTIONS_BEFORE_JOIN {
             return;
         }
         if now < self.next_join {
             return;
         }
-        self.next_join = now + JOIN_PERIOD;
+        self.next_join = now + JOIN_INTERVAL;
         let unformed = self.is_unformed();
-        if unformed && self.cfg.slots.len() == 1 && self.may_form() {
-            self.form(now, out);
+        if unformed && self.cfg.slots.len() == 1 && self.may_form_cluster() {
+            self.form_cluster(now, out);
             return;
         }
-        for slot in self.slots_to_ask() {
+        for slot in self.other_slots() {
             let message = Message {
-                cluster: self.hard.cluster,
+                cluster: self.hard_state.cluster,
                 from: self.cfg.id,
                 to_slot: slot,
                 to_identity: None,
-                term: self.hard.term,
+                term: self.hard_state.term,
                 body: Body::Join { unformed },
             };
             out.push(Action::Send {
@@ -50,8 +50,8 @@
         }
     }
 
-    /// Everybody who may be a member, but itself.
-    fn slots_to_ask(&self) -> BTreeSet<u32> {
+    /// Returns the slots of all other replicas that may be members.
+    fn other_slots(&self) -> BTreeSet<u32> {
         let mut slots = self.cfg.slots.clone();
         if self.cfg.by_seeds.is_some() {
             slots.extend(self.members.all().map(|id| id.slot));
@@ -60,25 +60,25 @@
         slots
     }
 
-    /// Other seeds: the settings have changed.
-    pub(super) fn take_seeds(&mut self, slots: BTreeSet<u32>) {
+    /// Replaces the seeds after a change of the settings.
+    pub(super) fn set_seeds(&mut self, slots: BTreeSet<u32>) {
         if self.cfg.by_seeds.is_some() {
             self.cfg.slots = slots;
             self.cfg.slots.insert(self.cfg.id.slot);
         }
     }
 
-    fn may_form(&self) -> bool {
+    fn may_form_cluster(&self) -> bool {
         self.cfg.by_seeds.is_none_or(|s| s.may_form)
     }
 
-    /// Whether a replica at this slot can be a member at all.
+    /// Returns whether a replica at this slot can become a member.
     fn may_join(&self, slot: u32) -> bool {
         self.cfg.by_seeds.is_some() || self.cfg.slots.contains(&slot)
     }
 
     fn is_unformed(&self) -> bool {
-        self.members.is_empty() && self.hard.cluster.is_none()
+        self.members.is_empty() && self.hard_state.cluster.is_none()
     }
 
     pub(super) fn on_join(
@@ -91,19 +91,20 @@
         if !self.may_join(from.slot) {
             return;
         }
-        if let Some(leading) = &mut self.leading {
-            leading.joining.insert(from.slot, from);
+        if let Some(leader_state) = &mut self.leader_state {
+            leader_state.joining.insert(from.slot, from);
             return;
         }
-        self.pass_join_on(from, unformed, out);
+        self.forward_join(from, unformed, out);
         if self.is_unformed() && unformed {
             self.unformed_peers.insert(from.slot, from);
             self.form_if_all_are_unformed(now, out);
         }
     }
 
-    /// One who knows only seeds may not know the leader: a follower tells it.
-    fn pass_join_on(&self, from: ReplicaId, unformed: bool, out: &mut Vec<Action>) {
+    /// Forwards a join request to the leader, because a replica that knows only the
+    /// seeds may not know the leader's slot.
+    fn forward_join(&self, from: ReplicaId, unformed: bool, out: &mut Vec<Action>) {
         let leader = self.leader.filter(|l| l.slot != from.slot);
         let (Some(leader), true) = (leader, self.cfg.by_seeds.is_some()) else {
             return;
@@ -116,24 +117,26 @@
         });
     }
 
-    /// The lowest slot forms the cluster once every slot has said that it has
-    /// none. A cluster that exists always has a replica that does not say so,
-    /// so a lost disk never forms a second one.
+    /// Forms the cluster if this replica has the lowest slot and every other slot has
+    /// reported that it is unformed. In an existing cluster at least one replica does
+    /// not report so; a replica that lost its disk therefore never forms a second
+    /// cluster.
     fn form_if_all_are_unformed(&mut self, now: Instant, out: &mut Vec<Action>) {
         let others = self.cfg.slots.len() - 1;
-        let lowest = self.cfg.slots.first() == Some(&self.cfg.id.slot);
-        let heard = self.cfg.slots.iter();
-        let heard = heard
+        let is_lowest = self.cfg.slots.first() == Some(&self.cfg.id.slot);
+        let slots = self.cfg.slots.iter();
+        let unformed = slots
             .filter(|s| self.unformed_peers.contains_key(s))
             .count();
-        if !lowest || heard < others || !self.may_form() {
+        if !is_lowest || unformed < others || !self.may_form_cluster() {
             return;
         }
-        self.form(now, out);
+        self.form_cluster(now, out);
     }
 
-    /// Forms the cluster out of this replica and the unformed ones it heard.
-    pub(super) fn form(&mut self, now: Instant, out: &mut Vec<Action>) {
+    /// Forms a cluster of this replica and the unformed replicas that sent it a join
+    /// request.
+    pub(super) fn form_cluster(&mut self, now: Instant, out: &mut Vec<Action>) {
         let mut members = Members::default();
         members.voters.insert(self.cfg.id);
         let slots = &self.cfg.slots;
@@ -141,8 +144,8 @@
         members
             .voters
             .extend(peers.filter(|p| slots.contains(&p.slot)));
-        self.hard.cluster = Some(ClusterId(self.random_u64()));
-        self.hard.term = Term(1);
+        self.hard_state.cluster = Some(ClusterId(self.random_u64()));
+        self.hard_state.term = Term(1);
         let genesis = Entry {
             at: Position {
                 term: Term(1),
@@ -157,33 +160,34 @@
         self.start_pre_vote(now, out);
     }
 
-    /// Takes the next of the three steps for a replica that asked to join:
-    /// remove the old identity at its slot, add it as a learner, let it vote.
-    pub(super) fn drive_join(&mut self, now: Instant, out: &mut Vec<Action>) {
+    /// Takes the next of the three steps for a replica that asked to join: removing the
+    /// old identity at its slot, adding it as a learner, promoting it to a voter. Without
+    /// such a replica, removes a surplus voter if there is one.
+    pub(super) fn advance_join(&mut self, now: Instant, out: &mut Vec<Action>) {
         if !self.may_change_members() {
             return;
         }
         let next = self
-            .leading
+            .leader_state
             .as_ref()
             .and_then(|l| l.joining.first_key_value());
         let Some((&slot, &id)) = next else {
-            self.remove_surplus(now, out);
+            self.remove_surplus_voter(now, out);
             return;
         };
         if self.members.voters.contains(&id) {
             self.finish_join(slot);
             return;
         }
-        if let Some(change) = self.join_step(now, id) {
+        if let Some(change) = self.next_join_change(now, id) {
             self.change_members(change, out);
         }
     }
 
-    /// Takes out the voter that has been silent longest, while there are more
-    /// than are wanted: one that has a successor at another address never comes
-    /// back. One that does come back asks to join again.
-    fn remove_surplus(&mut self, now: Instant, out: &mut Vec<Action>) {
+    /// Removes the voter that has been unresponsive longest while there are more voters
+    /// than wanted: a replica that was replaced by one at another address is not expected
+    /// back. A removed replica that does come back asks to join again.
+    fn remove_surplus_voter(&mut self, now: Instant, out: &mut Vec<Action>) {
         let Some(by_seeds) = self.cfg.by_seeds else {
             return;
         };
@@ -191,26 +195,28 @@
             return;
         }
         let others = self.members.voters.iter().filter(|id| **id != self.cfg.id);
-        let silent = others.filter(|id| self.is_silent(now, **id));
-        let oldest = silent.min_by_key(|id| self.last_answer(**id)).copied();
+        let unresponsive = others.filter(|id| self.is_unresponsive(now, **id));
+        let oldest = unresponsive
+            .min_by_key(|id| self.last_acked_send(**id))
+            .copied();
         if let Some(id) = oldest {
             self.change_members(MemberChange::Remove(id), out);
         }
     }
 
     fn finish_join(&mut self, slot: u32) {
-        if let Some(leading) = &mut self.leading {
-            leading.joining.remove(&slot);
+        if let Some(leader_state) = &mut self.leader_state {
+            leader_state.joining.remove(&slot);
         }
     }
 
-    fn join_step(&mut self, now: Instant, id: ReplicaId) -> Option<MemberChange> {
+    fn next_join_change(&mut self, now: Instant, id: ReplicaId) -> Option<MemberChange> {
         if self.members.learners.contains(&id) {
             return self.has_caught_up(id).then_some(MemberChange::Promote(id));
         }
         match self.members.at_slot(id.slot) {
             None => Some(MemberChange::AddLearner(id)),
-            Some(old) if old != self.cfg.id && self.is_silent(now, old) => {
+            Some(old) if old != self.cfg.id && self.is_unresponsive(now, old) => {
                 Some(MemberChange::Remove(old))
             }
             Some(_) => {
@@ -221,23 +227,24 @@
     }
 
     fn has_caught_up(&self, id: ReplicaId) -> bool {
-        let leading = self.leading.as_ref();
-        let progress = leading.and_then(|l| l.peers.get(&id));
+        let leader_state = self.leader_state.as_ref();
+        let progress = leader_state.and_then(|l| l.peers.get(&id));
         progress.is_some_and(|p| p.matched >= self.commit)
     }
 
-    /// Whether a member has not answered for longer than an election takes.
-    /// One that still answers is not replaced, whoever claims its slot.
-    fn is_silent(&self, now: Instant, id: ReplicaId) -> bool {
-        let last = self.last_answer(id);
+    /// Returns whether a member has not answered for longer than the longest election
+    /// timeout. A member that still answers is not replaced by another identity that
+    /// claims its slot.
+    fn is_unresponsive(&self, now: Instant, id: ReplicaId) -> bool {
+        let last = self.last_acked_send(id);
         last.is_some_and(|at| now.since(at) > self.cfg.timing.election_max)
     }
 
-    /// When the last message that a member answered was sent, or when this
-    /// replica began to lead.
-    fn last_answer(&self, id: ReplicaId) -> Option<Instant> {
-        let leading = self.leading.as_ref()?;
-        let answered = leading.peers.get(&id).and_then(|p| p.answered);
-        Some(answered.unwrap_or(leading.since))
+    /// Returns the send time of the latest message that a member has answered, or the
+    /// time at which this replica became leader if it has answered none.
+    fn last_acked_send(&self, id: ReplicaId) -> Option<Instant> {
+        let leader_state = self.leader_state.as_ref()?;
+        let last = leader_state.peers.get(&id).and_then(|p| p.last_acked_send);
+        Some(last.unwrap_or(leader_state.elected_at))
     }
 }
--- a/crates/deckwind-core/src/replication/leader.rs
+++ b/crates/deckwind-core/src/replication/leader.rs
@@ -1,58 +1,59 @@
-//! What a leader does: append, send, count acknowledgements, keep its lease.
+//! The leader's part of replication: appending and sending entries, counting
+//! acknowledgements and maintaining the leader lease.
 
 use super::ids::{Index, Position, ReplicaId, Term};
 use super::log::{Entry, Payload};
 use super::members::MemberChange;
 use super::message::Body;
 use super::replica::Replica;
-use super::types::{Action, Refusal, Role};
+use super::types::{Action, ProposalRefusal, Role};
 use crate::time::Instant;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What a leader knows of a peer.
+/// Replication progress of a peer, as known to the leader.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Progress {
     /// Next index to send.
     pub next: Index,
-    /// Last index that is synced there.
+    /// Last index that the peer has synced.
     pub matched: Index,
-    /// When the latest message that it answered was sent.
-    pub answered: Option<Instant>,
-    /// When a snapshot was last sent.
+    /// Send time of the latest message that the peer has answered.
+    pub last_acked_send: Option<Instant>,
+    /// Time at which a snapshot was last sent; none once the peer has answered.
     pub snapshot_sent: Option<Instant>,
-    /// A large message, or a probe after a rejection, whose answer is waited for
-    /// before more entries are sent.
-    pub awaited: Option<Awaited>,
+    /// A large message, or a probe after a rejection, that must be answered before
+    /// more entries are sent.
+    pub in_flight: Option<InFlight>,
 }
 
-/// A message on its way to a peer.
+/// A message to a peer that has not been answered yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Awaited {
-    /// When it was sent: its answer names this.
+pub(super) struct InFlight {
+    /// Send time, which the answer repeats.
     pub sent: Instant,
-    /// First index that it offers.
+    /// Index of the first entry in the message.
     pub from: Index,
 }
 
-/// What only a leader has.
+/// State that a replica keeps only while it is the leader.
 #[derive(Clone, Debug)]
-pub(super) struct Leading {
-    /// Start of the term.
-    pub since: Instant,
-    /// First entry of this term.
+pub(super) struct LeaderState {
+    /// Time at which this replica became leader.
+    pub elected_at: Instant,
+    /// Index of the first entry of this term.
     pub first_index: Index,
     pub peers: BTreeMap<ReplicaId, Progress>,
     pub next_heartbeat: Instant,
-    /// Replicas that asked to be taken in.
+    /// Replicas that asked to join, by slot.
     pub joining: BTreeMap<u32, ReplicaId>,
 }
 
-impl Leading {
+impl LeaderState {
     pub fn new(now: Instant, next: Index, peers: Vec<ReplicaId>) -> Self {
         let progress = |id| (id, Progress::starting_at(next));
         Self {
-            since: now,
+            elected_at: now,
             first_index: next,
             peers: peers.into_iter().map(progress).collect(),
             next_heartbeat: now,
@@ -66,95 +67,100 @@
         Self {
             next,
             matched: Index(0),
-            answered: None,
+            last_acked_send: None,
             snapshot_sent: None,
-            awaited: None,
+            in_flight: None,
         }
     }
 }
 
-/// Bytes of entries above which nothing more is sent until they are answered: a
-/// heartbeat that overtakes them would be rejected, and each rejection would
-/// send them again.
-const AWAIT_ABOVE: usize = 32 * 1024;
+/// Maximum size in bytes of the entries of a message that need not be answered before
+/// further entries are sent. A heartbeat that overtakes a larger message is rejected,
+/// and without the wait each rejection would send the entries again.
+const MAX_PIPELINED_BYTES: usize = 32 * 1024;
 
-/// How long to wait for the answer to entries before they are sent again: the
-/// time of a large message on a slow link, and of some syncs.
-const ENTRIES_RESEND: Duration = Duration::from_millis(500);
+/// Time without an answer after which entries are sent again. Long enough for a large
+/// message on a slow link and a few syncs.
+const ENTRIES_RESEND_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long to wait for the answer to a snapshot before it is sent again.
-const SNAPSHOT_RESEND: Duration = Duration::from_secs(2);
+/// Time without an answer after which a snapshot is sent again.
+const SNAPSHOT_RESEND_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Replica {
-    /// Until when this leader may act on its own word; nothing if it does not
-    /// lead or no majority has answered yet.
+    /// Returns the time at which the leader lease ends: until then no other replica can
+    /// be elected. Returns `None` if this replica is not the leader or no majority has
+    /// answered yet.
     pub fn lease_until(&self) -> Option<Instant> {
-        let leading = self.leading.as_ref()?;
+        let leader_state = self.leader_state.as_ref()?;
         let lease = self.cfg.timing.lease();
-        let own = self.members.voters.contains(&self.cfg.id);
-        let mut answered: Vec<Instant> = self
+        let is_voter = self.members.voters.contains(&self.cfg.id);
+        let mut acked_sends: Vec<Instant> = self
             .members
             .voters
             .iter()
-            .filter_map(|id| leading.peers.get(id)?.answered)
+            .filter_map(|id| leader_state.peers.get(id)?.last_acked_send)
             .collect();
-        answered.sort_unstable_by(|a, b| b.cmp(a));
-        let needed = self.members.quorum() - usize::from(own);
+        acked_sends.sort_unstable_by(|a, b| b.cmp(a));
+        let needed = self.members.quorum() - usize::from(is_voter);
         if needed == 0 {
             return Some(Instant::from_micros(u64::MAX));
         }
-        answered.get(needed - 1).map(|sent| *sent + lease)
+        acked_sends.get(needed - 1).map(|sent| *sent + lease)
     }
 
-    /// Whether this replica leads and certainly no other does.
+    /// Returns whether this replica holds a valid leader lease, so that no other replica
+    /// can be the leader.
     pub fn lease_valid(&self, now: Instant) -> bool {
         self.lease_until().is_some_and(|until| now < until)
     }
 
-    /// Whether it may answer from its state: it holds the lease and has
-    /// committed an entry of its own term, so nothing accepted is missing.
+    /// Returns whether this replica may answer from its state: it holds the lease and
+    /// has committed an entry of its own term, so its state contains every accepted
+    /// entry.
     pub fn may_answer(&self, now: Instant) -> bool {
         let caught_up = self
-            .leading
+            .leader_state
             .as_ref()
             .is_some_and(|l| self.commit >= l.first_index);
         caught_up && self.lease_valid(now)
     }
 
-    /// When this replica began to lead.
+    /// Returns the time at which this replica became leader, or `None` if it is not the
+    /// leader.
     pub fn leading_since(&self) -> Option<Instant> {
-        self.leading.as_ref().map(|l| l.since)
+        self.leader_state.as_ref().map(|l| l.elected_at)
     }
 
     pub(super) fn leader_tick(&mut self, now: Instant, out: &mut Vec<Action>) {
-        if self.lost_quorum(now) {
-            let term = self.hard.term;
+        if self.has_lost_quorum(now) {
+            let term = self.hard_state.term;
             self.become_follower(now, term);
             return;
         }
-        self.drive_join(now, out);
-        let due = self
-            .leading
+        self.advance_join(now, out);
+        let is_due = self
+            .leader_state
             .as_ref()
             .is_some_and(|l| now >= l.next_heartbeat);
-        if due {
-            self.heartbeat(now, out);
+        if is_due {
+            self.send_heartbeats(now, out);
         }
     }
 
-    /// Whether no majority has answered for longer than an election takes.
-    fn lost_quorum(&self, now: Instant) -> bool {
-        let Some(leading) = &self.leading else {
+    /// Returns whether the lease, or without one the election, is longer ago than the
+    /// longest election timeout.
+    fn has_lost_quorum(&self, now: Instant) -> bool {
+        let Some(leader_state) = &self.leader_state else {
             return false;
         };
-        let alive_until = self.lease_until().unwrap_or(leading.since);
-        now > alive_until + self.cfg.timing.election_max
+        let lease_end = self.lease_until().unwrap_or(leader_state.elected_at);
+        now > lease_end + self.cfg.timing.election_max
     }
 
-    pub(super) fn heartbeat(&mut self, now: Instant, out: &mut Vec<Action>) {
+    pub(super) fn send_heartbeats(&mut self, now: Instant, out: &mut Vec<Action>) {
         let period = self.cfg.timing.heartbeat;
-        if let Some(leading) = &mut self.leading {
-            leading.next_heartbeat = now + period;
+        if let Some(leader_state) = &mut self.leader_state {
+            leader_state.next_heartbeat = now + period;
         }
         for peer in self.peers() {
             self.send_append(now, peer, out);
@@ -163,13 +169,13 @@
 
     pub(super) fn send_new_entries(&mut self, now: Instant, out: &mut Vec<Action>) {
         let last = self.log.last().index;
-        let Some(leading) = &self.leading else {
+        let Some(leader_state) = &self.leader_state else {
             return;
         };
-        let behind: Vec<ReplicaId> = leading
+        let behind: Vec<ReplicaId> = leader_state
             .peers
             .iter()
-            .filter(|(_, p)| p.next <= last && p.awaited.is_none())
+            .filter(|(_, p)| p.next <= last && p.in_flight.is_none())
             .map(|(id, _)| *id)
             .collect();
         for peer in behind {
@@ -177,23 +183,23 @@
         }
     }
 
-    /// Sends what comes next for `to`, and counts on its arrival. A peer that
-    /// missed a message says so in its next answer.
+    /// Sends the next entries to `to` and advances its next index without waiting for the
+    /// answer. A peer that missed a message rejects the following one.
     fn send_append(&mut self, now: Instant, to: ReplicaId, out: &mut Vec<Action>) {
-        let Some(next) = self.next_for(now, to) else {
+        let Some(next) = self.next_index(now, to) else {
             return;
         };
-        let waits = self.awaits(to);
+        let has_in_flight = self.has_in_flight(to);
         let prev_index = next.prev();
         let Some(prev_term) = self.log.term_at(prev_index) else {
             self.send_snapshot(now, to, out);
             return;
         };
-        let entries = match waits {
+        let entries = match has_in_flight {
             true => Vec::new(),
             false => self.log.slice(next, self.cfg.max_batch_bytes),
         };
-        let large = entries.iter().map(Entry::size).sum::<usize>() > AWAIT_ABOVE;
+        let is_large = entries.iter().map(Entry::size).sum::<usize>() > MAX_PIPELINED_BYTES;
         let sent_next = entries.last().map_or(next, |e| e.at.index.next());
         let body = Body::Append {
             prev: Position {
@@ -207,8 +213,8 @@
         self.send(to, body, false, out);
         if let Some(p) = self.progress(to) {
             p.next = sent_next;
-            if large {
-                p.awaited = Some(Awaited {
+            if is_large {
+                p.in_flight = Some(InFlight {
                     sent: now,
                     from: next,
                 });
@@ -216,32 +222,32 @@
         }
     }
 
-    /// Next index to send to a peer. Entries that were not answered in time go
-    /// again.
-    fn next_for(&mut self, now: Instant, to: ReplicaId) -> Option<Index> {
+    /// Returns the next index to send to a peer. Entries that were not answered in time
+    /// are sent again.
+    fn next_index(&mut self, now: Instant, to: ReplicaId) -> Option<Index> {
         let p = self.progress(to)?;
-        let lost = |a: &Awaited| now.since(a.sent) > ENTRIES_RESEND;
-        if let Some(awaited) = p.awaited.take_if(|a| lost(a)) {
-            p.next = awaited.from.max(p.matched.next());
+        let has_timed_out = |m: &InFlight| now.since(m.sent) > ENTRIES_RESEND_TIMEOUT;
+        if let Some(in_flight) = p.in_flight.take_if(|m| has_timed_out(m)) {
+            p.next = in_flight.from.max(p.matched.next());
         }
         Some(p.next)
     }
 
-    /// Whether entries on their way to a peer are waited for.
-    fn awaits(&self, id: ReplicaId) -> bool {
-        let progress = self.leading.as_ref().and_then(|l| l.peers.get(&id));
-        progress.is_some_and(|p| p.awaited.is_some())
+    /// Returns whether a message to a peer must be answered before more entries are sent.
+    fn has_in_flight(&self, id: ReplicaId) -> bool {
+        let progress = self.leader_state.as_ref().and_then(|l| l.peers.get(&id));
+        progress.is_some_and(|p| p.in_flight.is_some())
     }
 
     fn send_snapshot(&mut self, now: Instant, to: ReplicaId, out: &mut Vec<Action>) {
-        let waiting = |p: &Progress| {
+        let was_just_sent = |p: &Progress| {
             p.snapshot_sent
-                .is_some_and(|at| now.since(at) < SNAPSHOT_RESEND)
+                .is_some_and(|at| now.since(at) < SNAPSHOT_RESEND_TIMEOUT)
         };
         let Some(p) = self.progress(to) else {
             return;
         };
-        if waiting(p) {
+        if was_just_sent(p) {
             return;
         }
         p.snapshot_sent = Some(now);
@@ -255,7 +261,7 @@
     }
 
     fn progress(&mut self, id: ReplicaId) -> Option<&mut Progress> {
-        self.leading.as_mut()?.peers.get_mut(&id)
+        self.leader_state.as_mut()?.peers.get_mut(&id)
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
@@ -269,23 +275,23 @@
         sent: Instant,
         out: &mut Vec<Action>,
     ) {
-        if self.role != Role::Leader || term != self.hard.term {
+        if self.role != Role::Leader || term != self.hard_state.term {
             return;
         }
-        let end = self.log.last().index;
+        let last = self.log.last().index;
         let Some(p) = self.progress(from) else {
             return;
         };
-        p.answered = p.answered.max(Some(sent));
+        p.last_acked_send = p.last_acked_send.max(Some(sent));
         p.snapshot_sent = None;
-        let is_awaited = p.awaited.is_some_and(|a| a.sent == sent);
-        if is_awaited {
-            p.awaited = None;
+        let answers_in_flight = p.in_flight.is_some_and(|m| m.sent == sent);
+        if answers_in_flight {
+            p.in_flight = None;
         }
         if !agreed {
-            // Only one message at a time looks for where the logs part: else
-            // each rejection of what was sent before starts a search of its own.
-            if p.awaited.is_none() {
+            // Only one probe at a time searches for the point where the logs diverge.
+            // Otherwise each rejection of an earlier message would start another search.
+            if p.in_flight.is_none() {
                 p.next = matched.next().max(p.matched.next());
                 self.probe(now, from, out);
             }
@@ -293,54 +299,56 @@
         }
         p.matched = p.matched.max(matched);
         p.next = p.next.max(matched.next());
-        let behind = is_awaited && p.next <= end;
-        if behind {
+        let has_more = answers_in_flight && p.next <= last;
+        if has_more {
             self.send_append(now, from, out);
         }
         self.advance_commit(out);
     }
 
-    /// Commits what a majority has synced, if it is of this term.
+    /// Commits the entries that a majority has synced, if the last of them is of the
+    /// current term.
     pub(super) fn advance_commit(&mut self, out: &mut Vec<Action>) {
-        let Some(leading) = &self.leading else {
+        let Some(leader_state) = &self.leader_state else {
             return;
         };
         let mut matched: Vec<Index> = self
             .members
             .voters
             .iter()
-            .map(|id| self.matched_of(leading, *id))
+            .map(|id| self.matched_index(leader_state, *id))
             .collect();
         matched.sort_unstable_by(|a, b| b.cmp(a));
         let Some(&index) = matched.get(self.members.quorum() - 1) else {
             return;
         };
-        if self.log.term_at(index) == Some(self.hard.term) {
+        if self.log.term_at(index) == Some(self.hard_state.term) {
             self.set_commit(index, out);
             self.step_down_if_removed();
         }
     }
 
-    /// Asks whether a peer's log matches below `next`, without entries.
+    /// Sends a message without entries to check whether a peer's log matches the leader's
+    /// up to the peer's next index.
     fn probe(&mut self, now: Instant, to: ReplicaId, out: &mut Vec<Action>) {
         if let Some(p) = self.progress(to) {
             let from = p.next;
-            p.awaited = Some(Awaited { sent: now, from });
+            p.in_flight = Some(InFlight { sent: now, from });
         }
         self.send_append(now, to, out);
     }
 
-    fn matched_of(&self, leading: &Leading, id: ReplicaId) -> Index {
+    fn matched_index(&self, leader_state: &LeaderState, id: ReplicaId) -> Index {
         if id == self.cfg.id {
             return self.synced.index;
         }
-        leading.peers.get(&id).map_or(Index(0), |p| p.matched)
+        leader_state.peers.get(&id).map_or(Index(0), |p| p.matched)
     }
 
     fn step_down_if_removed(&mut self) {
-        let gone = !self.members.voters.contains(&self.cfg.id);
-        if gone && self.commit >= self.members_index {
-            self.leading = None;
+        let is_removed = !self.members.voters.contains(&self.cfg.id);
+        if is_removed && self.commit >= self.members_index {
+            self.leader_state = None;
             self.leader = None;
             self.role = Role::Follower;
         }
@@ -349,18 +357,18 @@
     pub(super) fn propose(&mut self, token: u64, command: Vec<u8>, out: &mut Vec<Action>) {
         if self.role != Role::Leader {
             let leader = self.leader.filter(|l| *l != self.cfg.id);
-            let refusal = Refusal { leader };
+            let refusal = ProposalRefusal { leader };
             out.push(Action::Refused { token, refusal });
             return;
         }
-        let at = self.append_own(Payload::Command(command), out);
+        let at = self.append_to_log(Payload::Command(command), out);
         out.push(Action::Proposed { token, at });
     }
 
-    /// Appends an entry of this term to the leader's own log.
-    pub(super) fn append_own(&mut self, payload: Payload, out: &mut Vec<Action>) -> Position {
+    /// Appends an entry of the current term to the leader's log.
+    pub(super) fn append_to_log(&mut self, payload: Payload, out: &mut Vec<Action>) -> Position {
         let at = Position {
-            term: self.hard.term,
+            term: self.hard_state.term,
             index: self.log.last().index.next(),
         };
         let entry = Entry { at, payload };
@@ -372,13 +380,13 @@
         at
     }
 
-    /// Whether the members may change now: the last change is committed, and
-    /// so is an entry of this term (Ongaro, raft-dev, 10 July 2015).
+    /// Returns whether the members may change now: the last change must be committed, and
+    /// so must an entry of the current term (Ongaro, raft-dev, 10 July 2015).
     pub(super) fn may_change_members(&self) -> bool {
-        let Some(leading) = &self.leading else {
+        let Some(leader_state) = &self.leader_state else {
             return false;
         };
-        self.commit >= self.members_index && self.commit >= leading.first_index
+        self.commit >= self.members_index && self.commit >= leader_state.first_index
     }
 
     pub(super) fn change_members(&mut self, change: MemberChange, out: &mut Vec<Action>) {
@@ -389,15 +397,15 @@
         if next == self.members || next.is_empty() {
             return;
         }
-        self.append_own(Payload::Members(next), out);
+        self.append_to_log(Payload::Members(next), out);
         self.refresh_members();
         let peers = self.peers();
         let start = self.log.last().index.next();
-        if let Some(leading) = &mut self.leading {
-            leading.peers.retain(|id, _| peers.contains(id));
+        if let Some(leader_state) = &mut self.leader_state {
+            leader_state.peers.retain(|id, _| peers.contains(id));
             for id in peers {
-                let fresh = Progress::starting_at(start);
-                leading.peers.entry(id).or_insert(fresh);
+                let progress = Progress::starting_at(start);
+                leader_state.peers.entry(id).or_insert(progress);
             }
         }
     }
--- a/crates/deckwind-core/src/replication/log.rs
+++ b/crates/deckwind-core/src/replication/log.rs
@@ -1,32 +1,32 @@
-//! The log in memory: a snapshot's position and the entries after it.
+//! In-memory log: the position of the snapshot and the entries after it.
 
 use super::ids::{Index, Position, Term};
 use super::members::Members;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// What an entry carries.
+/// Content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Payload {
-    /// A leader's first entry: commits what came before.
+    /// First entry of a leader's term. Committing it commits all entries before it.
     Noop,
-    /// A command of the state machine, encoded.
+    /// Encoded command for the state machine.
     Command(Vec<u8>),
-    /// The members from here on.
+    /// Members of the cluster from this entry on.
     Members(Members),
 }
 
-/// One entry.
+/// Entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// Its place and term.
+    /// Index and term of the entry.
     pub at: Position,
-    /// What it carries.
+    /// Content of the entry.
     pub payload: Payload,
 }
 
 impl Entry {
-    /// Rough size in a message, bytes.
+    /// Returns the approximate size of the entry in a message, in bytes.
     pub fn size(&self) -> usize {
         const OVERHEAD: usize = 24;
         match &self.payload {
@@ -37,7 +37,7 @@
     }
 }
 
-/// Entries after a snapshot, without gaps.
+/// Contiguous entries after a snapshot.
 #[derive(Clone, Debug, Default)]
 pub struct Log {
     base: Position,
@@ -45,7 +45,7 @@
 }
 
 impl Log {
-    /// A log whose snapshot ends at `base`.
+    /// Creates a log whose snapshot ends at `base`. Entries up to `base` are left out.
     pub fn new(base: Position, entries: Vec<Entry>) -> Self {
         let entries = entries
             .into_iter()
@@ -54,27 +54,29 @@
         Self { base, entries }
     }
 
-    /// Where the snapshot ends.
+    /// Returns the position at which the snapshot ends.
     pub fn base(&self) -> Position {
         self.base
     }
 
-    /// Position of the last entry.
+    /// Returns the position of the last entry, or of the end of the snapshot if there is
+    /// none.
     pub fn last(&self) -> Position {
         self.entries.back().map_or(self.base, |e| e.at)
     }
 
-    /// Number of entries held.
+    /// Returns the number of entries after the snapshot.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no entry is held.
+    /// Returns whether there are no entries after the snapshot.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Term of the entry at `index`, if it is held or ends the snapshot.
+    /// Returns the term of the entry at `index`, if the log holds it or the snapshot ends
+    /// with it.
     pub fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -82,13 +84,13 @@
         self.get(index).map(|e| e.at.term)
     }
 
-    /// The entry at `index`.
+    /// Returns the entry at `index`, if the log holds it.
     pub fn get(&self, index: Index) -> Option<&Entry> {
         let offset = index.0.checked_sub(self.base.index.0 + 1)?;
         self.entries.get(usize::try_from(offset).ok()?)
     }
 
-    /// Entries from `from` on, up to about `max_bytes`; at least one.
+    /// Returns the entries from `from` on, up to `max_bytes` in total but at least one.
     pub fn slice(&self, from: Index, max_bytes: usize) -> Vec<Entry> {
         let mut bytes = 0;
         let mut out = Vec::new();
@@ -104,25 +106,25 @@
         out
     }
 
-    /// Entries `from..=through`.
+    /// Returns the entries `from..=through`.
     pub fn range(&self, from: Index, through: Index) -> impl Iterator<Item = &Entry> {
         (from.0..=through.0).filter_map(|i| self.get(Index(i)))
     }
 
-    /// Appends one entry, which must be the next.
+    /// Appends an entry, which must have the next index.
     pub fn push(&mut self, entry: Entry) {
         debug_assert_eq!(entry.at.index, self.last().index.next());
         self.entries.push_back(entry);
     }
 
-    /// Drops the entries from `from` on.
+    /// Removes the entries from `from` on.
     pub fn truncate_from(&mut self, from: Index) {
         while self.entries.back().is_some_and(|e| e.at.index >= from) {
             self.entries.pop_back();
         }
     }
 
-    /// Drops the entries up to `through`, which a snapshot now holds.
+    /// Removes the entries up to `through`, which a snapshot now covers.
     pub fn compact(&mut self, through: Index) {
         let Some(term) = self.term_at(through) else {
             return;
@@ -136,13 +138,13 @@
         };
     }
 
-    /// Starts over after a snapshot that ends at `base`.
+    /// Replaces the log by an empty one after a snapshot that ends at `base`.
     pub fn reset(&mut self, base: Position) {
         self.entries.clear();
         self.base = base;
     }
 
-    /// The last members written in the log, with their index.
+    /// Returns the members in the latest membership entry of the log, with its index.
     pub fn last_members(&self) -> Option<(Index, &Members)> {
         self.entries.iter().rev().find_map(|e| match &e.payload {
             Payload::Members(m) => Some((e.at.index, m)),
--- a/crates/deckwind-core/src/replication/members.rs
+++ b/crates/deckwind-core/src/replication/members.rs
@@ -1,57 +1,57 @@
-//! Who votes and who learns.
+//! Members of a cluster: voters and learners.
 
 use super::ids::ReplicaId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The replicas of a cluster. Two successive sets differ by one replica, so any
-/// two of their majorities share one.
+/// Replicas of a cluster. Two successive sets differ by one replica, so a majority of
+/// one and a majority of the other always have a replica in common.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Members {
-    /// Those whose acknowledgements and votes count.
+    /// Replicas whose acknowledgements and votes count.
     pub voters: BTreeSet<ReplicaId>,
-    /// Those that only receive.
+    /// Replicas that receive entries but do not vote.
     pub learners: BTreeSet<ReplicaId>,
 }
 
-/// One step from a set of members to the next.
+/// Single-server change of the members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberChange {
-    /// Start sending to a replica.
+    /// Add a replica as a learner, so that it receives entries.
     AddLearner(ReplicaId),
-    /// Let a learner vote.
+    /// Promote a learner to a voter.
     Promote(ReplicaId),
-    /// Take a replica out.
+    /// Remove a replica.
     Remove(ReplicaId),
 }
 
 impl Members {
-    /// Smallest number of voters that is a majority.
+    /// Returns the smallest number of voters that forms a majority.
     pub fn quorum(&self) -> usize {
         self.voters.len() / 2 + 1
     }
 
-    /// Whether there is no voter: nothing is known yet.
+    /// Returns whether there is no voter, that is, the members are not known yet.
     pub fn is_empty(&self) -> bool {
         self.voters.is_empty()
     }
 
-    /// Whether `id` votes or learns.
+    /// Returns whether `id` is a voter or a learner.
     pub fn contains(&self, id: ReplicaId) -> bool {
         self.voters.contains(&id) || self.learners.contains(&id)
     }
 
-    /// The member at a slot.
+    /// Returns the member at a slot.
     pub fn at_slot(&self, slot: u32) -> Option<ReplicaId> {
         self.all().find(|id| id.slot == slot)
     }
 
-    /// All members.
+    /// Returns all members, voters first.
     pub fn all(&self) -> impl Iterator<Item = ReplicaId> + '_ {
         self.voters.iter().chain(&self.learners).copied()
     }
 
-    /// The set after `change`.
+    /// Returns the members after `change`.
     pub fn with(&self, change: MemberChange) -> Members {
         let mut next = self.clone();
         match change {
--- a/crates/deckwind-core/src/replication/message.rs
+++ b/crates/deckwind-core/src/replication/message.rs
@@ -1,4 +1,4 @@
-//! What replicas say to each other.
+//! Messages between replicas.
 
 use super::ids::{ClusterId, Index, Position, ReplicaId, Term};
 use super::log::Entry;
@@ -6,79 +6,83 @@
 use crate::time::Instant;
 use serde::{Deserialize, Serialize};
 
-/// A message between two replicas. May be lost, doubled or overtaken.
+/// Message from one replica to another. Messages may be lost, duplicated or reordered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Sender's cluster; nothing while it is unformed.
+    /// Cluster of the sender; none while the sender is unformed.
     pub cluster: Option<ClusterId>,
-    /// Sender.
+    /// Sender of the message.
     pub from: ReplicaId,
-    /// Slot it goes to.
+    /// Slot of the receiver.
     pub to_slot: u32,
-    /// Identity it is meant for; nothing for "whoever is there".
+    /// Identity of the receiver; none to address any replica at the slot.
     pub to_identity: Option<u64>,
-    /// Sender's term.
+    /// Term of the sender.
     pub term: Term,
-    /// The rest.
+    /// Content of the message.
     pub body: Body,
 }
 
-/// What a message says.
+/// Content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// "Would you vote for me?" Changes nothing at the receiver.
+    /// Asks whether the receiver would grant a vote. Does not change its state.
     PreVote {
-        /// End of the sender's log.
+        /// Position of the last entry in the sender's log.
         last: Position,
     },
-    /// Answer to a pre-vote.
+    /// Answer to a pre-vote request.
     PreVoteReply {
-        /// Whether it would.
+        /// Whether the sender would grant the vote.
         granted: bool,
     },
-    /// "Vote for me."
+    /// Requests a vote.
     Vote {
-        /// End of the sender's log.
+        /// Position of the last entry in the sender's log.
         last: Position,
     },
-    /// Answer to a vote, sent after it was synced.
+    /// Answer to a vote request, sent after the vote was synced.
     VoteReply {
-        /// Whether it did.
+        /// Whether the vote is granted.
         granted: bool,
     },
     /// Entries, or a heartbeat when there are none.
     Append {
-        /// What must stand before them.
+        /// Position of the entry before the first of `entries`; the receiver's log must
+        /// contain it.
         prev: Position,
-        /// The entries.
+        /// Entries to append.
         entries: Vec<Entry>,
-        /// What the sender knows to be committed.
+        /// Last index that the sender knows to be committed.
         commit: Index,
-        /// Leader's clock when it sent this; comes back in the reply.
+        /// Send time by the leader's clock; repeated in the reply.
         sent: Instant,
     },
-    /// Answer to entries, sent after they were synced.
+    /// Answer to entries or a snapshot, sent after they were synced.
     AppendReply {
-        /// Last index that agrees with the leader's log; if not `agreed`, the
-        /// last index that may.
+        /// Last index at which the log matches the leader's; if not `agreed`, the last
+        /// index at which it may match.
         matched: Index,
-        /// Whether `prev` was there.
+        /// Whether the log contains `prev`.
         agreed: bool,
-        /// From the message answered.
+        /// Send time from the message that this answers.
         sent: Instant,
     },
-    /// A snapshot, where the entries are no longer held.
+    /// Snapshot, sent if the leader's log no longer holds the entries that the receiver
+    /// needs.
     Snapshot {
-        /// What it covers.
+        /// Last entry and members that the snapshot covers.
         meta: SnapshotMeta,
-        /// The state.
+        /// Encoded state.
         data: Vec<u8>,
-        /// Leader's clock when it sent this.
+        /// Send time by the leader's clock; repeated in the reply.
         sent: Instant,
     },
-    /// "Take me in." Sent by a replica that is in no cluster's members.
+    /// Asks to join the cluster. Sent by a replica that is not a member or seems to have
+    /// been removed.
     Join {
-        /// Whether it has an empty log: only then may a cluster be formed.
+        /// Whether the sender has neither members nor a cluster. A new cluster may be
+        /// formed only of such replicas.
         unformed: bool,
     },
 }
--- a/crates/deckwind-core/src/replication/replica.rs
+++ b/crates/deckwind-core/src/replication/replica.rs
@@ -1,7 +1,7 @@
-//! One replica: its state, and where each event goes.
+//! State of a replica and the dispatch of events to the code for its role.
 
 use super::ids::{Index, Position, ReplicaId, Term};
-use super::leader::Leading;
+use super::leader::LeaderState;
 use super::log::{Entry, Log, Payload};
 use super::members::Members;
 use super::message::{Body, Message};
@@ -12,43 +12,51 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// One replica. See the module for its life cycle.
+/// Replica of the log. The [module documentation](super) describes its life cycle.
 pub struct Replica {
     pub(super) cfg: ReplicaConfig,
     pub(super) rng: ChaCha8Rng,
-    pub(super) hard: HardState,
-    pub(super) saved: HardState,
+    pub(super) hard_state: HardState,
+    /// Hard state as of the last [`Action::SaveHardState`].
+    pub(super) saved_hard_state: HardState,
     pub(super) log: Log,
     pub(super) snapshot: SnapshotMeta,
+    /// Members in effect: those of the latest membership entry, committed or not.
     pub(super) members: Members,
+    /// Index of the entry or snapshot that the members come from.
     pub(super) members_index: Index,
     pub(super) commit: Index,
     pub(super) applied: Index,
+    /// Last entry that is synced to disk.
     pub(super) synced: Position,
     pub(super) role: Role,
     pub(super) leader: Option<ReplicaId>,
-    pub(super) heard_leader: Instant,
-    pub(super) election_at: Instant,
+    /// Time of the last message from a leader; the start before the first one.
+    pub(super) last_leader_contact: Instant,
+    pub(super) election_timeout_at: Instant,
+    /// Voters that granted the current pre-vote or vote.
     pub(super) votes: BTreeSet<ReplicaId>,
+    /// Number of elections that this replica has started since a leader was last known.
     pub(super) failed_elections: u32,
-    pub(super) leading: Option<Leading>,
+    pub(super) leader_state: Option<LeaderState>,
     pub(super) next_join: Instant,
+    /// Unformed replicas that sent a join request, by slot.
     pub(super) unformed_peers: BTreeMap<u32, ReplicaId>,
 }
 
 impl Replica {
-    /// A replica with what its data folder holds.
+    /// Creates a replica from the contents of its data folder.
     ///
-    /// It protects a leader that it may have promised to before it went down:
-    /// it gives no vote within `election_min` of starting.
+    /// It grants no vote within `election_min` of its start, since a leader may hold a
+    /// lease that this replica acknowledged before it stopped.
     pub fn new(cfg: ReplicaConfig, stored: Stored, now: Instant) -> Self {
         let rng = ChaCha8Rng::seed_from_u64(cfg.seed);
         let log = Log::new(stored.snapshot.last, stored.entries);
         let base = log.base().index;
         let mut replica = Self {
             rng,
-            hard: stored.hard_state,
-            saved: stored.hard_state,
+            hard_state: stored.hard_state,
+            saved_hard_state: stored.hard_state,
             synced: log.last(),
             members: Members::default(),
             members_index: Index(0),
@@ -58,11 +66,11 @@
             applied: base,
             role: Role::Unformed,
             leader: None,
-            heard_leader: now,
-            election_at: now,
+            last_leader_contact: now,
+            election_timeout_at: now,
             votes: BTreeSet::new(),
             failed_elections: 0,
-            leading: None,
+            leader_state: None,
             next_join: now,
             unformed_peers: BTreeMap::new(),
             cfg,
@@ -72,47 +80,47 @@
         replica
     }
 
-    /// Its id.
+    /// Returns the identifier of this replica.
     pub fn id(&self) -> ReplicaId {
         self.cfg.id
     }
 
-    /// What it is.
+    /// Returns the current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Its term.
+    /// Returns the current term.
     pub fn term(&self) -> Term {
-        self.hard.term
+        self.hard_state.term
     }
 
-    /// Who leads, as far as it knows.
+    /// Returns the leader, if known.
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
 
-    /// The members it goes by.
+    /// Returns the members in effect at this replica, which may not be committed yet.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Last index known to be committed.
+    /// Returns the last index known to be committed.
     pub fn commit(&self) -> Index {
         self.commit
     }
 
-    /// Its log.
+    /// Returns the log.
     pub fn log(&self) -> &Log {
         &self.log
     }
 
-    /// What its snapshot covers.
+    /// Returns the last entry and the members that the snapshot covers.
     pub fn snapshot(&self) -> &SnapshotMeta {
         &self.snapshot
     }
 
-    /// Members as of `index`, for a snapshot that ends there.
+    /// Returns the members as of `index`, for a snapshot that ends there.
     pub fn members_at(&self, index: Index) -> Members {
         let mut members = self.snapshot.members.clone();
         for entry in self.log.range(self.log.base().index.next(), index) {
@@ -123,14 +131,14 @@
         members
     }
 
-    /// Takes one event. Entries that it makes go out with the next
-    /// [`Replica::flush`], so that many proposals share one message and sync.
+    /// Handles one event. New entries are sent by the next [`Replica::flush`], so that
+    /// many proposals share one message and one sync.
     pub fn step(&mut self, now: Instant, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Tick => self.tick(now, out),
             Event::Receive(message) => self.receive(now, message, out),
             Event::Propose { token, command } => self.propose(token, command, out),
-            Event::Seeds(slots) => self.take_seeds(slots),
+            Event::Seeds(slots) => self.set_seeds(slots),
             Event::Change(change) => self.change_members(change, out),
             Event::Synced(at) => self.on_synced(at, out),
             Event::Compacted(through) => self.on_compacted(through),
@@ -138,7 +146,8 @@
         self.save_if_changed(out);
     }
 
-    /// Sends what the batch of events before it has made.
+    /// Sends the entries that were appended by the preceding events. Called once at the
+    /// end of a batch.
     pub fn flush(&mut self, now: Instant, out: &mut Vec<Action>) {
         if self.role == Role::Leader {
             self.send_new_entries(now, out);
@@ -154,7 +163,7 @@
     }
 
     fn follower_tick(&mut self, now: Instant, out: &mut Vec<Action>) {
-        if now < self.election_at {
+        if now < self.election_timeout_at {
             return;
         }
         if self.members.voters.contains(&self.cfg.id) {
@@ -165,17 +174,17 @@
     }
 
     fn receive(&mut self, now: Instant, message: Message, out: &mut Vec<Action>) {
-        if !self.is_for_me(&message) {
+        if !self.is_addressed_here(&message) {
             return;
         }
         if let Body::Join { unformed } = message.body {
             self.on_join(now, message.from, unformed, out);
             return;
         }
-        if !self.same_cluster(&message) {
+        if !self.match_cluster(&message) {
             return;
         }
-        if message.term > self.hard.term && self.term_counts(now, &message) {
+        if message.term > self.hard_state.term && self.should_adopt_term(now, &message) {
             self.become_follower(now, message.term);
         }
         let Message {
@@ -212,32 +221,33 @@
         }
     }
 
-    fn is_for_me(&self, message: &Message) -> bool {
+    fn is_addressed_here(&self, message: &Message) -> bool {
         let id = self.cfg.id;
-        let mine = message.to_identity.is_none_or(|i| i == id.identity);
-        message.to_slot == id.slot && mine && message.from != id
+        let identity_matches = message.to_identity.is_none_or(|i| i == id.identity);
+        message.to_slot == id.slot && identity_matches && message.from != id
     }
 
-    /// Takes on the sender's cluster while it has none.
-    fn same_cluster(&mut self, message: &Message) -> bool {
-        match (self.hard.cluster, message.cluster) {
-            (Some(mine), Some(theirs)) => mine == theirs,
-            (None, Some(theirs)) => {
-                self.hard.cluster = Some(theirs);
+    /// Returns whether the sender belongs to the cluster of this replica. A replica
+    /// without a cluster adopts the sender's.
+    fn match_cluster(&mut self, message: &Message) -> bool {
+        match (self.hard_state.cluster, message.cluster) {
+            (Some(own), Some(sender)) => own == sender,
+            (None, Some(sender)) => {
+                self.hard_state.cluster = Some(sender);
                 true
             }
             (_, None) => false,
         }
     }
 
-    /// Whether a higher term is to be taken on. Pre-votes never count, but a
-    /// refusal of one does: else a replica with the longest log and an old term
-    /// would be refused for ever. A vote asked for while the leader is alive
-    /// must not depose it.
-    fn term_counts(&self, now: Instant, message: &Message) -> bool {
+    /// Returns whether the higher term of a message is to be adopted. The terms of
+    /// pre-vote requests and of granted pre-votes are not. That of a refused pre-vote
+    /// is: otherwise a replica with the longest log and an old term would be refused
+    /// forever. A vote request must not depose a leader that may still be alive.
+    fn should_adopt_term(&self, now: Instant, message: &Message) -> bool {
         match message.body {
             Body::PreVote { .. } | Body::PreVoteReply { granted: true } => false,
-            Body::Vote { .. } => !self.protects_leader(now),
+            Body::Vote { .. } => !self.may_have_live_leader(now),
             _ => true,
         }
     }
@@ -279,17 +289,17 @@
     }
 
     pub(super) fn become_follower(&mut self, now: Instant, term: Term) {
-        if term > self.hard.term {
-            self.hard.term = term;
-            self.hard.voted_for = None;
+        if term > self.hard_state.term {
+            self.hard_state.term = term;
+            self.hard_state.voted_for = None;
         }
-        self.leading = None;
+        self.leader_state = None;
         self.leader = None;
-        self.role = self.resting_role();
+        self.role = self.non_leader_role();
         self.reset_election_timer(now);
     }
 
-    pub(super) fn resting_role(&self) -> Role {
+    pub(super) fn non_leader_role(&self) -> Role {
         if self.members.is_empty() {
             Role::Unformed
         } else {
@@ -305,13 +315,14 @@
         self.members = members;
         self.members_index = index;
         if self.role == Role::Unformed {
-            self.role = self.resting_role();
+            self.role = self.non_leader_role();
         }
     }
 
     pub(super) fn reset_election_timer(&mut self, now: Instant) {
         let timing = self.cfg.timing;
-        self.election_at = now + self.random_between(timing.election_min, timing.election_max);
+        self.election_timeout_at =
+            now + self.random_between(timing.election_min, timing.election_max);
     }
 
     pub(super) fn random_between(&mut self, min: Duration, max: Duration) -> Duration {
@@ -329,26 +340,27 @@
 
     pub(super) fn message_to(&self, to: ReplicaId, body: Body) -> Message {
         Message {
-            cluster: self.hard.cluster,
+            cluster: self.hard_state.cluster,
             from: self.cfg.id,
             to_slot: to.slot,
             to_identity: Some(to.identity),
-            term: self.hard.term,
+            term: self.hard_state.term,
             body,
         }
     }
 
-    /// Other members, voters and learners.
+    /// Returns all other members, voters and learners.
     pub(super) fn peers(&self) -> Vec<ReplicaId> {
         let id = self.cfg.id;
         self.members.all().filter(|p| *p != id).collect()
     }
 
-    /// Puts the write of a changed term or vote before whatever follows.
+    /// Adds the write of the hard state to the actions if it has changed, ahead of the
+    /// messages that depend on it.
     pub(super) fn save_if_changed(&mut self, out: &mut Vec<Action>) {
-        if self.hard != self.saved {
-            self.saved = self.hard;
-            out.push(Action::SaveHardState(self.hard));
+        if self.hard_state != self.saved_hard_state {
+            self.saved_hard_state = self.hard_state;
+            out.push(Action::SaveHardState(self.hard_state));
         }
     }
 
--- a/crates/deckwind-core/src/replication/types.rs
+++ b/crates/deckwind-core/src/replication/types.rs
@@ -1,4 +1,4 @@
-//! Settings, events and actions of a replica.
+//! Configuration, events and actions of a replica.
 
 use super::ids::{ClusterId, Index, Position, ReplicaId, Term};
 use super::log::Entry;
@@ -8,17 +8,17 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Periods of the protocol.
+/// Intervals and timeouts of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Between two heartbeats.
+    /// Interval between two heartbeats.
     pub heartbeat: Duration,
-    /// Shortest wait before an election; also how long a follower protects its
-    /// leader.
+    /// Shortest election timeout; also the time for which a follower grants no vote after
+    /// it received a message from its leader.
     pub election_min: Duration,
-    /// Longest wait before an election.
+    /// Longest election timeout.
     pub election_max: Duration,
-    /// Bound on how much faster one clock runs than another, parts in 1,000.
+    /// Upper bound on how much faster one clock runs than another, in parts per 1,000.
     pub drift_per_mille: u32,
 }
 
@@ -34,74 +34,78 @@
 }
 
 impl Timing {
-    /// How long a leader may act after a majority heard from it.
+    /// Returns the duration of the leader lease, counted from the send time of a message
+    /// that a majority has answered.
     pub fn lease(&self) -> Duration {
         self.election_min * (1_000 - self.drift_per_mille) / 1_000
     }
 }
 
-/// What must be on disk before anything that follows from it is sent.
+/// State that must be synced to disk before a message that depends on it is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HardState {
     /// Current term.
     pub term: Term,
-    /// Vote in that term.
+    /// Replica voted for in that term.
     pub voted_for: Option<ReplicaId>,
-    /// Cluster it belongs to.
+    /// Cluster of this replica.
     pub cluster: Option<ClusterId>,
 }
 
-/// What a snapshot covers.
+/// Last entry and members that a snapshot covers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotMeta {
-    /// Last entry in it.
+    /// Position of the last entry in the snapshot.
     pub last: Position,
     /// Members as of that entry.
     pub members: Members,
 }
 
-/// What a replica finds in its data folder.
+/// Contents of a replica's data folder at its start.
 #[derive(Clone, Debug, Default)]
 pub struct Stored {
-    /// Term and vote.
+    /// Term, vote and cluster.
     pub hard_state: HardState,
-    /// Its snapshot.
+    /// Last entry and members that the snapshot covers.
     pub snapshot: SnapshotMeta,
-    /// Entries after it.
+    /// Entries after the snapshot.
     pub entries: Vec<Entry>,
 }
 
-/// Members that find each other by a few addresses instead of a fixed list of
-/// slots. A slot is then the replica's IPv4 address as a number.
+/// Configuration of members that discover each other through a few seed addresses
+/// instead of a fixed list of slots. A slot is then the IPv4 address of the replica
+/// as a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BySeeds {
-    /// Whether this replica may form the cluster with the other seeds: it is one
-    /// of them, and the whole system starts for the first time.
+    /// Whether this replica may form the cluster with the other seeds: it is a seed and
+    /// the whole system starts for the first time.
     pub may_form: bool,
-    /// Voters that are enough: above this number a silent one is taken out.
+    /// Desired number of voters. Unresponsive voters are removed while there are more.
     pub voters_wanted: usize,
 }
 
-/// Who a replica is and how it keeps time.
+/// Configuration of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaConfig {
-    /// Its id.
+    /// Identifier of the replica.
     pub id: ReplicaId,
-    /// Slots of all control VMs, this one among them; with `by_seeds`, those
-    /// that are known from the start.
+    /// Slots of all control VMs, including this one; with `by_seeds`, the slots of the
+    /// seeds and of this replica.
     pub slots: BTreeSet<u32>,
-    /// How members find each other where the slots are no fixed list.
+    /// Discovery of members through seeds; none if the slots are a fixed list.
     pub by_seeds: Option<BySeeds>,
-    /// Periods.
+    /// Intervals and timeouts of the protocol.
     pub timing: Timing,
-    /// Seed of its election timeouts.
+    /// Seed of the random number generator for election timeouts and the cluster
+    /// identifier.
     pub seed: u64,
-    /// Most bytes of entries in one message.
+    /// Maximum size of the entries in one message, in bytes. A single larger entry is
+    /// still sent.
     pub max_batch_bytes: usize,
 }
 
 impl ReplicaConfig {
-    /// Default periods and bounds.
+    /// Creates a configuration with the default timing and batch size.
     pub fn new(id: ReplicaId, slots: impl IntoIterator<Item = u32>, seed: u64) -> Self {
         const MAX_BATCH_BYTES: usize = 256 * 1024;
         Self {
@@ -115,92 +119,93 @@
     }
 }
 
-/// What happens to a replica.
+/// Input of a replica.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed.
+    /// Time has passed.
     Tick,
-    /// A message arrived.
+    /// A message was received.
     Receive(Message),
-    /// A client wants a command in the log.
+    /// A client proposes a command for the log.
     Propose {
-        /// Comes back with the answer.
+        /// Number that the resulting action repeats.
         token: u64,
-        /// The command, encoded.
+        /// Encoded command.
         command: Vec<u8>,
     },
-    /// The settings name other seeds: these slots.
+    /// The settings have changed; these are the slots of the seeds now.
     Seeds(BTreeSet<u32>),
-    /// An operator wants other members.
+    /// An operator requests a change of the members.
     Change(MemberChange),
-    /// Everything up to here is synced.
+    /// The log is synced up to this position.
     Synced(Position),
-    /// The driver has synced a snapshot up to here.
+    /// The driver has synced a snapshot up to this index.
     Compacted(Index),
 }
 
-/// Why a proposal was not taken. It is in no log.
+/// Rejection of a proposal. The command was not appended to any log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refusal {
-    /// Who leads, where that is known.
+pub struct ProposalRefusal {
+    /// Leader, if another replica is known to be.
     pub leader: Option<ReplicaId>,
 }
 
-/// What the driver must do.
+/// Output of a replica, to be carried out by the driver.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Write term and vote.
+    /// Write term, vote and cluster.
     SaveHardState(HardState),
-    /// Write entries; whatever stood at or after the first one goes.
+    /// Write entries. They replace all stored entries at or after the index of the first.
     Append(Vec<Entry>),
-    /// Replace state and log by this snapshot.
+    /// Replace the state and the log by this snapshot.
     Install {
-        /// What it covers.
+        /// Last entry and members that the snapshot covers.
         meta: SnapshotMeta,
-        /// The state.
+        /// Encoded state.
         data: Vec<u8>,
     },
     /// Send a message.
     Send {
-        /// It.
+        /// Message to send.
         message: Message,
-        /// Whether all writes above must be synced first.
+        /// Whether all preceding writes must be synced first.
         needs_sync: bool,
     },
-    /// Send the latest snapshot in place of the data left out here.
+    /// Send a snapshot message, filled in with the latest snapshot.
     SendSnapshot {
-        /// A [`Body::Snapshot`](super::message::Body::Snapshot) without its data.
+        /// [`Body::Snapshot`](super::message::Body::Snapshot) message without data.
         message: Message,
     },
-    /// Apply these committed entries, in this order.
+    /// Apply these committed entries in order.
     Apply(Vec<Entry>),
-    /// The proposal stands at this position; it is accepted once applied there.
+    /// The proposal was appended to the leader's log. It is accepted once the entry at
+    /// this position is applied.
     Proposed {
-        /// From the event.
+        /// Token of the [`Event::Propose`].
         token: u64,
-        /// Where.
+        /// Position of the entry.
         at: Position,
     },
-    /// The proposal was not taken.
+    /// The proposal was rejected.
     Refused {
-        /// From the event.
+        /// Token of the [`Event::Propose`].
         token: u64,
-        /// Why.
-        refusal: Refusal,
+        /// Details of the rejection.
+        refusal: ProposalRefusal,
     },
 }
 
-/// What a replica is at the moment.
+/// Role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// In no cluster yet.
+    /// The members are not known yet.
     Unformed,
-    /// Follows a leader, or waits for one.
+    /// Follows a leader or waits for one.
     Follower,
-    /// Asks whether it would be elected.
+    /// Requests pre-votes.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Leads.
+    /// Leads the current term.
     Leader,
 }
--- a/crates/deckwind-store/src/disk.rs
+++ b/crates/deckwind-store/src/disk.rs
@@ -1,32 +1,33 @@
-//! What the store needs of a disk, and a disk in memory that forgets.
+//! File operations that the store needs, and an in-memory disk for tests that loses
+//! unsynced data in a simulated crash.
 
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex};
 
-/// Files of one folder. Nothing lasts before it is synced: contents by
+/// Files of one folder. Changes are durable only once they are synced: contents by
 /// [`Disk::sync`], names by [`Disk::sync_names`].
 pub trait Disk: Send {
-    /// The contents, if the file exists.
+    /// Returns the contents of a file, or `None` if it does not exist.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
-    /// Makes an empty file, in place of any that was there.
+    /// Creates an empty file, replacing any existing one.
     fn create(&mut self, name: &str) -> io::Result<()>;
-    /// Adds to the end of a file.
+    /// Appends bytes to a file.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts a file to a length.
+    /// Truncates a file to a length.
     fn truncate(&mut self, name: &str, len: u64) -> io::Result<()>;
-    /// Makes a file's contents last.
+    /// Syncs the contents of a file.
     fn sync(&mut self, name: &str) -> io::Result<()>;
-    /// Gives a file another name, in place of any that has it.
+    /// Renames a file, replacing any existing one of the new name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
-    /// Makes names last.
+    /// Syncs the file names, that is, created and renamed files.
     fn sync_names(&mut self) -> io::Result<()>;
 }
 
-/// One file: its contents now, and those that last.
+/// File of a [`MemoryDisk`]: current contents and those that survive a crash.
 #[derive(Clone, Debug, Default)]
 struct MemoryFile {
-    now: Vec<u8>,
+    contents: Vec<u8>,
     synced: Vec<u8>,
 }
 
@@ -40,75 +41,76 @@
     fail_at: Option<u64>,
 }
 
-/// A disk in memory that keeps over [`MemoryDisk::crash`] only what was synced,
-/// and can be told to die at any operation. Clones share the same disk.
+/// In-memory disk that keeps only synced data in a simulated
+/// [`MemoryDisk::crash`] and can be set to fail from any operation on. Clones share
+/// the same disk.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryDisk(Arc<Mutex<Inner>>);
 
 impl MemoryDisk {
-    /// Makes the operation after `operations` more ones, and all later ones,
-    /// fail without effect until the next crash.
+    /// Lets `operations` further operations succeed; all later ones fail without effect
+    /// until the next crash.
     pub fn fail_after(&self, operations: u64) {
-        self.with(|d| d.fail_at = Some(d.operations + operations));
+        self.with_inner(|d| d.fail_at = Some(d.operations + operations));
     }
 
-    /// Takes back what [`MemoryDisk::fail_after`] announced.
+    /// Reverts [`MemoryDisk::fail_after`].
     pub fn mend(&self) {
-        self.with(|d| d.fail_at = None);
+        self.with_inner(|d| d.fail_at = None);
     }
 
-    /// Operations so far, reads left out.
+    /// Returns the number of successful operations so far, except reads.
     pub fn operations(&self) -> u64 {
-        self.with(|d| d.operations)
+        self.with_inner(|d| d.operations)
     }
 
-    /// Syncs of contents so far.
+    /// Returns the number of content syncs so far.
     pub fn syncs(&self) -> u64 {
-        self.with(|d| d.syncs)
+        self.with_inner(|d| d.syncs)
     }
 
-    /// Power goes: what was not synced is lost, but for the first `torn` bytes
-    /// that were added to each file since.
+    /// Simulates a power failure: unsynced changes are lost, except for the first `torn`
+    /// bytes that were appended to each file since its last sync.
     pub fn crash(&self, torn: usize) {
-        self.with(|d| {
+        self.with_inner(|d| {
             d.fail_at = None;
             d.names = d.synced_names.clone();
             for f in &mut d.files {
-                let grown = f.now.starts_with(&f.synced);
-                let keep = if grown { f.synced.len() + torn } else { 0 };
-                if grown {
-                    f.now.truncate(keep);
+                let has_grown = f.contents.starts_with(&f.synced);
+                let keep = if has_grown { f.synced.len() + torn } else { 0 };
+                if has_grown {
+                    f.contents.truncate(keep);
                 } else {
-                    f.now = f.synced.clone();
+                    f.contents = f.synced.clone();
                 }
-                f.synced = f.now.clone();
+                f.synced = f.contents.clone();
             }
         });
     }
 
-    /// Everything is lost.
+    /// Deletes all files and resets the counters.
     pub fn wipe(&self) {
-        self.with(|d| *d = Inner::default());
+        self.with_inner(|d| *d = Inner::default());
     }
 
-    /// Flips one byte of a file.
+    /// Inverts one byte of a file, in its synced contents too.
     pub fn damage(&self, name: &str, at: usize) {
-        self.with(|d| {
+        self.with_inner(|d| {
             if let Some(&i) = d.names.get(name) {
-                d.files[i].now[at] ^= 0xff;
-                d.files[i].synced = d.files[i].now.clone();
+                d.files[i].contents[at] ^= 0xff;
+                d.files[i].synced = d.files[i].contents.clone();
             }
         });
     }
 
-    fn with<T>(&self, f: impl FnOnce(&mut Inner) -> T) -> T {
+    fn with_inner<T>(&self, f: impl FnOnce(&mut Inner) -> T) -> T {
         f(&mut self.0.lock().expect("no holder panics"))
     }
 
-    fn operate(&self, f: impl FnOnce(&mut Inner) -> io::Result<()>) -> io::Result<()> {
-        self.with(|d| {
+    fn run_operation(&self, f: impl FnOnce(&mut Inner) -> io::Result<()>) -> io::Result<()> {
+        self.with_inner(|d| {
             if d.fail_at.is_some_and(|at| d.operations >= at) {
-                return Err(io::Error::other("the disk is gone"));
+                return Err(io::Error::other("simulated disk failure"));
             }
             d.operations += 1;
             f(d)
@@ -126,14 +128,14 @@
 
 impl Disk for MemoryDisk {
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
-        Ok(self.with(|d| {
+        Ok(self.with_inner(|d| {
             let i = d.names.get(name)?;
-            Some(d.files[*i].now.clone())
+            Some(d.files[*i].contents.clone())
         }))
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        self.operate(|d| {
+        self.run_operation(|d| {
             d.files.push(MemoryFile::default());
             d.names.insert(name.to_string(), d.files.len() - 1);
             Ok(())
@@ -141,30 +143,30 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.operate(|d| {
-            d.file(name)?.now.extend_from_slice(bytes);
+        self.run_operation(|d| {
+            d.file(name)?.contents.extend_from_slice(bytes);
             Ok(())
         })
     }
 
     fn truncate(&mut self, name: &str, len: u64) -> io::Result<()> {
-        self.operate(|d| {
-            d.file(name)?.now.truncate(len as usize);
+        self.run_operation(|d| {
+            d.file(name)?.contents.truncate(len as usize);
             Ok(())
         })
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        self.operate(|d| {
+        self.run_operation(|d| {
             d.syncs += 1;
             let f = d.file(name)?;
-            f.synced = f.now.clone();
+            f.synced = f.contents.clone();
             Ok(())
         })
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.operate(|d| {
+        self.run_operation(|d| {
             let i = d.names.remove(from);
             let i = i.ok_or_else(|| io::Error::from(io::ErrorKind::NotFound))?;
             d.names.insert(to.to_string(), i);
@@ -173,7 +175,7 @@
     }
 
     fn sync_names(&mut self) -> io::Result<()> {
-        self.operate(|d| {
+        self.run_operation(|d| {
             d.synced_names = d.names.clone();
             Ok(())
         })
--- a/crates/deckwind-store/src/fs_disk.rs
+++ b/crates/deckwind-store/src/fs_disk.rs
@@ -1,4 +1,4 @@
-//! The real disk: files of one folder, locked by one process.
+//! Disk on the file system: files of one folder, locked by one process.
 
 use crate::disk::Disk;
 use anyhow::{Context, anyhow};
@@ -7,49 +7,50 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// A data folder. The lock lasts as long as this does, so no second daemon can
-/// write beside this one, and the same one can open the folder again.
+/// Data folder on the file system. The folder is locked until this value is dropped:
+/// no second daemon can write to it meanwhile, and the same daemon can open it again
+/// afterwards.
 pub struct FsDisk {
     folder: PathBuf,
     _lock: File,
-    open: BTreeMap<String, File>,
+    open_files: BTreeMap<String, File>,
 }
 
 const LOCK: &str = "lock";
 
 impl FsDisk {
-    /// Opens a folder, which is made if need be, and locks it.
+    /// Opens and locks a folder, creating it if it does not exist.
     pub fn open(folder: &Path) -> anyhow::Result<Self> {
-        let place = || format!("data folder {}", folder.display());
-        fs::create_dir_all(folder).with_context(place)?;
+        let context = || format!("data folder {}", folder.display());
+        fs::create_dir_all(folder).with_context(context)?;
         let lock = OpenOptions::new()
             .create(true)
             .truncate(false)
             .write(true)
             .open(folder.join(LOCK))
-            .with_context(place)?;
+            .with_context(context)?;
         let locked = lock.try_lock().map_err(|_| {
             anyhow!(
                 "another deckwindd uses this folder; stop it or set another control.data_folder"
             )
         });
-        locked.with_context(place)?;
+        locked.with_context(context)?;
         Ok(Self {
             folder: folder.to_path_buf(),
             _lock: lock,
-            open: BTreeMap::new(),
+            open_files: BTreeMap::new(),
         })
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
-        if !self.open.contains_key(name) {
+        if !self.open_files.contains_key(name) {
             let file = OpenOptions::new()
                 .append(true)
                 .read(true)
                 .open(self.folder.join(name))?;
-            self.open.insert(name.to_string(), file);
+            self.open_files.insert(name.to_string(), file);
         }
-        Ok(self.open.get_mut(name).expect("just opened"))
+        Ok(self.open_files.get_mut(name).expect("file is open"))
     }
 }
 
@@ -63,7 +64,7 @@
     }
 
     fn create(&mut self, name: &str) -> io::Result<()> {
-        self.open.remove(name);
+        self.open_files.remove(name);
         File::create(self.folder.join(name))?;
         Ok(())
     }
@@ -81,8 +82,8 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        self.open.remove(from);
-        self.open.remove(to);
+        self.open_files.remove(from);
+        self.open_files.remove(to);
         fs::rename(self.folder.join(from), self.folder.join(to))
     }
 
--- a/crates/deckwind-store/src/lib.rs
+++ b/crates/deckwind-store/src/lib.rs
@@ -1,20 +1,20 @@
-//! The replica's log and snapshots under one data folder.
+//! Durable storage of a control replica's log and snapshots in a data folder.
 //!
-//! For: keeping what [`deckwind_core::replication`] asks to be kept, so that it
-//! is there after any crash. Not for: anything a router knows.
+//! The crate stores what [`deckwind_core::replication`] requires to survive a crash.
+//! Routers store nothing here.
 //!
 //! ```text
 //!  data folder
-//!  ├ identity       which replica this folder is; written once
+//!  ├ identity       identifier of the replica; written once
 //!  ├ snapshot       state up to an entry; replaced as a whole
-//!  ├ log            records after it, one a batch: magic, length, CRC-32, body
-//!  └ lock           held by the one daemon that uses the folder
+//!  ├ log            one record per batch after it: magic, length, CRC-32, body
+//!  └ lock           locked by the daemon that uses the folder
 //! ```
 //!
-//! A batch is one record and one sync. A record that was cut short by a crash
-//! is the last one: it was never acknowledged, and is cut off. A damaged record
-//! with a good one behind it was once synced: the disk lost what it had
-//! promised, and [`Store::open`] refuses with the file and place.
+//! A batch is written as one record with one sync. A record torn by a crash is the
+//! last one and was never acknowledged, so [`Store::open`] truncates it. A damaged
+//! record followed by a valid one had been synced, so the disk has lost synced data:
+//! [`Store::open`] then fails with the file and the offset.
 
 mod disk;
 mod fs_disk;
--- a/crates/deckwind-store/src/record.rs
+++ b/crates/deckwind-store/src/record.rs
@@ -1,17 +1,18 @@
-//! Records: magic, length, CRC-32, body.
+//! Encoding of records: magic number, length, CRC-32 and body.
 
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Starts every record; lets damage in the middle be told from a torn end.
+/// Magic number at the start of every record. Makes it possible to find valid records
+/// after a damaged one, and so to distinguish damage from a torn last record.
 const MAGIC: [u8; 4] = *b"dwr1";
 
-/// Magic, length and checksum.
-const HEADER: usize = 12;
+/// Length of the header in bytes: magic number, length and checksum.
+const HEADER_LEN: usize = 12;
 
-/// A value as a record.
+/// Encodes a value as a record.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     let body = postcard::to_stdvec(value).expect("records always serialize");
-    let mut out = Vec::with_capacity(HEADER + body.len());
+    let mut out = Vec::with_capacity(HEADER_LEN + body.len());
     out.extend(MAGIC);
     out.extend((body.len() as u32).to_le_bytes());
     out.extend(crc32fast::hash(&body).to_le_bytes());
@@ -19,29 +20,32 @@
     out
 }
 
-/// The body of the record at `at`, if it is whole and right.
+/// Returns the body of the record at offset `at`, if the record is complete and its
+/// checksum matches.
 fn body_at(bytes: &[u8], at: usize) -> Option<&[u8]> {
-    let header = bytes.get(at..at + HEADER)?;
+    let header = bytes.get(at..at + HEADER_LEN)?;
     if header[..4] != MAGIC {
         return None;
     }
-    let word =
+    let u32_at =
         |i: usize| u32::from_le_bytes([header[i], header[i + 1], header[i + 2], header[i + 3]]);
-    let start = at + HEADER;
-    let body = bytes.get(start..start.checked_add(word(4) as usize)?)?;
-    (crc32fast::hash(body) == word(8)).then_some(body)
+    let start = at + HEADER_LEN;
+    let body = bytes.get(start..start.checked_add(u32_at(4) as usize)?)?;
+    (crc32fast::hash(body) == u32_at(8)).then_some(body)
 }
 
-/// What a file of records holds.
+/// Contents of a file of records.
 pub struct Records<T> {
-    /// The records, first to last.
+    /// Decoded records, in the order of the file.
     pub values: Vec<T>,
-    /// Where they end; what follows is a torn record.
+    /// Offset at which the valid records end. Any bytes after it are a torn record.
     pub end: usize,
 }
 
-/// Reads all records, or answers with the place of one that is damaged though
-/// a good one stands behind it.
+/// Reads all records of a file.
+///
+/// # Errors
+/// Returns the offset of a damaged record that is followed by a valid one.
 pub fn read_all<T: DeserializeOwned>(bytes: &[u8]) -> Result<Records<T>, usize> {
     let mut values = Vec::new();
     let mut at = 0;
@@ -52,15 +56,15 @@
             break;
         };
         values.push(value);
-        at += HEADER + len;
+        at += HEADER_LEN + len;
     }
-    if good_record_after(bytes, at) {
+    if has_valid_record_after(bytes, at) {
         return Err(at);
     }
     Ok(Records { values, end: at })
 }
 
-fn good_record_after(bytes: &[u8], at: usize) -> bool {
-    (at + 1..bytes.len().saturating_sub(HEADER))
+fn has_valid_record_after(bytes: &[u8], at: usize) -> bool {
+    (at + 1..bytes.len().saturating_sub(HEADER_LEN))
         .any(|i| bytes[i..i + 4] == MAGIC && body_at(bytes, i).is_some())
 }
--- a/crates/deckwind-store/src/store.rs
+++ b/crates/deckwind-store/src/store.rs
@@ -1,4 +1,4 @@
-//! Opening, writing, syncing and compacting.
+//! Opening a data folder, and writing, syncing and compacting its log.
 
 use crate::disk::Disk;
 use crate::record;
@@ -11,16 +11,16 @@
 const SNAPSHOT: &str = "snapshot";
 const LOG: &str = "log";
 
-/// Added to a name while the file is being made.
-const NEW: &str = ".new";
+/// Suffix of the name of a file that is being written and will replace another one.
+const TEMP_SUFFIX: &str = ".new";
 
-/// Why a data folder can't be used.
+/// Error of opening, reading or writing a data folder.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The disk failed.
+    /// A file operation failed.
     #[error("the data folder can't be read or written: {0}")]
     Io(#[from] io::Error),
-    /// What was synced is no longer what it was.
+    /// Synced data is damaged or missing.
     #[error(
         "{file}: damaged at byte {at}, with good records behind it: the disk lost what it had \
          synced. Move the data folder away and start again: the replica comes back with a new \
@@ -29,10 +29,10 @@
     Damaged {
         /// File in the data folder.
         file: &'static str,
-        /// Where.
+        /// Offset of the damage in bytes.
         at: usize,
     },
-    /// The folder is another replica's.
+    /// The folder belongs to a replica with another slot.
     #[error(
         "identity: the folder belongs to slot {found}, the settings say slot {wanted}; give each \
          replica its own control.data_folder"
@@ -45,11 +45,11 @@
     },
 }
 
-/// One batch in the log.
+/// Batch of writes, stored as one record of the log.
 #[derive(Serialize, Deserialize)]
 struct Batch {
     hard_state: Option<HardState>,
-    /// Take the place of whatever stood at or after the first of them.
+    /// Entries. They replace all earlier ones at or after the index of the first.
     entries: Vec<Entry>,
 }
 
@@ -59,22 +59,22 @@
     data: Vec<u8>,
 }
 
-/// What a data folder held.
+/// Contents of a data folder when it was opened.
 #[derive(Debug)]
 pub struct Opened {
-    /// Which replica it is.
+    /// Identifier of the replica.
     pub id: ReplicaId,
     /// Whether the folder was new.
     pub fresh: bool,
-    /// For [`deckwind_core::replication::Replica::new`].
+    /// State to pass to [`deckwind_core::replication::Replica::new`].
     pub stored: Stored,
-    /// The state in the snapshot; nothing if there is none.
+    /// Encoded state in the snapshot, if there is one.
     pub snapshot: Option<Vec<u8>>,
-    /// Bytes of a torn record that were cut off.
+    /// Number of bytes of a torn record that were truncated.
     pub cut_bytes: usize,
 }
 
-/// An open data folder.
+/// Open data folder.
 pub struct Store {
     disk: Box<dyn Disk>,
     batch: Batch,
@@ -84,19 +84,19 @@
 }
 
 impl Store {
-    /// Opens a folder. `fresh` is the id that a new folder gets.
+    /// Opens a data folder. `fresh` is the identifier that a new folder gets.
     pub fn open(mut disk: Box<dyn Disk>, fresh: ReplicaId) -> Result<(Self, Opened), StoreError> {
         let (id, is_fresh) = open_identity(disk.as_mut(), fresh)?;
-        let snapshot: Option<Snapshot> = read_one(disk.as_ref(), SNAPSHOT)?;
+        let snapshot: Option<Snapshot> = read_single_record(disk.as_ref(), SNAPSHOT)?;
         let (batches, end, cut_bytes) = open_log(disk.as_mut())?;
         let mut stored = Stored::default();
-        let mut data = None;
+        let mut snapshot_data = None;
         if let Some(s) = snapshot {
             stored.snapshot = s.meta;
-            data = Some(s.data);
+            snapshot_data = Some(s.data);
         }
         for batch in batches {
-            add_batch(&mut stored, batch);
+            apply_batch(&mut stored, batch);
         }
         let base = stored.snapshot.last.index;
         stored.entries.retain(|e| e.at.index > base);
@@ -111,41 +111,42 @@
             id,
             fresh: is_fresh,
             stored,
-            snapshot: data,
+            snapshot: snapshot_data,
             cut_bytes,
         };
         Ok((store, opened))
     }
 
-    /// The state in the snapshot, read back.
+    /// Reads the encoded state in the snapshot, if there is one.
     pub fn read_snapshot(&self) -> Result<Option<Vec<u8>>, StoreError> {
-        let snapshot: Option<Snapshot> = read_one(self.disk.as_ref(), SNAPSHOT)?;
+        let snapshot: Option<Snapshot> = read_single_record(self.disk.as_ref(), SNAPSHOT)?;
         Ok(snapshot.map(|s| s.data))
     }
 
-    /// Bytes of the log file.
+    /// Returns the size of the log file in bytes.
     pub fn log_bytes(&self) -> u64 {
         self.log_bytes
     }
 
-    /// Syncs of the log since it was opened.
+    /// Returns the number of batches that were synced to the log since it was opened.
     pub fn syncs(&self) -> u64 {
         self.syncs
     }
 
-    /// Adds term and vote to the batch.
+    /// Adds term, vote and cluster to the batch.
     pub fn put_hard_state(&mut self, hard_state: HardState) {
         self.batch.hard_state = Some(hard_state);
         self.dirty = true;
     }
 
-    /// Adds entries to the batch; they replace what stands at or after the first.
+    /// Adds entries to the batch. They replace all earlier ones at or after the index of
+    /// the first.
     pub fn put_entries(&mut self, entries: Vec<Entry>) {
-        push_entries(&mut self.batch.entries, entries);
+        replace_from_first(&mut self.batch.entries, entries);
         self.dirty = true;
     }
 
-    /// Writes and syncs the batch, if there is anything in it.
+    /// Writes and syncs the batch, unless it is empty.
     pub fn commit(&mut self) -> Result<(), StoreError> {
         if !self.dirty {
             return Ok(());
@@ -160,26 +161,27 @@
         Ok(())
     }
 
-    /// Writes a snapshot, then a log that starts after it. A crash between the
-    /// two leaves the old log, whose entries the snapshot covers are skipped.
+    /// Writes a snapshot, then a new log that starts after it. After a crash between the
+    /// two, the old log is still in place; [`Store::open`] skips the entries in it that
+    /// the snapshot covers.
     pub fn compact(
         &mut self,
         meta: SnapshotMeta,
         data: Vec<u8>,
         hard_state: HardState,
-        rest: Vec<Entry>,
+        remaining: Vec<Entry>,
     ) -> Result<(), StoreError> {
-        replace(
+        replace_file(
             self.disk.as_mut(),
             SNAPSHOT,
             &record::encode(&Snapshot { meta, data }),
         )?;
         let first = Batch {
             hard_state: Some(hard_state),
-            entries: rest,
+            entries: remaining,
         };
         let bytes = record::encode(&first);
-        replace(self.disk.as_mut(), LOG, &bytes)?;
+        replace_file(self.disk.as_mut(), LOG, &bytes)?;
         self.log_bytes = bytes.len() as u64;
         self.batch = Batch::empty();
         self.dirty = false;
@@ -196,7 +198,7 @@
     }
 }
 
-fn push_entries(all: &mut Vec<Entry>, entries: Vec<Entry>) {
+fn replace_from_first(all: &mut Vec<Entry>, entries: Vec<Entry>) {
     if let Some(first) = entries.first() {
         let from = first.at.index;
         while all.last().is_some_and(|e| e.at.index >= from) {
@@ -206,15 +208,17 @@
     all.extend(entries);
 }
 
-fn add_batch(stored: &mut Stored, batch: Batch) {
+fn apply_batch(stored: &mut Stored, batch: Batch) {
     if let Some(h) = batch.hard_state {
         stored.hard_state = h;
     }
-    push_entries(&mut stored.entries, batch.entries);
+    replace_from_first(&mut stored.entries, batch.entries);
 }
 
+/// Returns the identifier in the folder and whether the folder is new. A new folder
+/// gets an empty log and the identifier `fresh`.
 fn open_identity(disk: &mut dyn Disk, fresh: ReplicaId) -> Result<(ReplicaId, bool), StoreError> {
-    if let Some(id) = read_one::<ReplicaId>(disk, IDENTITY)? {
+    if let Some(id) = read_single_record::<ReplicaId>(disk, IDENTITY)? {
         if id.slot != fresh.slot {
             return Err(StoreError::OtherSlot {
                 found: id.slot,
@@ -223,26 +227,29 @@
         }
         return Ok((id, false));
     }
-    replace(disk, LOG, &[])?;
-    replace(disk, IDENTITY, &record::encode(&fresh))?;
+    replace_file(disk, LOG, &[])?;
+    replace_file(disk, IDENTITY, &record::encode(&fresh))?;
     Ok((fresh, true))
 }
 
+/// Reads the log and truncates a torn last record. Returns the batches, the size of
+/// the log and the number of bytes truncated.
 fn open_log(disk: &mut dyn Disk) -> Result<(Vec<Batch>, usize, usize), StoreError> {
     let bytes = disk
         .read(LOG)?
         .ok_or(StoreError::Damaged { file: LOG, at: 0 })?;
     let records = record::read_all(&bytes).map_err(|at| StoreError::Damaged { file: LOG, at })?;
-    let cut = bytes.len() - records.end;
-    if cut > 0 {
+    let torn_bytes = bytes.len() - records.end;
+    if torn_bytes > 0 {
         disk.truncate(LOG, records.end as u64)?;
         disk.sync(LOG)?;
     }
-    Ok((records.values, records.end, cut))
+    Ok((records.values, records.end, torn_bytes))
 }
 
-/// Reads a file that is one record and was put in place as a whole.
-fn read_one<T: for<'de> Deserialize<'de>>(
+/// Reads a file that consists of one record. Such files are replaced as a whole, so a
+/// torn record in one is damage.
+fn read_single_record<T: for<'de> Deserialize<'de>>(
     disk: &dyn Disk,
     file: &'static str,
 ) -> Result<Option<T>, StoreError> {
@@ -258,12 +265,12 @@
     }
 }
 
-/// Puts a file in place as a whole: a crash leaves the old one or the new one.
-fn replace(disk: &mut dyn Disk, name: &str, bytes: &[u8]) -> io::Result<()> {
-    let new = format!("{name}{NEW}");
-    disk.create(&new)?;
-    disk.append(&new, bytes)?;
-    disk.sync(&new)?;
-    disk.rename(&new, name)?;
+/// Replaces a file atomically: after a crash, either the old or the new one is there.
+fn replace_file(disk: &mut dyn Disk, name: &str, bytes: &[u8]) -> io::Result<()> {
+    let temp = format!("{name}{TEMP_SUFFIX}");
+    disk.create(&temp)?;
+    disk.append(&temp, bytes)?;
+    disk.sync(&temp)?;
+    disk.rename(&temp, name)?;
     disk.sync_names()
 }
--- a/crates/deckwind-wire/src/codec.rs
+++ b/crates/deckwind-wire/src/codec.rs
@@ -1,42 +1,48 @@
-//! Version byte and postcard body.
+//! Encoding of messages: a version byte and a postcard body.
 
 use serde::{Serialize, de::DeserializeOwned};
 use thiserror::Error;
 
-/// Version of the messages; goes up with every change of their form.
-pub const VERSION: u8 = 7;
+/// Version of the message format. Incremented with every change of the format.
+pub const PROTOCOL_VERSION: u8 = 7;
 
-/// Longest message, bytes: a snapshot is the longest.
+/// Maximum size of a message in bytes. Snapshots are the largest messages.
 pub const MAX_MESSAGE: usize = 64 * 1024 * 1024;
 
-/// Why a message can't be read.
+/// Error of decoding a message.
 #[derive(Debug, PartialEq, Error)]
 pub enum CodecError {
-    /// No byte at all.
+    /// The message has no version byte.
     #[error("the message is empty")]
     Empty,
-    /// Another version's message.
-    #[error("the message has version {found}, this process speaks {VERSION}; update the older one")]
+    /// The message has another version.
+    #[error(
+        "the message has version {found}, this process speaks {PROTOCOL_VERSION}; update the older one"
+    )]
     Version {
-        /// Version found.
+        /// Version of the message.
         found: u8,
     },
-    /// The body does not fit its type.
+    /// The body can't be decoded as the expected type.
     #[error("the message's body is damaged: {0}")]
     Body(#[from] postcard::Error),
 }
 
-/// A message as bytes.
+/// Encodes a message.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
-    let mut out = vec![VERSION];
+    let mut out = vec![PROTOCOL_VERSION];
     out.extend(postcard::to_stdvec(message).expect("messages always serialize"));
     out
 }
 
-/// A message out of bytes.
+/// Decodes a message.
+///
+/// # Errors
+/// Returns an error if the message is empty, has another version or a body that can't be
+/// decoded.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, CodecError> {
     let (version, body) = bytes.split_first().ok_or(CodecError::Empty)?;
-    if *version != VERSION {
+    if *version != PROTOCOL_VERSION {
         return Err(CodecError::Version { found: *version });
     }
     Ok(postcard::from_bytes(body)?)
--- a/crates/deckwind-wire/src/lib.rs
+++ b/crates/deckwind-wire/src/lib.rs
@@ -1,14 +1,15 @@
 //! Typed messages between deckwind's processes.
 //!
-//! For: routers and control replicas talking to each other, over QUIC streams.
-//! Not for: callers, targets, the platform or operators, who are met by HTTP.
+//! Routers and control replicas exchange these messages over QUIC streams. Callers,
+//! targets, the platform and operators are reached over HTTP instead; only the JSON
+//! answers for operators are defined here, in [`operator`].
 //!
-//! Each message is one version byte and a postcard body. A receiver that does
-//! not know the version says so and drops the stream; nothing is guessed.
+//! Each message consists of a version byte and a postcard body. A receiver logs a
+//! message of another version as an error and drops its stream; there is no fallback.
 
 mod codec;
 pub mod operator;
 
-pub use codec::{CodecError, MAX_MESSAGE, VERSION, decode, encode};
+pub use codec::{CodecError, MAX_MESSAGE, PROTOCOL_VERSION, decode, encode};
 pub use deckwind_core::control::{ControlReply, ControlRequest, Grant, PeerMessage, Renewal};
 pub use deckwind_core::replication::Message;
--- a/crates/deckwind-wire/src/operator.rs
+++ b/crates/deckwind-wire/src/operator.rs
@@ -1,44 +1,44 @@
-//! JSON between the operators' command line and the control replicas.
+//! JSON answers of the control replicas to the operators' command line.
 
 use deckwind_core::state::{Rejection, Revision, VmName};
 use serde::{Deserialize, Serialize};
 
-/// A change was accepted.
+/// Answer to a change that was accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AppliedAnswer {
-    /// As this revision.
+    /// Revision of the accepted change.
     pub revision: Revision,
-    /// Whether it is in force on every router.
+    /// Whether the revision is in force on every router.
     pub in_force: bool,
-    /// Routers that may still act on an older one.
+    /// Routers that may still act on an older revision.
     pub lagging: Vec<VmName>,
 }
 
-/// A change was not accepted.
+/// Answer to a change that was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RejectedAnswer {
-    /// For people.
+    /// Human-readable reason.
     pub message: String,
-    /// For programs.
+    /// Machine-readable reason.
     pub rejection: Rejection,
 }
 
-/// Another replica leads.
+/// Answer of a replica that is not the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NotLeaderAnswer {
-    /// Its slot, where known.
+    /// Slot of the leader, if known.
     pub leader: Option<u32>,
 }
 
-/// Something else went wrong.
+/// Answer for any other error.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorAnswer {
-    /// What, and what to do next.
+    /// Description of the error and of what to do about it.
     pub error: String,
 }
 
 impl ErrorAnswer {
-    /// With a text.
+    /// Creates an answer with an error text.
     pub fn new(error: &str) -> Self {
         Self {
             error: error.to_string(),
