--- a/crates/deckwindd/src/router/routes/delivery.rs
+++ b/crates/deckwindd/src/router/routes/delivery.rs
@@ -322,14 +322,22 @@
         let mut queue = self.delivery.lock();
         let taken = std::mem::take(&mut queue.handed_over);
         queue.bytes -= taken;
-        let polled = match (queue.chunks.pop_front(), &queue.disconnect_reason, &queue.end) {
-            (_, Some(disconnect_reason), _) => Poll::Ready(Some(Err(disconnect_reason.code().into()))),
+        let polled = match (
+            queue.chunks.pop_front(),
+            &queue.disconnect_reason,
+            &queue.end,
+        ) {
+            (_, Some(disconnect_reason), _) => {
+                Poll::Ready(Some(Err(disconnect_reason.code().into())))
+            }
             (Some(chunk), ..) => {
                 queue.handed_over = chunk.len() as u64 + CHUNK_OVERHEAD;
                 Poll::Ready(Some(Ok(chunk)))
             }
             (None, None, Some(AnswerEnd::Whole)) => Poll::Ready(None),
-            (None, None, Some(AnswerEnd::Broken(why))) => Poll::Ready(Some(Err(why.clone().into()))),
+            (None, None, Some(AnswerEnd::Broken(why))) => {
+                Poll::Ready(Some(Err(why.clone().into())))
+            }
             (None, None, None) => {
                 if !queue
                     .waker
--- a/crates/deckwindd/src/router/routes/http_server.rs
+++ b/crates/deckwindd/src/router/routes/http_server.rs
@@ -1,10 +1,10 @@
 //! HTTP/1.1 server for callers of published routes.
 
 use super::delivery::Recipient;
-use super::target_notices::AnswerSource;
 use super::held_bytes::{Deliveries, HeldBytes, Side};
 use super::permits::NoPermit;
 use super::responses::{BodyError, Failure, RouteBody, full_body, strip_connection_headers};
+use super::target_notices::AnswerSource;
 use super::{non_streaming, opening};
 use crate::collect::{CollectError, collect};
 use crate::router::shared::RouterShared;
@@ -133,7 +133,9 @@
     /// If no permit is available.
     pub async fn acquire_permit(&self, choice: &Choice) -> Result<Option<Permit>, NoPermit> {
         let routes = &self.shared.routes;
-        routes.acquire_permit(&self.head.id, &choice.limit_key()).await
+        routes
+            .acquire_permit(&self.head.id, &choice.limit_key())
+            .await
     }
 
     /// Whether the chosen target accepts nothing new by now, or nothing without a valid
--- a/crates/deckwindd/src/router/routes/non_streaming.rs
+++ b/crates/deckwindd/src/router/routes/non_streaming.rs
@@ -3,10 +3,10 @@
 
 use super::delivery;
 use super::held_bytes::{HeldBytes, Side};
-use super::reservation::Reservation;
+use super::http_server::Job;
 use super::permits::NoPermit;
+use super::reservation::Reservation;
 use super::responses::{Failure, RouteBody, strip_connection_headers};
-use super::http_server::Job;
 use super::target_run::{RunEnd, TargetRun};
 use crate::collect::collect;
 use bytes::Bytes;
@@ -319,7 +319,9 @@
         };
         match told(self.job.route.kind, outcome) {
             Told::NotRun => return Err(AttemptError::NotRun),
-            Told::MayHaveRun => return Err(AttemptError::MayHaveRun(Failure::without_guarantee(status))),
+            Told::MayHaveRun => {
+                return Err(AttemptError::MayHaveRun(Failure::without_guarantee(status)));
+            }
             Told::PassOn => {}
         }
         if status.is_success() && (!answer.signed || answer.encoded) {
@@ -366,7 +368,9 @@
     match result {
         Ok(answered) if answered.status.is_success() => RunEnd::Served,
         Ok(_) => RunEnd::Failed,
-        Err(AttemptError::Blocked | AttemptError::Unreachable(_) | AttemptError::NotRun) => RunEnd::NotRun,
+        Err(AttemptError::Blocked | AttemptError::Unreachable(_) | AttemptError::NotRun) => {
+            RunEnd::NotRun
+        }
         Err(AttemptError::MayHaveRun(Failure::Late)) => RunEnd::Abandoned,
         Err(AttemptError::MayHaveRun(_)) => RunEnd::Broke,
     }
--- a/crates/deckwindd/src/router/routes/opening/attempt.rs
+++ b/crates/deckwindd/src/router/routes/opening/attempt.rs
@@ -1,11 +1,11 @@
 //! One attempt: sends a request to one target, and reads the head of its answer.
 
 use super::super::held_bytes::{HeldBytes, Side};
-use super::super::reservation::Reservation;
 use super::super::permits::NoPermit;
+use super::super::reservation::Reservation;
 use super::super::responses::strip_connection_headers;
 use super::super::target_run::{RunEnd, TargetRun};
-use super::{OpenedStream, StreamOpener, OpenOutcome};
+use super::{OpenOutcome, OpenedStream, StreamOpener};
 use crate::collect::collect;
 use deckwind_core::routes::{Came, Choice, Told, told};
 use deckwind_net::targets::{TargetConnection, TargetError};
@@ -83,7 +83,10 @@
                 next_check = Instant::now() + DOWN_CHECK_INTERVAL;
                 if sent.elapsed() >= REPORT_AFTER {
                     let routes = &shared.routes;
-                    routes.stall_reports.request_report(routes, shared.clock, reservation.first()).await;
+                    routes
+                        .stall_reports
+                        .request_report(routes, shared.clock, reservation.first())
+                        .await;
                 }
                 // Without a retry the request stays where it is: it may still be run
                 // there, or be refused as not run.
@@ -141,7 +144,9 @@
             .callers
             .read_answer(head.status, &head.headers);
         if answer.id.as_ref().is_some_and(|id| *id != self.job.head.id) {
-            return Err(AttemptError::Broken("the answer is another request's".to_string()));
+            return Err(AttemptError::Broken(
+                "the answer is another request's".to_string(),
+            ));
         }
         let outcome = match answer.not_run {
             true => Came::NotRun(head.status.as_u16()),
@@ -191,7 +196,9 @@
 /// Returns how the target's run of a failed attempt has ended.
 fn run_end(error: &AttemptError) -> RunEnd {
     match error {
-        AttemptError::Blocked | AttemptError::Unreachable(_) | AttemptError::NotRun(_) => RunEnd::NotRun,
+        AttemptError::Blocked | AttemptError::Unreachable(_) | AttemptError::NotRun(_) => {
+            RunEnd::NotRun
+        }
         AttemptError::Stalled => RunEnd::Abandoned,
         AttemptError::Broken(_) => RunEnd::Broke,
         AttemptError::NoGuarantee(_) => RunEnd::Failed,
--- a/crates/deckwindd/src/router/routes/opening/mod.rs
+++ b/crates/deckwindd/src/router/routes/opening/mod.rs
@@ -5,10 +5,10 @@
 mod attempt;
 
 use super::delivery;
-use super::reservation::Reservation;
+use super::http_server::Job;
 use super::relay;
+use super::reservation::Reservation;
 use super::responses::{Failure, RouteBody};
-use super::http_server::Job;
 use super::target_run::TargetRun;
 use attempt::AttemptError;
 use bytes::Bytes;
@@ -137,7 +137,11 @@
             let choice = self.choose_target().map_err(final_failure)?;
             self.chosen_at = Instant::now();
             if self.job.time_left().is_zero() {
-                return Err(if may_have_run { Failure::Late } else { Failure::NoTime });
+                return Err(if may_have_run {
+                    Failure::Late
+                } else {
+                    Failure::NoTime
+                });
             }
             if !self.job.has_lease() {
                 return Err(final_failure(Failure::NoLease));
@@ -157,12 +161,17 @@
                 Err(error) => error,
             };
             is_retry = !matches!(error, AttemptError::Unreachable(_)) || is_retry;
-            may_have_run |= !matches!(error, AttemptError::Unreachable(_) | AttemptError::NotRun(_));
+            may_have_run |= !matches!(
+                error,
+                AttemptError::Unreachable(_) | AttemptError::NotRun(_)
+            );
             let handled = self.handle_failure(choice.address, error);
             // Refusals after an attempt that may have run don't guarantee that the
             // request has not run.
             handled.map_err(|failure| match failure {
-                Failure::Refused if may_have_run => Failure::NotSentAgain(failure.code().to_string()),
+                Failure::Refused if may_have_run => {
+                    Failure::NotSentAgain(failure.code().to_string())
+                }
                 other => other,
             })?;
         }
@@ -187,7 +196,9 @@
             }
             let routes = &self.job.shared.routes;
             let may_be_granted = routes.retry_may_be_granted(&self.job.pool.name, self.claim());
-            if !(is_new && may_be_granted) || tokio::time::timeout_at(deadline, granted).await.is_err() {
+            if !(is_new && may_be_granted)
+                || tokio::time::timeout_at(deadline, granted).await.is_err()
+            {
                 return false;
             }
         }
--- a/crates/deckwindd/src/router/routes/permits.rs
+++ b/crates/deckwindd/src/router/routes/permits.rs
@@ -86,7 +86,11 @@
         if !self.book().limits.is_limited(target) {
             return Ok(None);
         }
-        let verdict = self.permits.enqueue(target).await.unwrap_or(Verdict::Denied);
+        let verdict = self
+            .permits
+            .enqueue(target)
+            .await
+            .unwrap_or(Verdict::Denied);
         let outcome = match verdict {
             Verdict::NotNeeded => return Ok(None),
             Verdict::Permitted(_) => "permitted",
@@ -138,7 +142,9 @@
         wait: Duration,
     ) {
         if waiters.len() > 0 {
-            self.book().limits.denied(now, target, wait.max(DENIED_BACKOFF));
+            self.book()
+                .limits
+                .denied(now, target, wait.max(DENIED_BACKOFF));
         }
         waiters.for_each(|w| send_verdict(w, Verdict::Denied));
     }
@@ -159,12 +165,12 @@
         tokio::time::sleep(BATCH_WINDOW).await;
         let waiting = routes.permits.take_all();
         if !waiting.is_empty() {
-            request_permits(&shared, waiting).await;
+            send_permit_request(&shared, waiting).await;
         }
     }
 }
 
-async fn request_permits(shared: &RouterShared, waiting: BTreeMap<LimitKey, Vec<Waiter>>) {
+async fn send_permit_request(shared: &RouterShared, waiting: BTreeMap<LimitKey, Vec<Waiter>>) {
     let routes = &shared.routes;
     let asked = shared.clock.now();
     let mut requests = Vec::new();
--- a/crates/deckwindd/src/router/routes/relay/mod.rs
+++ b/crates/deckwindd/src/router/routes/relay/mod.rs
@@ -4,7 +4,7 @@
 mod reroute;
 
 use super::delivery::{self, DisconnectReason, Outbox};
-use super::opening::{OpenedStream, StreamOpener, OpenOutcome};
+use super::opening::{OpenOutcome, OpenedStream, StreamOpener};
 use super::responses::{Failure, RouteBody, strip_connection_headers};
 use super::target_run::{RunEnd, TargetRun};
 use bytes::Bytes;
@@ -244,10 +244,15 @@
                     }
                     if last_event_at.elapsed() >= REPORT_AFTER {
                         let routes = &shared.routes;
-                        routes.stall_reports.request_report(routes, shared.clock, reservation.first()).await;
+                        routes
+                            .stall_reports
+                            .request_report(routes, shared.clock, reservation.first())
+                            .await;
                     }
                     if reservation.is_unreliable()
-                        && let Some(next) = self.reroute_failing(&mut reservation, last_event_at, watch.as_ref()).await
+                        && let Some(next) = self
+                            .reroute_failing(&mut reservation, last_event_at, watch.as_ref())
+                            .await
                     {
                         return SegmentEnd::Moved(next);
                     }
@@ -255,7 +260,10 @@
                     continue;
                 }
                 () = should_move(watch.as_ref()) => {
-                    if let Some(next) = self.reroute_failing(&mut reservation, last_event_at, watch.as_ref()).await {
+                    if let Some(next) = self
+                        .reroute_failing(&mut reservation, last_event_at, watch.as_ref())
+                        .await
+                    {
                         return SegmentEnd::Moved(next);
                     }
                     continue;
--- a/crates/deckwindd/src/router/routes/relay/reroute.rs
+++ b/crates/deckwindd/src/router/routes/relay/reroute.rs
@@ -1,9 +1,9 @@
 //! Moves a stream away from engines that fail or leave: over another path with the same
 //! first target, or to another target.
 
-use super::super::reservation::Reservation;
 use super::super::opening::OpenedStream;
-use super::super::stall_detection::{WatchedStreams, StreamWatch};
+use super::super::reservation::Reservation;
+use super::super::stall_detection::{StreamWatch, WatchedStreams};
 use super::Relay;
 use std::collections::HashSet;
 use std::time::Duration;
@@ -55,7 +55,11 @@
 impl Relay {
     /// Moves the stream to another path if a target on its path is about to leave,
     /// before the stream stalls.
-    pub(super) async fn reroute_leaving(&mut self, reservation: &mut Reservation, watch: Option<&StreamWatch>) {
+    pub(super) async fn reroute_leaving(
+        &mut self,
+        reservation: &mut Reservation,
+        watch: Option<&StreamWatch>,
+    ) {
         if Instant::now() < self.next_path_check {
             return;
         }
@@ -91,10 +95,17 @@
 
     /// Moves a stalled stream away from the targets that fail: over another path with
     /// the same first target, which costs no retry, or else to another target.
-    async fn reroute(&mut self, reservation: &Reservation, last_event_at: Instant, watch: Option<&StreamWatch>) -> Reroute {
+    async fn reroute(
+        &mut self,
+        reservation: &Reservation,
+        last_event_at: Instant,
+        watch: Option<&StreamWatch>,
+    ) -> Reroute {
         let is_first_unreliable = reservation.is_first_unreliable();
         record_pause_step("decided", last_event_at.elapsed());
-        if !is_first_unreliable && let Some(other) = self.change_path(reservation, last_event_at, watch).await {
+        if !is_first_unreliable
+            && let Some(other) = self.change_path(reservation, last_event_at, watch).await
+        {
             record_pause_step("changed", last_event_at.elapsed());
             return Reroute::Path(other);
         }
@@ -122,7 +133,9 @@
             // load meanwhile.
             let other = reservation.on_path(job, &path);
             let call = dialect.change_path(&job.head.id, &path.stages);
-            let called = routes.call_target(reservation.first(), &call, PATH_CHANGE_TIMEOUT).await;
+            let called = routes
+                .call_target(reservation.first(), &call, PATH_CHANGE_TIMEOUT)
+                .await;
             let (status, refused_by) = match &called {
                 Ok(reply) => (
                     reply.status.as_u16(),
--- a/crates/deckwindd/src/router/routes/stall_detection.rs
+++ b/crates/deckwindd/src/router/routes/stall_detection.rs
@@ -75,7 +75,9 @@
         let wake = Arc::new(Notify::new());
         let now = shared.clock.now();
         let mut inner = watched_streams.inner();
-        let key = inner.detector.begin(now, data_centre, reservation.addresses(), pause);
+        let key = inner
+            .detector
+            .begin(now, data_centre, reservation.addresses(), pause);
         let entry = Entry {
             wake: wake.clone(),
             request: request.to_string(),
@@ -169,7 +171,9 @@
     pub fn replace_path(&self, reservation: &Reservation) {
         let now = self.shared.clock.now();
         let mut inner = self.shared.routes.watched_streams.inner();
-        inner.detector.path_is(now, self.key, reservation.addresses());
+        inner
+            .detector
+            .path_is(now, self.key, reservation.addresses());
         if let Some(entry) = inner.streams.get_mut(&self.key) {
             entry.stages = reservation.stages().to_vec();
         }
@@ -201,7 +205,9 @@
     loop {
         let at = watched_streams.inner().detector.look_at();
         let now = shared.clock.now();
-        let at = at.unwrap_or(now + IDLE_CHECK_INTERVAL).max(last + MIN_CHECK_INTERVAL);
+        let at = at
+            .unwrap_or(now + IDLE_CHECK_INTERVAL)
+            .max(last + MIN_CHECK_INTERVAL);
         tokio::select! {
             () = tokio::time::sleep(at.since(now)) => {}
             () = watched_streams.check_due.notified() => {}
@@ -220,7 +226,13 @@
 /// Probes a stream's path by ordering its first engine to keep it as it is: the engine
 /// refuses if a stage is gone.
 async fn probe(shared: Arc<RouterShared>, key: StreamKey) {
-    let entry = shared.routes.watched_streams.inner().streams.get(&key).cloned();
+    let entry = shared
+        .routes
+        .watched_streams
+        .inner()
+        .streams
+        .get(&key)
+        .cloned();
     let Some(entry) = entry else {
         return;
     };
--- a/crates/deckwindd/src/router/routes/target_notices.rs
+++ b/crates/deckwindd/src/router/routes/target_notices.rs
@@ -70,15 +70,22 @@
     /// asks for, and no new ones once it says that it is leaving.
     fn apply_notice(&self, now: Instant, source: &AnswerSource, notice: &TargetNotice) {
         let AnswerSource {
-            address, life, in_reply_to, ..
+            address,
+            life,
+            in_reply_to,
+            ..
         } = source;
         if let Some(text) = &notice.unreadable_rest {
             metrics::counter!("deckwind_route_rests_unreadable_total").increment(1);
-            log::warn!("event=rest_unreadable target={address} life={life} to={in_reply_to} text={text:?}");
+            log::warn!(
+                "event=rest_unreadable target={address} life={life} to={in_reply_to} text={text:?}"
+            );
         }
         if let Some(text) = &notice.unreadable_limit {
             metrics::counter!("deckwind_route_limits_unreadable_total").increment(1);
-            log::warn!("event=limit_unreadable target={address} life={life} to={in_reply_to} text={text:?}");
+            log::warn!(
+                "event=limit_unreadable target={address} life={life} to={in_reply_to} text={text:?}"
+            );
         } else {
             self.record_limit(now, source, notice.limit);
         }
