--- a/crates/deckwindd/src/router/routes/http_server.rs
+++ b/crates/deckwindd/src/router/routes/http_server.rs
@@ -60,7 +60,8 @@
     pub parts: Parts,
     /// Body of the request.
     pub body: Bytes,
-    /// Digest of the request content, equal for each repetition by any caller.
+    /// Digest of method, URI, account and body: equal whenever the request is repeated,
+    /// whichever of the account's callers sends it.
     pub content: ContentDigest,
     /// Counts the body as buffered.
     _held: HeldBytes,
--- a/crates/deckwindd/src/router/routes/non_streaming.rs
+++ b/crates/deckwindd/src/router/routes/non_streaming.rs
@@ -191,8 +191,8 @@
             .target_failed(shared.clock.now(), address, TargetFault::Down, &why);
     }
 
-    /// Returns the failure of a request that targets refused: other targets may be
-    /// available for its caller's next attempt.
+    /// Returns the failure of a request that targets refused: [`Failure::NotTaken`] if
+    /// another target is available for its caller's next attempt, or else why none is.
     fn not_taken(&self) -> Failure {
         match self.choose_target() {
             Ok(_) => Failure::NotTaken,
