--- a/crates/deckwindd/src/router/routes/delivery.rs
+++ b/crates/deckwindd/src/router/routes/delivery.rs
@@ -1,11 +1,13 @@
-//! Answers that wait for their callers: an engine never waits for a caller.
+//! Buffers answers between targets and callers, so that an engine never waits for a
+//! slow caller.
 //!
-//! A relay pushes events as its engine makes them, the caller's connection takes
-//! them as the caller reads. What lies between is counted for each answer and for
-//! the router (`held`); past a bound the router cuts callers (`Deliveries`).
+//! A relay pushes events as its engine produces them, and the caller's connection takes
+//! them as the caller reads. The bytes in between are counted per answer and for the
+//! whole router (`held_bytes`); above a limit the router disconnects callers
+//! ([`Deliveries`]).
 
-use super::held::{Deliveries, Side};
-use super::route_answers::{BodyError, RouteBody};
+use super::held_bytes::{Deliveries, Side};
+use super::responses::{BodyError, RouteBody};
 use crate::router::shared::InProgress;
 use bytes::Bytes;
 use deckwind_core::routes::{AnswerKey, Behind};
@@ -19,120 +21,122 @@
 use tokio::sync::Notify;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Counted with each piece: its place in the queue (32 bytes) and the allocation
-/// behind it (a shared header and the allocator's own, some 64 bytes).
-const PIECE_COST: u64 = 96;
+/// Bytes counted in addition for each chunk: its slot in the queue (32 bytes) and the
+/// allocation behind it (a shared header and the allocator's own overhead, some 64
+/// bytes).
+const CHUNK_OVERHEAD: u64 = 96;
 
-/// A whole answer is handed to the connection in pieces of so many bytes, so that
-/// what a slow caller has not taken stays counted here.
-const SLICE: usize = 8 * 1024;
+/// Size in bytes of the chunks in which a whole answer is handed to the connection, so
+/// that what a slow caller has not taken stays counted here.
+const CHUNK_SIZE: usize = 8 * 1024;
 
-/// A whole answer up to this long is handed over at once: a connection buffers as
-/// much.
-const SMALL: usize = 2 * SLICE;
+/// Maximum length in bytes of a whole answer that is handed over at once: a connection
+/// buffers as much.
+const MAX_UNCHUNKED: usize = 2 * CHUNK_SIZE;
 
-/// For whom an answer is.
+/// The request and the account that an answer belongs to, and its deadline.
 pub struct Recipient<'a> {
     /// The request's id, for logs.
     pub request: &'a str,
-    /// The account that asks.
+    /// The account that sent the request.
     pub account: Option<&'a str>,
-    /// Until when its caller waits at most.
-    pub until: Instant,
+    /// Time until which its caller waits at most.
+    pub deadline: Instant,
 }
 
-/// Why nothing more can be delivered.
+/// Why nothing more can be delivered to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Gone {
+pub enum DisconnectReason {
     /// The caller closed its connection.
-    Left,
-    /// It was cut.
-    Cut,
+    ByCaller,
+    /// The router disconnected the caller.
+    ByRouter,
 }
 
-impl Gone {
-    /// Its name in logs.
+impl DisconnectReason {
+    /// Returns the name used in logs.
     pub fn code(self) -> &'static str {
         match self {
-            Gone::Left => "caller-left",
-            Gone::Cut => "caller-cut",
+            DisconnectReason::ByCaller => "caller-left",
+            DisconnectReason::ByRouter => "caller-cut",
         }
     }
 }
 
 /// How an answer ends.
-enum End {
+enum AnswerEnd {
     Whole,
     Broken(String),
 }
 
 #[derive(Default)]
 struct Queue {
-    pieces: VecDeque<Bytes>,
-    /// Of the pieces and of the one that was handed over last.
+    chunks: VecDeque<Bytes>,
+    /// Bytes of the queued chunks and of the one that was handed over last.
     bytes: u64,
-    /// Of the piece that was handed over last: the connection asks for the next
-    /// one when it has room.
-    handed: u64,
-    /// When the connection last took a piece, or the first one came.
-    since: Option<Instant>,
-    end: Option<End>,
-    gone: Option<Gone>,
+    /// Bytes of the chunk that was handed over last. They count until the connection
+    /// asks for the next one, which it does when it has space.
+    handed_over: u64,
+    /// Time at which the connection last took a chunk, or the first one was queued.
+    /// `None` while nothing is queued.
+    waiting_since: Option<Instant>,
+    end: Option<AnswerEnd>,
+    disconnect_reason: Option<DisconnectReason>,
     waker: Option<Waker>,
 }
 
-/// One answer on its way to its caller.
+/// An answer on its way to its caller.
 pub struct Delivery {
     request: String,
     account: String,
-    until: Instant,
+    deadline: Instant,
     queue: Mutex<Queue>,
-    gone: Notify,
+    disconnected: Notify,
     deliveries: Arc<Deliveries>,
 }
 
-/// The end that is written to. Dropped without an end, the answer breaks off: it
-/// must not look whole.
+/// The writing end of an answer. If it is dropped without an end, the answer breaks
+/// off, so that a partial answer does not look complete.
 pub struct Outbox(Arc<Delivery>);
 
-/// Tells when the caller of an answer is gone.
+/// Reports when the caller of an answer has disconnected.
 #[derive(Clone)]
-pub struct Caller(Arc<Delivery>);
+pub struct CallerHandle(Arc<Delivery>);
 
 /// The end that the caller's connection reads.
-struct Inbox {
+struct AnswerBody {
     delivery: Arc<Delivery>,
     key: AnswerKey,
-    /// Bytes still to come, where that is known.
-    left: Option<u64>,
+    /// Bytes still to be sent, if the length is known.
+    remaining: Option<u64>,
     _in_progress: Option<InProgress>,
 }
 
-/// An answer to be filled, and the body that delivers it. The request is in
-/// progress until its caller has the whole answer.
+/// Returns an outbox for an answer, and the body that delivers it. The request counts
+/// as in progress until its caller has the whole answer.
 pub fn open(
     deliveries: &Arc<Deliveries>,
     to: &Recipient,
     in_progress: Option<InProgress>,
 ) -> (Outbox, RouteBody) {
-    open_of_length(deliveries, to, in_progress, None)
+    open_with_length(deliveries, to, in_progress, None)
 }
 
-/// The body of a whole answer.
+/// Returns the body of a whole answer.
 pub fn whole(
     deliveries: &Arc<Deliveries>,
     to: &Recipient,
     in_progress: Option<InProgress>,
     mut answer: Bytes,
 ) -> RouteBody {
-    if answer.len() <= SMALL {
-        return super::route_answers::full(answer);
+    if answer.len() <= MAX_UNCHUNKED {
+        return super::responses::full_body(answer);
     }
     let length = Some(answer.len() as u64);
-    let (outbox, body) = open_of_length(deliveries, to, in_progress, length);
+    let (outbox, body) = open_with_length(deliveries, to, in_progress, length);
     while !answer.is_empty() {
-        let piece = answer.split_to(SLICE.min(answer.len()));
-        if outbox.push(piece).is_err() {
+        let chunk = answer.split_to(CHUNK_SIZE.min(answer.len()));
+        if outbox.push(chunk).is_err() {
             break;
         }
     }
@@ -140,94 +144,97 @@
     body
 }
 
-fn open_of_length(
+fn open_with_length(
     deliveries: &Arc<Deliveries>,
     to: &Recipient,
     in_progress: Option<InProgress>,
-    left: Option<u64>,
+    remaining: Option<u64>,
 ) -> (Outbox, RouteBody) {
     let delivery = Arc::new(Delivery {
         request: to.request.to_string(),
         account: to.account.unwrap_or("-").to_string(),
-        until: to.until,
+        deadline: to.deadline,
         queue: Mutex::default(),
-        gone: Notify::new(),
+        disconnected: Notify::new(),
         deliveries: deliveries.clone(),
     });
-    let inbox = Inbox {
-        key: deliveries.enter(delivery.clone()),
+    let body_reader = AnswerBody {
+        key: deliveries.register(delivery.clone()),
         delivery: delivery.clone(),
-        left,
+        remaining,
         _in_progress: in_progress,
     };
-    (Outbox(delivery), inbox.boxed_unsync())
+    (Outbox(delivery), body_reader.boxed_unsync())
 }
 
 impl Outbox {
-    /// Adds some whole events; never waits.
-    pub fn push(&self, piece: Bytes) -> Result<(), Gone> {
-        let cost = piece.len() as u64 + PIECE_COST;
+    /// Queues some whole events, without waiting.
+    ///
+    /// # Errors
+    /// If the caller has disconnected.
+    pub fn push(&self, chunk: Bytes) -> Result<(), DisconnectReason> {
+        let cost = chunk.len() as u64 + CHUNK_OVERHEAD;
         let deliveries = &self.0.deliveries;
-        // Counted before it can be taken, so that no count falls below zero.
+        // Counted before the connection can take it, so that no count falls below zero.
         deliveries.add(Side::Answers, cost);
         let mut queue = self.0.lock();
-        if let Some(gone) = queue.gone {
+        if let Some(disconnect_reason) = queue.disconnect_reason {
             drop(queue);
             deliveries.sub(Side::Answers, cost);
-            return Err(gone);
+            return Err(disconnect_reason);
         }
-        if queue.pieces.is_empty() {
-            queue.since = Some(deliveries.now());
+        if queue.chunks.is_empty() {
+            queue.waiting_since = Some(deliveries.now());
         }
-        queue.pieces.push_back(piece);
+        queue.chunks.push_back(chunk);
         queue.bytes += cost;
         let waker = queue.waker.take();
         drop(queue);
         if let Some(waker) = waker {
             waker.wake();
         }
-        deliveries.keep_bound();
+        deliveries.enforce_limit();
         Ok(())
     }
 
-    /// The answer is whole.
+    /// Marks the answer as complete.
     pub fn end(&self) {
-        self.0.end(End::Whole);
+        self.0.end(AnswerEnd::Whole);
     }
 
-    /// The answer breaks off after what was pushed.
+    /// Breaks the answer off after what was pushed.
     pub fn break_off(&self, why: &str) {
-        self.0.end(End::Broken(why.to_string()));
+        self.0.end(AnswerEnd::Broken(why.to_string()));
     }
 
-    /// Tells when the caller is gone.
-    pub fn caller(&self) -> Caller {
-        Caller(self.0.clone())
+    /// Returns a handle that reports when the caller has disconnected.
+    pub fn caller(&self) -> CallerHandle {
+        CallerHandle(self.0.clone())
     }
 }
 
 impl Drop for Outbox {
     fn drop(&mut self) {
         self.0
-            .end(End::Broken("the answer was given up".to_string()));
+            .end(AnswerEnd::Broken("the answer was abandoned".to_string()));
     }
 }
 
-impl Caller {
-    /// Waits until the caller is gone, and says why.
-    pub async fn gone(&self) -> Gone {
+impl CallerHandle {
+    /// Waits until the caller has disconnected, and returns why.
+    pub async fn disconnected(&self) -> DisconnectReason {
         loop {
-            let notified = self.0.gone.notified();
-            if let Some(gone) = self.is_gone() {
-                return gone;
+            let notified = self.0.disconnected.notified();
+            if let Some(disconnect_reason) = self.disconnect_reason() {
+                return disconnect_reason;
             }
             notified.await;
         }
     }
 
-    /// Why it is gone, if it is.
-    pub fn is_gone(&self) -> Option<Gone> {
-        self.0.lock().gone
+    /// Returns why the caller has disconnected, if it has.
+    pub fn disconnect_reason(&self) -> Option<DisconnectReason> {
+        self.0.lock().disconnect_reason
     }
 }
 
@@ -236,8 +243,8 @@
         self.queue.lock().expect("no holder panics")
     }
 
-    /// The first end counts.
-    fn end(&self, end: End) {
+    /// Sets how the answer ends; only the first call counts.
+    fn end(&self, end: AnswerEnd) {
         let mut queue = self.lock();
         if queue.end.is_some() {
             return;
@@ -250,13 +257,14 @@
         }
     }
 
-    /// Nothing more is delivered; answers with the bytes that were given up.
-    fn give_up(&self, gone: Gone) -> u64 {
+    /// Drops what is queued and delivers nothing more. Returns the bytes that were
+    /// dropped.
+    fn discard(&self, disconnect_reason: DisconnectReason) -> u64 {
         let mut queue = self.lock();
-        queue.gone.get_or_insert(gone);
-        queue.pieces = VecDeque::new();
-        queue.handed = 0;
-        queue.since = None;
+        queue.disconnect_reason.get_or_insert(disconnect_reason);
+        queue.chunks = VecDeque::new();
+        queue.handed_over = 0;
+        queue.waiting_since = None;
         let bytes = std::mem::take(&mut queue.bytes);
         let waker = queue.waker.take();
         drop(queue);
@@ -264,46 +272,46 @@
         if let Some(waker) = waker {
             waker.wake();
         }
-        self.gone.notify_waiters();
+        self.disconnected.notify_waiters();
         bytes
     }
 
-    /// How far its caller is behind, if it is.
-    pub fn behind(&self, key: AnswerKey) -> Option<Behind> {
+    /// Returns how far the caller is behind, if anything is queued for it.
+    pub fn lagging(&self, key: AnswerKey) -> Option<Behind> {
         let queue = self.lock();
         Some(Behind {
             key,
             account: xxh3_64(self.account.as_bytes()),
             bytes: queue.bytes,
-            pieces: queue.pieces.len() as u32,
-            since: queue.since?,
+            pieces: queue.chunks.len() as u32,
+            since: queue.waiting_since?,
         })
     }
 
-    /// Until when its caller waits at most.
-    pub fn until(&self) -> Instant {
-        self.until
+    /// Returns the time until which its caller waits at most.
+    pub fn deadline(&self) -> Instant {
+        self.deadline
     }
 
-    /// Cuts its caller off: what waits is dropped at once, and the connection
-    /// closes as soon as the caller reads or its socket's time is over.
-    pub fn cut(&self, behind: &Behind, why: &str) {
-        let bytes = self.give_up(Gone::Cut);
-        self.deliveries.note_cut();
+    /// Disconnects the caller: what is queued is dropped at once, and the connection
+    /// closes as soon as the caller reads or its socket times out.
+    pub fn disconnect_caller(&self, lagging: &Behind, why: &str) {
+        let bytes = self.discard(DisconnectReason::ByRouter);
+        self.deliveries.count_disconnect();
         let labels = [("why", why.to_string())];
         metrics::counter!("deckwind_route_callers_cut_total", &labels).increment(1);
         log::warn!(
             "event=caller_cut request={} account={:?} bytes={bytes} pieces={} behind_ms={} held={} why={why}",
             self.request,
             self.account,
-            behind.pieces,
-            self.deliveries.now().since(behind.since).as_millis(),
+            lagging.pieces,
+            self.deliveries.now().since(lagging.since).as_millis(),
             self.deliveries.held()
         );
     }
 }
 
-impl Body for Inbox {
+impl Body for AnswerBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -312,16 +320,24 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let mut queue = self.delivery.lock();
-        let taken = std::mem::take(&mut queue.handed);
+        let taken = std::mem::take(&mut queue.handed_over);
         queue.bytes -= taken;
-        let polled = match (queue.pieces.pop_front(), &queue.gone, &queue.end) {
-            (_, Some(gone), _) => Poll::Ready(Some(Err(gone.code().into()))),
-            (Some(piece), ..) => {
-                queue.handed = piece.len() as u64 + PIECE_COST;
-                Poll::Ready(Some(Ok(piece)))
+        let polled = match (
+            queue.chunks.pop_front(),
+            &queue.disconnect_reason,
+            &queue.end,
+        ) {
+            (_, Some(disconnect_reason), _) => {
+                Poll::Ready(Some(Err(disconnect_reason.code().into())))
+            }
+            (Some(chunk), ..) => {
+                queue.handed_over = chunk.len() as u64 + CHUNK_OVERHEAD;
+                Poll::Ready(Some(Ok(chunk)))
+            }
+            (None, None, Some(AnswerEnd::Whole)) => Poll::Ready(None),
+            (None, None, Some(AnswerEnd::Broken(why))) => {
+                Poll::Ready(Some(Err(why.clone().into())))
             }
-            (None, None, Some(End::Whole)) => Poll::Ready(None),
-            (None, None, Some(End::Broken(why))) => Poll::Ready(Some(Err(why.clone().into()))),
             (None, None, None) => {
                 if !queue
                     .waker
@@ -334,26 +350,26 @@
             }
         };
         if polled.is_ready() {
-            let waits = !queue.pieces.is_empty();
-            queue.since = waits.then(|| self.delivery.deliveries.now());
+            let has_more = !queue.chunks.is_empty();
+            queue.waiting_since = has_more.then(|| self.delivery.deliveries.now());
         }
         drop(queue);
         self.delivery.deliveries.sub(Side::Answers, taken);
-        if let (Poll::Ready(Some(Ok(piece))), Some(left)) = (&polled, &mut self.left) {
-            *left -= piece.len() as u64;
+        if let (Poll::Ready(Some(Ok(chunk))), Some(remaining)) = (&polled, &mut self.remaining) {
+            *remaining -= chunk.len() as u64;
         }
-        polled.map(|some| some.map(|piece| piece.map(Frame::data)))
+        polled.map(|some| some.map(|chunk| chunk.map(Frame::data)))
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.left
+        self.remaining
             .map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
 
-impl Drop for Inbox {
+impl Drop for AnswerBody {
     fn drop(&mut self) {
-        self.delivery.deliveries.leave(self.key);
-        self.delivery.give_up(Gone::Left);
+        self.delivery.deliveries.unregister(self.key);
+        self.delivery.discard(DisconnectReason::ByCaller);
     }
 }
--- a/crates/deckwindd/src/router/routes/permits.rs
+++ b/crates/deckwindd/src/router/routes/permits.rs
@@ -1,5 +1,5 @@
-//! Permits for requests to targets that have named a limit: asked of the leader, for
-//! all requests that wait at once.
+//! Obtains permits for requests to targets that have named a limit. The leader is asked
+//! in one message for all requests that wait at the same time.
 
 use super::Routes;
 use crate::router::shared::RouterShared;
@@ -12,25 +12,25 @@
 use std::time::Duration;
 use tokio::sync::{Notify, oneshot};
 
-/// Time over which requests that want permits are asked for in one message: short beside
-/// what a request may take.
-const COLLECT: Duration = Duration::from_millis(2);
+/// Time over which waiting requests are collected into one message to the leader: short
+/// compared to the time that a request may take.
+const BATCH_WINDOW: Duration = Duration::from_millis(2);
 
-/// Longest question; without an answer requests go to other targets.
-const ASK_WITHIN: Duration = Duration::from_millis(150);
+/// Timeout of a message to the leader; without an answer requests go to other targets.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// How long a target is left alone for which the leader gave no permit, or fewer than
-/// were wanted.
-const LEFT_ALONE: Duration = Duration::from_millis(100);
+/// Time for which a target is avoided if the leader gave no permit for it, or fewer
+/// than were wanted.
+const DENIED_BACKOFF: Duration = Duration::from_millis(100);
 
-/// How long where nobody answered: while a leader is elected, few requests are to wait
-/// in vain.
-const NOBODY_ANSWERED: Duration = Duration::from_millis(500);
+/// Time for which a target is avoided if no leader answered, so that few requests wait
+/// in vain while a leader is elected.
+const NO_ANSWER_BACKOFF: Duration = Duration::from_millis(500);
 
-/// What became of one request's wish.
+/// Outcome for one waiting request.
 #[derive(Clone, Copy, Debug)]
 enum Verdict {
-    /// The target has no limit any more.
+    /// The target no longer has a limit.
     NotNeeded,
     Permitted(Permit),
     Denied,
@@ -38,12 +38,13 @@
 
 type Waiter = oneshot::Sender<Verdict>;
 
-/// No permit is to be had now: another target may serve the request.
+/// Error if no permit is available now. Another target may serve the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoPermit;
 
-/// When the leader was asked, when its answer came, and when it answered by its clock.
-struct Answered {
+/// Times of one exchange with the leader: when it was asked, when its answer was
+/// received, and when it answered by its own clock.
+struct ExchangeTimes {
     asked: Instant,
     now: Instant,
     at: LeaderTime,
@@ -57,7 +58,7 @@
 }
 
 impl PermitQueue {
-    fn put(&self, target: &LimitKey) -> oneshot::Receiver<Verdict> {
+    fn enqueue(&self, target: &LimitKey) -> oneshot::Receiver<Verdict> {
         let (tx, rx) = oneshot::channel();
         let mut waiting = self.waiting.lock().expect("no holder panics");
         waiting.entry(target.clone()).or_default().push(tx);
@@ -66,15 +67,18 @@
         rx
     }
 
-    fn take(&self) -> BTreeMap<LimitKey, Vec<Waiter>> {
+    fn take_all(&self) -> BTreeMap<LimitKey, Vec<Waiter>> {
         std::mem::take(&mut *self.waiting.lock().expect("no holder panics"))
     }
 }
 
 impl Routes {
-    /// What a request needs to be sent to a target: nothing where the target has no
-    /// limit, or a permit, once it may be used.
-    pub async fn permission(
+    /// Waits for what a request needs to be sent to a target: `None` where the target
+    /// has no limit, or a permit, returned once it may be used.
+    ///
+    /// # Errors
+    /// If no permit is available.
+    pub async fn acquire_permit(
         &self,
         request: &str,
         target: &LimitKey,
@@ -82,7 +86,11 @@
         if !self.book().limits.is_limited(target) {
             return Ok(None);
         }
-        let verdict = self.permits.put(target).await.unwrap_or(Verdict::Denied);
+        let verdict = self
+            .permits
+            .enqueue(target)
+            .await
+            .unwrap_or(Verdict::Denied);
         let outcome = match verdict {
             Verdict::NotNeeded => return Ok(None),
             Verdict::Permitted(_) => "permitted",
@@ -98,29 +106,29 @@
         Ok(Some(permit))
     }
 
-    /// Gives those who wait for one target what the leader says.
-    fn give(
+    /// Passes the leader's verdict for one target on to the requests that wait for it.
+    fn apply_verdict(
         &self,
-        answered: &Answered,
+        times: &ExchangeTimes,
         target: &LimitKey,
         waiters: Vec<Waiter>,
         verdict: &PermitVerdict,
     ) {
-        let Answered { asked, now, at } = *answered;
+        let ExchangeTimes { asked, now, at } = *times;
         let mut waiters = waiters.into_iter();
         match verdict {
             PermitVerdict::Unlimited => {
                 if self.book().limits.is_over(asked, target) {
                     log::info!("event=limit_over {target}");
                 }
-                waiters.for_each(|w| tell(w, Verdict::NotNeeded));
+                waiters.for_each(|w| send_verdict(w, Verdict::NotNeeded));
             }
             PermitVerdict::Permitted(waits) => {
                 for (wait, waiter) in waits.iter().zip(&mut waiters) {
                     let permit = Permit::new(asked, now, *wait, at);
-                    tell(waiter, Verdict::Permitted(permit));
+                    send_verdict(waiter, Verdict::Permitted(permit));
                 }
-                self.deny(now, target, waiters, LEFT_ALONE);
+                self.deny(now, target, waiters, DENIED_BACKOFF);
             }
             PermitVerdict::Denied(wait) => self.deny(now, target, waiters, *wait),
         }
@@ -134,65 +142,67 @@
         wait: Duration,
     ) {
         if waiters.len() > 0 {
-            self.book().limits.denied(now, target, wait.max(LEFT_ALONE));
+            self.book()
+                .limits
+                .denied(now, target, wait.max(DENIED_BACKOFF));
         }
-        waiters.for_each(|w| tell(w, Verdict::Denied));
+        waiters.for_each(|w| send_verdict(w, Verdict::Denied));
     }
 }
 
-/// A request whose caller has left hears nothing; its permit is lost.
-fn tell(waiter: Waiter, verdict: Verdict) {
+/// Sends a verdict to a waiting request. If its caller has left, the permit is lost.
+fn send_verdict(waiter: Waiter, verdict: Verdict) {
     if waiter.send(verdict).is_err() {
         metrics::counter!("deckwind_route_permits_unused_total").increment(1);
     }
 }
 
-/// Asks the leader for permits as requests want them, for ever.
+/// Requests permits from the leader in an endless loop, as requests need them.
 pub async fn ask_for_permits(shared: Arc<RouterShared>) {
     let routes = &shared.routes;
     loop {
         routes.permits.wanted.notified().await;
-        tokio::time::sleep(COLLECT).await;
-        let waiting = routes.permits.take();
+        tokio::time::sleep(BATCH_WINDOW).await;
+        let waiting = routes.permits.take_all();
         if !waiting.is_empty() {
-            ask(&shared, waiting).await;
+            send_permit_request(&shared, waiting).await;
         }
     }
 }
 
-async fn ask(shared: &RouterShared, waiting: BTreeMap<LimitKey, Vec<Waiter>>) {
+async fn send_permit_request(shared: &RouterShared, waiting: BTreeMap<LimitKey, Vec<Waiter>>) {
     let routes = &shared.routes;
     let asked = shared.clock.now();
-    let mut asks = Vec::new();
-    let mut askers = Vec::new();
+    let mut requests = Vec::new();
+    let mut requesters = Vec::new();
     for (target, waiters) in waiting {
         let heard = routes.book().limits.heard_of(asked, &target);
         let Some(heard) = heard else {
             waiters
                 .into_iter()
-                .for_each(|w| tell(w, Verdict::NotNeeded));
+                .for_each(|w| send_verdict(w, Verdict::NotNeeded));
             continue;
         };
         let wants = waiters.len() as u32;
-        asks.push(PermitAsk { heard, wants });
-        askers.push((target, waiters));
+        requests.push(PermitAsk { heard, wants });
+        requesters.push((target, waiters));
     }
-    let request = ControlRequest::Permits(shared.holder(), asks);
-    let reply = shared.control.ask(&request, ASK_WITHIN).await;
+    let request = ControlRequest::Permits(shared.holder(), requests);
+    let reply = shared.control.ask(&request, REQUEST_TIMEOUT).await;
     let now = shared.clock.now();
     match reply {
-        Ok(ControlReply::Permits(answer)) if answer.verdicts.len() == askers.len() => {
+        Ok(ControlReply::Permits(answer)) if answer.verdicts.len() == requesters.len() => {
             let at = answer.at;
-            let answered = Answered { asked, now, at };
-            for ((target, waiters), verdict) in askers.into_iter().zip(&answer.verdicts) {
-                routes.give(&answered, &target, waiters, verdict);
+            let times = ExchangeTimes { asked, now, at };
+            for ((target, waiters), verdict) in requesters.into_iter().zip(&answer.verdicts) {
+                routes.apply_verdict(&times, &target, waiters, verdict);
             }
         }
         other => {
             let error = other.err().map(|e| e.to_string());
             log::warn!("event=permits_not_answered error={error:?}");
-            for (target, waiters) in askers {
-                routes.deny(now, &target, waiters.into_iter(), NOBODY_ANSWERED);
+            for (target, waiters) in requesters {
+                routes.deny(now, &target, waiters.into_iter(), NO_ANSWER_BACKOFF);
             }
         }
     }
--- a/crates/deckwindd/src/router/routes/run.rs
+++ b/crates/deckwindd/src/router/routes/target_run.rs
@@ -1,7 +1,7 @@
 //! One run of a request at one target, and how it ended.
 
-use super::route_callers::Job;
-use super::suspects::CutRun;
+use super::http_server::Job;
+use super::poison_requests::CutRun;
 use crate::router::shared::RouterShared;
 use deckwind_core::routes::Choice;
 use deckwind_core::state::{ContentDigest, Life};
@@ -9,35 +9,37 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How a run ended, as the router saw it.
+/// How a run ended, as seen by the router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The target did not run it.
+    /// The target did not run the request.
     NotRun,
-    /// The target served it: the answer is whole, and a success.
+    /// The target served the request: the answer is whole, and a success.
     Served,
     /// The target answered that it failed.
     Failed,
-    /// The answer broke off, or was none.
+    /// The answer broke off, or was invalid.
     Broke,
-    /// The router gave it up: it stood still, its time was over, or its caller left.
-    Left,
+    /// The router abandoned the run: it stalled, its deadline passed, or its caller
+    /// left.
+    Abandoned,
 }
 
 impl RunEnd {
-    /// In logs.
-    fn name(self) -> &'static str {
+    /// Returns the name used in logs and metrics.
+    fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not-run",
             Self::Served => "served",
             Self::Failed => "failed",
             Self::Broke => "broke",
-            Self::Left => "left",
+            Self::Abandoned => "left",
         }
     }
 }
 
-/// A run, from just before the request is sent. One that is dropped was left.
+/// A run, from just before the request is sent. A run that is dropped counts as
+/// abandoned.
 pub struct TargetRun {
     shared: Arc<RouterShared>,
     request: String,
@@ -47,11 +49,11 @@
     sent: Instant,
     first_event: Option<Instant>,
     events: u32,
-    over: bool,
+    is_closed: bool,
 }
 
 impl TargetRun {
-    /// The request is about to be sent there.
+    /// Begins a run, just before the request is sent to the chosen target.
     pub fn begin(job: &Job, choice: &Choice) -> Self {
         Self {
             shared: job.shared.clone(),
@@ -62,25 +64,25 @@
             sent: job.shared.clock.now(),
             first_event: None,
             events: 0,
-            over: false,
+            is_closed: false,
         }
     }
 
-    /// Events have come.
-    pub fn event(&mut self) {
+    /// Counts received events.
+    pub fn record_event(&mut self) {
         self.events += 1;
         if self.first_event.is_none() {
             self.first_event = Some(self.shared.clock.now());
         }
     }
 
-    /// It is over.
+    /// Ends the run.
     pub fn close(mut self, end: RunEnd) {
         self.end(end);
     }
 
     fn end(&mut self, end: RunEnd) {
-        if std::mem::replace(&mut self.over, true) {
+        if std::mem::replace(&mut self.is_closed, true) {
             return;
         }
         match end {
@@ -90,37 +92,37 @@
                     .suspects
                     .served(self.shared.clock.now(), self.content);
             }
-            RunEnd::Broke | RunEnd::Left => self.cut(end),
+            RunEnd::Broke | RunEnd::Abandoned => self.report_interrupted(end),
             RunEnd::NotRun | RunEnd::Failed => {}
         }
     }
 
-    fn cut(&self, end: RunEnd) {
-        self.note(end);
+    fn report_interrupted(&self, end: RunEnd) {
+        self.log_interrupted(end);
         let now = self.shared.clock.now();
-        let cut = CutRun {
+        let interrupted = CutRun {
             content: self.content,
             address: self.address,
             life: &self.life,
             ran: self.first_event.map(|at| now.since(at)),
             broke: end == RunEnd::Broke,
         };
-        self.shared.routes.suspects.cut(now, &cut);
+        self.shared.routes.suspects.cut(now, &interrupted);
     }
 
-    /// A line for each run that was not answered whole: which content was where,
-    /// and for how long it had run.
-    fn note(&self, end: RunEnd) {
+    /// Logs a run that was not answered whole: which content ran where, and for how
+    /// long.
+    fn log_interrupted(&self, end: RunEnd) {
         let now = self.shared.clock.now();
         let since = |at: Option<Instant>| at.map_or(-1, |at| now.since(at).as_millis() as i64);
-        metrics::counter!("deckwind_route_runs_cut_total", "how" => end.name()).increment(1);
+        metrics::counter!("deckwind_route_runs_cut_total", "how" => end.as_str()).increment(1);
         log::info!(
             "event=run_cut request={} content={} target={} life={} how={} sent_ms_ago={} begun_ms_ago={} pieces={}",
             self.request,
             self.content,
             self.address,
             self.life,
-            end.name(),
+            end.as_str(),
             since(Some(self.sent)),
             since(self.first_event),
             self.events
@@ -130,6 +132,6 @@
 
 impl Drop for TargetRun {
     fn drop(&mut self) {
-        self.end(RunEnd::Left);
+        self.end(RunEnd::Abandoned);
     }
 }
