--- a/crates/deckwind-core/src/control/heard_targets.rs
+++ b/crates/deckwind-core/src/control/announcement_reports.rs
@@ -2,7 +2,7 @@
 //!
 //! Every target announces itself once per period and almost always repeats what is already
 //! committed. So every replica accepts announcements, compares them with its applied state,
-//! and reports the targets it has heard to the leader at intervals:
+//! and reports them to the leader at intervals:
 //!
 //! ```text
 //!  targets ─► any replica ──► HeardTargets, one message for many ──► leader ─► one entry
@@ -31,7 +31,7 @@
 /// announcements in that time at the largest size planned for (13,000 in 1.2 s).
 const MAX_BUFFERED_TARGETS: usize = 16_384;
 
-/// Targets heard by a replica.
+/// Report of the announcements received by a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeardTargets {
     /// Incarnations whose announcement matches the committed state, each with the number
@@ -76,16 +76,16 @@
     }
 }
 
-/// Targets heard by a replica since its last report to the leader.
+/// Announcements received by a replica since its last report to the leader.
 #[derive(Clone, Debug, Default)]
-pub(super) struct HeardBuffer {
+pub(super) struct AnnouncementBuffer {
     same: BTreeMap<Life, u64>,
     /// In order of arrival: of two incarnations at one address, the later one counts.
     changed: Vec<Instance>,
     reported_at: Option<Instant>,
 }
 
-impl HeardBuffer {
+impl AnnouncementBuffer {
     /// Adds an announcement unless it is outdated or the buffer is full.
     pub fn note(&mut self, instance: Instance, diff: AnnouncementDiff) {
         if self.same.len() + self.changed.len() >= MAX_BUFFERED_TARGETS {
@@ -115,45 +115,45 @@
 
     /// Takes the report, or returns `None` if it would be empty.
     pub fn take(&mut self, now: Instant) -> Option<HeardTargets> {
-        let heard = HeardTargets {
+        let report = HeardTargets {
             same: std::mem::take(&mut self.same).into_iter().collect(),
             changed: std::mem::take(&mut self.changed),
         };
-        if heard.same.is_empty() && heard.changed.is_empty() {
+        if report.same.is_empty() && report.changed.is_empty() {
             return None;
         }
         self.reported_at = Some(now);
-        Some(heard)
+        Some(report)
     }
 }
 
-/// Time each incarnation was last heard by any replica, and the time of its next silence
-/// check. Announcements are numbered within an incarnation.
+/// Time of the last announcement of each incarnation at any replica, and time of its next
+/// silence check. Announcements are numbered within an incarnation.
 #[derive(Clone, Debug, Default)]
-pub(super) struct HeardTable {
-    last_heard: BTreeMap<Life, (Instant, u64)>,
+pub(super) struct LastAnnouncements {
+    last_received: BTreeMap<Life, (Instant, u64)>,
     scheduled: BTreeMap<Life, Instant>,
     checks: BTreeSet<(Instant, Life)>,
 }
 
-impl HeardTable {
+impl LastAnnouncements {
     /// Records an announcement of an incarnation. Returns `false`, and records nothing,
     /// if the announcement was delayed and has a lower number than an earlier arrival: it
     /// is no sign that the target is alive.
     pub fn record(&mut self, now: Instant, life: &Life, number: u64) -> bool {
-        match self.last_heard.get_mut(life) {
+        match self.last_received.get_mut(life) {
             Some((_, known)) if number < *known => return false,
             Some(last) => *last = (now, number),
             None => {
-                self.last_heard.insert(life.clone(), (now, number));
+                self.last_received.insert(life.clone(), (now, number));
             }
         }
         true
     }
 
-    /// Returns the time an incarnation was last heard.
-    pub fn last_heard(&self, life: &Life) -> Option<Instant> {
-        self.last_heard.get(life).map(|(at, _)| *at)
+    /// Returns the time of the last announcement of an incarnation.
+    pub fn last_received(&self, life: &Life) -> Option<Instant> {
+        self.last_received.get(life).map(|(at, _)| *at)
     }
 
     /// Schedules a silence check of an incarnation unless one is scheduled already.
@@ -174,6 +174,6 @@
 
     /// Removes an incarnation that has ended.
     pub fn forget(&mut self, life: &Life) {
-        self.last_heard.remove(life);
+        self.last_received.remove(life);
     }
 }
--- a/crates/deckwind-core/src/control/announcements.rs
+++ b/crates/deckwind-core/src/control/announcements.rs
@@ -4,10 +4,10 @@
 //! A target may restart under the same id. Each run of its process is one incarnation,
 //! identified by a [`Life`].
 
+use super::announcement_reports::{AnnouncementDiff, HeardTargets, compare_announcement};
 use super::control_core::ControlCore;
 use super::event::ControlAction;
-use super::heard_targets::{AnnouncementDiff, HeardTargets, compare_announcement};
-use super::lives::doubted_life_note;
+use super::lives::unconfirmed_life_note;
 use super::operator::OperatorReply;
 use super::pending::Asker;
 use crate::membership::InForce;
@@ -77,7 +77,7 @@
             out.push(ControlAction::OperatorReply { token, reply });
         } else if instance.state == InstanceState::Ready {
             let diff = compare_announcement(&instance, self.machine.configuration().instances());
-            self.heard_buffer.note(instance, diff);
+            self.announcement_buffer.note(instance, diff);
             let reply = OperatorReply::Heard;
             out.push(ControlAction::OperatorReply { token, reply });
         } else if is_leader {
@@ -112,54 +112,62 @@
         }
     }
 
-    /// Sends the leader the targets that this replica has heard, if a report is due. The
-    /// leader proposes the changes itself.
-    pub(super) fn report_heard(&mut self, now: Instant, out: &mut Vec<ControlAction>) {
+    /// Sends the leader the announcements received by this replica, if a report is due.
+    /// The leader proposes the changes itself.
+    pub(super) fn report_announcements(&mut self, now: Instant, out: &mut Vec<ControlAction>) {
         let is_leader = self.replica.may_answer(now);
         let leader = self.leader_slot();
         if !is_leader && leader.is_none() {
             return;
         }
         let period = self.limits.announce_every;
-        let Some(heard) = self.heard_buffer.take_if_due(now, period) else {
+        let Some(heard) = self.announcement_buffer.take_if_due(now, period) else {
             return;
         };
         match leader {
             Some(slot) if !is_leader => out.push(ControlAction::TellHeard { slot, heard }),
-            _ => self.propose_heard(now, heard, out),
+            _ => self.propose_announced_changes(now, heard, out),
         }
     }
 
     /// Merges the report of another replica if this one leads. Changed announcements are
     /// buffered with those received here.
-    pub(super) fn merge_heard_report(&mut self, now: Instant, heard: HeardTargets) {
+    pub(super) fn merge_announcement_report(&mut self, now: Instant, report: HeardTargets) {
         let Some(leading) = &mut self.leading else {
             return;
         };
-        for (life, number) in &heard.same {
-            leading.heard.record(now, life, *number);
+        for (life, number) in &report.same {
+            leading.last_announcements.record(now, life, *number);
         }
-        for instance in heard.changed {
-            self.heard_buffer.note(instance, AnnouncementDiff::Changed);
+        for instance in report.changed {
+            self.announcement_buffer
+                .note(instance, AnnouncementDiff::Changed);
         }
     }
 
     /// Proposes all changed announcements as a single log entry.
-    fn propose_heard(&mut self, now: Instant, heard: HeardTargets, out: &mut Vec<ControlAction>) {
+    fn propose_announced_changes(
+        &mut self,
+        now: Instant,
+        report: HeardTargets,
+        out: &mut Vec<ControlAction>,
+    ) {
         let Some(leading) = &mut self.leading else {
             return;
         };
-        for (life, number) in &heard.same {
-            leading.heard.record(now, life, *number);
+        for (life, number) in &report.same {
+            leading.last_announcements.record(now, life, *number);
         }
         let committed = self.machine.configuration().instances();
-        let lives_by_address = committed.lives_at_addresses_of(heard.changed.iter());
+        let lives_by_address = committed.lives_at_addresses_of(report.changed.iter());
         let since = self.replica.leading_since().unwrap_or(now);
         let period = self.limits.announce_every;
         let mut changes = Vec::new();
-        for mut instance in heard.changed {
+        for mut instance in report.changed {
             let life = instance.life();
-            let is_newest = leading.heard.record(now, &life, instance.announced);
+            let is_newest = leading
+                .last_announcements
+                .record(now, &life, instance.announced);
             if !is_newest {
                 continue;
             }
@@ -179,7 +187,7 @@
                 .iter()
                 .find(|l| !leading.is_silent(now, since, committed, l, period));
             if let Some(active_life) = active_life {
-                out.push(doubted_life_note(life, active_life));
+                out.push(unconfirmed_life_note(life, active_life));
                 continue;
             }
             changes.push(InstanceChange::Announced {
@@ -194,7 +202,7 @@
     }
 
     /// Handles the announcement of a draining target. It is acknowledged once it is in
-    /// force, together with everything this replica has heard earlier.
+    /// force, together with all announcements this replica received before it.
     fn handle_drain(
         &mut self,
         now: Instant,
@@ -202,14 +210,16 @@
         instance: Instance,
         out: &mut Vec<ControlAction>,
     ) {
-        if let Some(heard) = self.heard_buffer.take(now) {
-            self.propose_heard(now, heard, out);
+        if let Some(report) = self.announcement_buffer.take(now) {
+            self.propose_announced_changes(now, report, out);
         }
         let Some(leading) = &mut self.leading else {
             return;
         };
         let life = instance.life();
-        let is_newest = leading.heard.record(now, &life, instance.announced);
+        let is_newest = leading
+            .last_announcements
+            .record(now, &life, instance.announced);
         let committed = self.machine.configuration().instances();
         if !is_newest || compare_announcement(&instance, committed) != AnnouncementDiff::Changed {
             self.acknowledge(token, out);
@@ -223,7 +233,7 @@
             .iter()
             .find(|l| !leading.is_silent(now, since, committed, l, period));
         if let Some(active_life) = active_life {
-            out.push(doubted_life_note(life, active_life));
+            out.push(unconfirmed_life_note(life, active_life));
             let reply = OperatorReply::Doubted;
             out.push(ControlAction::OperatorReply { token, reply });
             return;
@@ -261,7 +271,7 @@
             Standing::Known | Standing::Newer => life,
             Standing::Doubtful if leading.is_silent(now, since, committed, &known, period) => known,
             Standing::Doubtful => {
-                out.push(doubted_life_note(life, &known));
+                out.push(unconfirmed_life_note(life, &known));
                 let reply = OperatorReply::Doubted;
                 out.push(ControlAction::OperatorReply { token, reply });
                 return;
@@ -312,25 +322,28 @@
         let written = instances.written_since(leading.watched_upto);
         for i in written.filter_map(|id| instances.get(id)) {
             let life = i.life();
-            let heard = leading.heard.last_heard(&life).unwrap_or(since);
+            let received = leading
+                .last_announcements
+                .last_received(&life)
+                .unwrap_or(since);
             leading
-                .heard
-                .schedule_check(life, heard + period * SILENT_PERIODS);
+                .last_announcements
+                .schedule_check(life, received + period * SILENT_PERIODS);
         }
         leading.watched_upto = instances.written_upto();
         let mut changes = Vec::new();
-        while let Some(life) = leading.heard.take_due(now) {
+        while let Some(life) = leading.last_announcements.take_due(now) {
             self.looks.targets += 1;
             let known = instances.get(&life.id).filter(|i| i.born == life.born);
             let Some(known) = known else {
-                leading.heard.forget(&life);
+                leading.last_announcements.forget(&life);
                 continue;
             };
             let silence = leading.silence(now, since, &life);
             let (change, next_check) = silence_action(known, silence, period);
             changes.extend(change);
             leading
-                .heard
+                .last_announcements
                 .schedule_check(life, now + next_check.max(SILENCE_CHECK_INTERVAL));
         }
         if !changes.is_empty() {
--- a/crates/deckwind-core/src/control/control_core.rs
+++ b/crates/deckwind-core/src/control/control_core.rs
@@ -1,11 +1,11 @@
 //! The control replica as a single state machine that combines its parts.
 
+use super::announcement_reports::{AnnouncementBuffer, LastAnnouncements};
 use super::announcements::WaitingAnnouncement;
 use super::demand::DemandTable;
 use super::event::{ControlAction, ControlEvent, ControlLimits, Unreadable};
 use super::full_engines::FullTable;
 use super::grants::DeltaCache;
-use super::heard_targets::{HeardBuffer, HeardTable};
 use super::in_use::UseTable;
 use super::limit_desk::LimitDesk;
 use super::limit_messages::LimitRevision;
@@ -38,8 +38,8 @@
     pub(super) demand: DemandTable,
     pub(super) orders: OrderDesk,
     pub(super) placement: PlacementDesk,
-    /// Time at which each target was last heard.
-    pub(super) heard: HeardTable,
+    /// Time of the last announcement of each target.
+    pub(super) last_announcements: LastAnnouncements,
     /// Time at which each target last failed a router.
     pub(super) failed_at: BTreeMap<SocketAddr, Instant>,
     /// Slow engines.
@@ -54,19 +54,19 @@
     pub(super) next_suspects: Instant,
     /// Urgent changes, which bound the lease of a router that lacks them.
     pub(super) urgent: UrgentChanges,
-    /// Capacity held by each router's streams.
+    /// Load of each router's streams.
     pub(super) in_use: UseTable,
     /// Last reply round in which each router was answered.
     pub(super) last_reply_round: BTreeMap<VmName, u64>,
     pub(super) admin_addresses: BTreeMap<VmName, SocketAddr>,
-    /// Memory that each router holds for slow readers, bytes.
+    /// Memory held by each router for slow readers, bytes.
     pub(super) held_bytes: BTreeMap<VmName, u64>,
     /// Whether claims of routers without a lease have been released.
     pub(super) orphans_checked: bool,
     /// Engines that recently refused requests.
     pub(super) full: FullTable,
-    /// Retry allowances of the routers. Created once this leader may answer, as the log
-    /// is applied up to the leader's first entry by then.
+    /// Retry allowances of the router processes. Created once this leader may answer, as
+    /// the log is applied up to the leader's first entry by then.
     pub(super) repeats: Option<RepeatDesk>,
     /// Limits named by targets.
     pub(super) limits: LimitDesk,
@@ -94,8 +94,8 @@
     pub(super) looks: Looks,
     /// Announcements received while no leader was known.
     pub(super) announcements_awaiting_leader: Vec<WaitingAnnouncement>,
-    /// Targets heard by this replica and not yet reported to the leader.
-    pub(super) heard_buffer: HeardBuffer,
+    /// Announcements received by this replica and not yet reported to the leader.
+    pub(super) announcement_buffer: AnnouncementBuffer,
     pub(super) round_schedule: RoundSchedule,
     /// Number of reply rounds so far.
     pub(super) reply_rounds: u64,
@@ -150,7 +150,7 @@
             answered_limits: None,
             looks: Looks::default(),
             announcements_awaiting_leader: Vec::new(),
-            heard_buffer: HeardBuffer::default(),
+            announcement_buffer: AnnouncementBuffer::default(),
             round_schedule: RoundSchedule::default(),
             reply_rounds: 0,
             published_revision: Revision::ZERO,
@@ -176,7 +176,7 @@
         &self.machine
     }
 
-    /// Returns the number of rows examined so far, by kind.
+    /// Returns the number of rows scanned so far, by kind.
     pub fn looks(&self) -> Looks {
         let leading = self.leading.as_ref();
         let leases = leading.map_or(0, |l| l.leases.looks());
@@ -236,7 +236,7 @@
             ControlEvent::Checked { life, there } => {
                 self.handle_check_result(now, life, there, out)
             }
-            ControlEvent::Heard(heard) => self.merge_heard_report(now, heard),
+            ControlEvent::Heard(report) => self.merge_announcement_report(now, report),
             ControlEvent::Placed { life, held } => {
                 self.handle_placement_result(now, &life, held, out)
             }
@@ -319,7 +319,7 @@
                 demand: DemandTable::default(),
                 orders: OrderDesk::new(term, since),
                 placement: PlacementDesk::default(),
-                heard: HeardTable::default(),
+                last_announcements: LastAnnouncements::default(),
                 failed_at: BTreeMap::new(),
                 paces: Paces::default(),
                 checked_at: BTreeMap::new(),
--- a/crates/deckwind-core/src/control/event.rs
+++ b/crates/deckwind-core/src/control/event.rs
@@ -1,6 +1,6 @@
 //! Events that drive a control replica, and the actions its driver must perform.
 
-use super::heard_targets::HeardTargets;
+use super::announcement_reports::HeardTargets;
 use super::limit_desk::LimitChange;
 use super::limit_messages::LimitKey;
 use super::messages::{ControlReply, ControlRequest};
@@ -111,7 +111,7 @@
         /// Whether it appears to be reachable.
         there: bool,
     },
-    /// Report of the targets that another replica has heard.
+    /// Report of the announcements that another replica has received.
     Heard(HeardTargets),
     /// Pace reported by an engine.
     Pace {
@@ -177,7 +177,7 @@
         /// Address of the target.
         address: SocketAddr,
     },
-    /// Ask an engine for its pace and report [`ControlEvent::Pace`] if it answers.
+    /// Probe an engine for its pace and report [`ControlEvent::Pace`] if it answers.
     AskPace {
         /// Address of the engine.
         address: SocketAddr,
@@ -189,11 +189,12 @@
         /// The requests.
         requests: Vec<RelayedRequest>,
     },
-    /// Report the targets heard by this replica to the leader. The message may be lost.
+    /// Report the announcements received by this replica to the leader. The message may
+    /// be lost.
     TellHeard {
         /// Slot of the leader.
         slot: u32,
-        /// The targets.
+        /// The report.
         heard: HeardTargets,
     },
     /// Log and count a decision of the leader on an incarnation of a target.
@@ -242,10 +243,10 @@
         /// The newer incarnation.
         by: Life,
     },
-    /// The announcement was ignored, as it gave an earlier start than incarnations that
-    /// are still announcing themselves.
+    /// The incarnation is unconfirmed and was ignored, as it announced an earlier start
+    /// than incarnations that are still announcing themselves.
     Doubted {
-        /// The announcing incarnation.
+        /// The unconfirmed incarnation.
         life: Life,
         /// The first of the incarnations still active.
         over: Life,
--- a/crates/deckwind-core/src/control/grants.rs
+++ b/crates/deckwind-core/src/control/grants.rs
@@ -172,7 +172,7 @@
     }
 
     /// Returns whether no renewal of this VM was waiting during the last reply round.
-    /// Rounds also carry news that is not a change of the state.
+    /// Rounds also carry updates that are not changes of the state.
     fn has_missed_last_round(&self, vm: &VmName) -> bool {
         let last_round = self
             .leading
--- a/crates/deckwind-core/src/control/lives.rs
+++ b/crates/deckwind-core/src/control/lives.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 impl LeaderState {
-    /// Returns how long an incarnation has not been heard. `since` is the time this
-    /// replica became leader.
+    /// Returns the time since the last announcement of an incarnation. `since` is the
+    /// time this replica became leader, which counts if there was none since.
     pub(super) fn silence(&self, now: Instant, since: Instant, life: &Life) -> Duration {
-        now.since(self.heard.last_heard(life).unwrap_or(since))
+        now.since(self.last_announcements.last_received(life).unwrap_or(since))
     }
 
     /// Returns whether an incarnation no longer announces itself, so that another one may
@@ -33,16 +33,16 @@
     }
 }
 
-/// Returns the log note for an announcement that is ignored while `active_life` announces
-/// itself.
-pub(super) fn doubted_life_note(life: Life, active_life: &Life) -> ControlAction {
+/// Returns the log note for an unconfirmed incarnation, which is ignored while
+/// `active_life` announces itself.
+pub(super) fn unconfirmed_life_note(life: Life, active_life: &Life) -> ControlAction {
     let over = active_life.clone();
     ControlAction::NoteLife(LifeNote::Doubted { life, over })
 }
 
 impl ControlCore {
     /// Returns the reason for rejecting an announcement, whoever sent it. Engines of a
-    /// layered pool must name their accelerator, without which they cannot hold layers.
+    /// layered pool must name their accelerator, without which they cannot load layers.
     pub(super) fn find_announcement_fault(&self, instance: &Instance) -> Option<AnnouncementFault> {
         let cfg = self.machine.configuration();
         let release = cfg.release().map(AsRef::as_ref);
--- a/crates/deckwind-core/src/control/maintenance.rs
+++ b/crates/deckwind-core/src/control/maintenance.rs
@@ -46,7 +46,7 @@
         self.process_renewals_awaiting_leader(now, out);
         self.forward_requests(now, out);
         self.process_announcements_awaiting_leader(now, out);
-        self.report_heard(now, out);
+        self.report_announcements(now, out);
         self.answer_parked(now, out);
         self.expire_leases(now, out);
         self.release_orphaned_claims(now, out);
@@ -89,8 +89,8 @@
         }
     }
 
-    /// Releases claims of routers that are gone: those whose holder has no lease. Done
-    /// once per leader, after the leases of the previous leader have expired.
+    /// Releases claims of router processes that are gone: those whose holder has no
+    /// lease. Done once per leader, after the leases of the previous leader have expired.
     fn release_orphaned_claims(&mut self, now: Instant, out: &mut Vec<ControlAction>) {
         let known = match &self.leading {
             Some(leading) if !leading.orphans_checked => leading.leases.are_known(now),
--- a/crates/deckwind-core/src/control/messages.rs
+++ b/crates/deckwind-core/src/control/messages.rs
@@ -1,6 +1,6 @@
 //! Messages between routers and control replicas, and between control replicas.
 
-use super::heard_targets::HeardTargets;
+use super::announcement_reports::HeardTargets;
 use super::limit_messages::{LimitList, LimitReport, PermitAnswer, PermitAsk};
 use super::relay_messages::{RelayedReplies, RelayedRequests};
 use super::repeat_messages::{RepeatGrant, RepeatReport};
@@ -19,7 +19,7 @@
 /// A request of a router to renew its lease.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Renewal {
-    /// The router.
+    /// The router process.
     pub holder: Holder,
     /// Revision the router has applied.
     pub applied: Revision,
@@ -29,14 +29,14 @@
     pub demand: Vec<(AccountName, AccountDemand)>,
     /// Data centre of the router.
     pub data_centre: DataCentre,
-    /// Capacity held by the streams of this router.
+    /// Load of this router's streams by engine.
     pub in_use: Vec<EngineUse>,
-    /// Version of the totals over all routers that this router has.
+    /// Version of the load totals over all routers that this router has.
     pub use_known: Option<UseNumber>,
     /// Targets that recently failed this router.
     pub failing: Vec<SocketAddr>,
-    /// Retries that the router holds and requests; `None` if its settings allow no
-    /// retries beyond the share of its own requests.
+    /// Retries that the router process holds and requests; `None` if its settings allow
+    /// no retries beyond the share of its own requests.
     pub repeats: Option<RepeatReport>,
     /// Limits named by targets.
     pub limits: LimitReport,
@@ -44,7 +44,7 @@
     pub held_bytes: u64,
 }
 
-/// Capacity that streams hold at one engine.
+/// Load of streams at one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineUse {
     /// Address of the engine.
@@ -57,7 +57,7 @@
 }
 
 impl EngineUse {
-    /// Creates the message for the capacity held at an engine.
+    /// Creates the message for the load at an engine.
     pub fn new(address: SocketAddr, held: Held) -> Self {
         Self {
             address,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Returns the held capacity.
+    /// Returns the load.
     pub fn held(&self) -> Held {
         Held {
             layer_tokens: self.layer_tokens,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Version of the totals of held capacity that a router has received.
+/// Version of the load totals that a router has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UseNumber {
     /// Term of the leader that sent the totals.
@@ -84,16 +84,16 @@
     pub number: u64,
 }
 
-/// Totals of held capacity over all routers, including the receiver, that have changed
-/// since the version the router has.
+/// Load totals over all routers, including the receiver, that have changed since the
+/// version the router has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UseNews {
     /// Version the router has after this update.
     pub upto: UseNumber,
-    /// Whether the list is complete, so that engines not listed hold nothing. Otherwise
+    /// Whether the list is complete, so that engines not listed have no load. Otherwise
     /// the earlier totals of the other engines remain valid.
     pub all: bool,
-    /// Totals by engine.
+    /// Load totals by engine.
     pub engines: Vec<EngineUse>,
 }
 
@@ -102,8 +102,8 @@
 pub struct EngineFull {
     /// Address of the engine.
     pub address: SocketAddr,
-    /// Capacity held by streams at the engine as counted by the router, tokens times
-    /// layers.
+    /// Load at the engine as counted by the router, in layer tokens (tokens times
+    /// layers).
     pub layer_tokens: u64,
 }
 
@@ -122,7 +122,7 @@
     pub shares: Vec<(AccountName, AccountShare)>,
     /// Number of routers with a live lease.
     pub routers: u32,
-    /// Totals of held capacity over all routers; `None` if the router has them already.
+    /// Load totals over all routers; `None` if the router has them already.
     pub in_use: Option<UseNews>,
     /// Slots of the control replicas.
     pub replicas: Vec<u32>,
@@ -179,7 +179,7 @@
     Renew(Renewal),
     /// Report targets that have just failed the router.
     Failing(Vec<SocketAddr>),
-    /// Release the lease of a router that has stopped.
+    /// Release the lease of a router process that has stopped.
     Release(Holder),
     /// Claim a non-repeatable request.
     Claim(ClaimRequest),
@@ -189,21 +189,21 @@
     Repeats(Holder, RepeatReport),
     /// Report engines that have just refused requests for lack of capacity.
     Full(Holder, Vec<EngineFull>),
-    /// Report engines that may be slow: streams through them pause although all of these
-    /// engines are reachable.
+    /// Report engines that may be slow: streams through them have stalled although all of
+    /// these engines are reachable.
     PerhapsSlow(Vec<SocketAddr>),
     /// Request permits to send requests to these limited targets.
     Permits(Holder, Vec<PermitAsk>),
-    /// Report request executions that broke off. May be sent more than once.
+    /// Report interrupted request executions. May be sent more than once.
     CutRuns(CutReport),
 }
 
-/// Report on request executions that broke off.
+/// Report on interrupted request executions.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CutReport {
-    /// Targets whose answers broke off, to be checked for reachability.
+    /// Targets whose answers were interrupted, to be checked for reachability.
     pub broke: Vec<SocketAddr>,
-    /// Contents during whose execution a target ended, or that were served.
+    /// Request contents during whose execution a target crashed, or that were served.
     pub changes: Vec<SuspectChange>,
 }
 
--- a/crates/deckwind-core/src/control/mod.rs
+++ b/crates/deckwind-core/src/control/mod.rs
@@ -14,6 +14,7 @@
 //! to the leader and name it to operators. Every replica accepts announcements of targets.
 
 mod announcement_fault;
+mod announcement_reports;
 mod announcements;
 mod apply;
 mod control_core;
@@ -22,7 +23,6 @@
 mod event;
 mod full_engines;
 mod grants;
-mod heard_targets;
 mod in_use;
 mod limit_desk;
 mod limit_messages;
@@ -51,13 +51,13 @@
 mod wake;
 
 pub use announcement_fault::AnnouncementFault;
+pub use announcement_reports::HeardTargets;
 pub use announcements::SILENT_PERIODS;
 pub use control_core::ControlCore;
 pub use event::{
     ControlAction, ControlEvent, ControlLimits, DEFAULT_PERIOD, LifeNote, LimitNote, PERIODS,
     Unreadable,
 };
-pub use heard_targets::HeardTargets;
 pub use limit_desk::{BURST, LimitChange, LimitDesk, PERMIT_FOR};
 pub use limit_messages::{
     LeaderTime, LimitHeard, LimitKey, LimitList, LimitReport, LimitRevision, NamedLimit,
--- a/crates/deckwind-core/src/control/operator.rs
+++ b/crates/deckwind-core/src/control/operator.rs
@@ -34,7 +34,7 @@
     Configuration,
     /// Read the status of the cluster.
     Status,
-    /// Lift the quarantine of a content.
+    /// Lift the quarantine of a request content.
     Lift(ContentDigest),
 }
 
@@ -51,8 +51,8 @@
     /// The announcement of a ready target was accepted; the target may keep using this
     /// replica.
     Heard,
-    /// An incarnation of the target that may be newer still announces itself; the request
-    /// should be sent again later.
+    /// The incarnation is unconfirmed: one that may be newer still announces itself. The
+    /// request should be sent again later.
     Doubted,
     /// The announcement or leave request was rejected.
     NotTaken(AnnouncementFault),
--- a/crates/deckwind-core/src/control/parked_renewals.rs
+++ b/crates/deckwind-core/src/control/parked_renewals.rs
@@ -1,7 +1,7 @@
 //! Renewals whose replies are deferred, indexed by what they wait for.
 //!
-//! An event examines only the renewals it concerns. With hundreds of routers, a renewal
-//! arrives every fraction of a millisecond; examining all parked renewals each time would
+//! An event scans only the renewals it concerns. With hundreds of routers, a renewal
+//! arrives every fraction of a millisecond; scanning all parked renewals each time would
 //! cost the number of routers times the number of renewals.
 
 use super::messages::Renewal;
--- a/crates/deckwind-core/src/control/requests.rs
+++ b/crates/deckwind-core/src/control/requests.rs
@@ -164,7 +164,8 @@
     }
 
     /// Forwards the requests that are due and returns the answers that may be sent.
-    /// Routers whose request was sent to a previous leader are told to ask again.
+    /// Routers whose request was sent to a previous leader receive
+    /// [`ControlReply::AskAgain`].
     pub(super) fn forward_requests(&mut self, now: Instant, out: &mut Vec<ControlAction>) {
         let leader = self.leader_slot();
         let lost = self.relay.set_leader(leader);
@@ -351,7 +352,7 @@
     }
 }
 
-/// Returns the capacity of an engine for streams according to the committed state.
+/// Returns the capacity of an engine according to the committed state.
 fn engine_room(cfg: &Configuration, address: SocketAddr) -> Option<EngineRoom> {
     let instance = cfg.instances().at(address).next()?;
     let pool = cfg.release()?.pool(&instance.pool)?;
--- a/crates/deckwind-core/src/control/status.rs
+++ b/crates/deckwind-core/src/control/status.rs
@@ -65,7 +65,8 @@
     pub data_centre: DataCentre,
     /// Whether it accepts new work.
     pub state: InstanceState,
-    /// Time since the target was last heard, ms; `None` if this leader has not heard it.
+    /// Time since the last announcement of the target, ms; `None` if this leader has
+    /// received none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub heard_ms: Option<u64>,
     /// Kind of its accelerator.
@@ -76,7 +77,7 @@
     /// Layers it has been ordered to hold, while an order is in progress.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ordered: Option<LayerRange>,
-    /// Capacity held there by the streams of all routers, tokens times layers.
+    /// Load from the streams of all routers, in layer tokens (tokens times layers).
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub layer_tokens: Option<u64>,
     /// Time per unit of work, in thousandths of the usual time; `None` if the engine is
@@ -88,13 +89,13 @@
     pub suspected: bool,
 }
 
-/// A request content that is not sent to any target because targets ended while executing
-/// it.
+/// A quarantined poison request, which is sent to no target because targets crashed while
+/// executing it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantinedView {
-    /// Digest of method, path, account and body of the request, as in logs.
+    /// Digest of the request content: method, path, account and body, as in logs.
     pub content: String,
-    /// Incarnations that ended.
+    /// Incarnations that crashed.
     pub ended: Vec<String>,
     /// Remaining time of the quarantine, ms.
     pub left_ms: u64,
@@ -124,7 +125,7 @@
     /// Targets that announce themselves.
     #[serde(default)]
     pub engines: Vec<EngineView>,
-    /// Quarantined request contents.
+    /// Quarantined poison requests.
     #[serde(default)]
     pub quarantined: Vec<QuarantinedView>,
 }
@@ -200,7 +201,8 @@
     }
 }
 
-/// Returns the retries a router holds and has not used; `None` if no retries are granted.
+/// Returns the retries a router process holds and has not used; `None` if no retries are
+/// granted.
 fn unused_repeats(leading: &LeaderState, vm: &VmName, lease: &RouterLease) -> Option<u64> {
     let holder = Holder {
         vm: vm.clone(),
@@ -211,7 +213,7 @@
 }
 
 fn engine_view(now: Instant, leading: &LeaderState, i: &Instance) -> EngineView {
-    let heard = leading.heard.last_heard(&i.life());
+    let received = leading.last_announcements.last_received(&i.life());
     EngineView {
         id: i.id.clone(),
         born: i.born,
@@ -219,7 +221,7 @@
         address: i.address,
         data_centre: i.data_centre.clone(),
         state: i.state,
-        heard_ms: heard.map(|at| now.since(at).as_millis() as u64),
+        heard_ms: received.map(|at| now.since(at).as_millis() as u64),
         accelerator: i.accelerator.clone(),
         layers: i.layers,
         ordered: leading.placement.ordered(&i.id),
--- a/crates/deckwind-core/src/control/wake.rs
+++ b/crates/deckwind-core/src/control/wake.rs
@@ -15,9 +15,8 @@
     Routine,
     /// Engines that refuse requests. A request sent to one of them costs a retry.
     Soon,
-    /// Releases, keys, targets that are gone or draining, and requests whose execution
-    /// ends their targets. Requests handled on outdated state would fail or must no longer be
-    /// admitted.
+    /// Releases, keys, targets that are gone or draining, and poison requests. Requests
+    /// handled on outdated state would fail or must no longer be admitted.
     Urgent,
 }
 
