--- a/crates/deckwind-core/src/control/mod.rs
+++ b/crates/deckwind-core/src/control/mod.rs
@@ -1,5 +1,4 @@
-//! A control replica's decisions: the replicated log, the state it adds up to,
-//! the routers' leases and the accounts' shares.
+//! Decision logic of a control replica, without I/O: it consumes events and returns actions.
 //!
 //! ```text
 //!  ControlRequest ──┐                         ┌─► Reply to a router or operator
@@ -8,30 +7,34 @@
 //!  time ────────────┘   leases, shares, orders└─► Compact, Order
 //! ```
 //!
-//! Only a leader with a valid lease answers; everybody else names the leader. Targets that
-//! announce themselves are heard by every replica.
+//! [`ControlCore`] combines the replicated log, the state machine it drives, the leases of
+//! the routers and each router's share of the account limits.
+//!
+//! Only a leader with a valid lease decides. Other replicas forward the requests of routers
+//! to the leader and name it to operators. Every replica accepts announcements of targets.
 
 mod announcement_fault;
+mod announcement_reports;
 mod announcements;
-mod applying;
+mod apply;
 mod control_core;
 mod cut_reports;
 mod demand;
 mod event;
 mod full_engines;
 mod grants;
-mod heard;
 mod in_use;
 mod limit_desk;
 mod limit_handlers;
 mod limit_messages;
 mod lives;
 mod looks;
+mod maintenance;
 mod messages;
 mod operator;
 mod orders;
 mod pace;
-mod parking;
+mod parked_renewals;
 mod pending;
 mod placement_desk;
 mod placement_groups;
@@ -44,18 +47,17 @@
 mod slow;
 mod status;
 mod tracked_allowance;
-mod upkeep;
-mod urgent;
+mod urgent_changes;
 mod wake;
 
 pub use announcement_fault::AnnouncementFault;
+pub use announcement_reports::HeardTargets;
 pub use announcements::SILENT_PERIODS;
 pub use control_core::ControlCore;
 pub use event::{
     ControlAction, ControlEvent, ControlLimits, DEFAULT_PERIOD, LifeNote, LimitNote, PERIODS,
     Unreadable,
 };
-pub use heard::HeardTargets;
 pub use limit_desk::{BURST, LimitChange, LimitDesk, PERMIT_FOR};
 pub use limit_messages::{
     LeaderTime, LimitHeard, LimitKey, LimitList, LimitReport, LimitRevision, NamedLimit,
