--- /dev/null
+++ b/crates/deckwindd/src/router/routes/poison_requests.rs
@@ -0,0 +1,174 @@
+//! Request contents that targets crash on. The decisions are made in
+//! `deckwind_core::routes::CutRuns`; this module reports them to the leader and logs
+//! them.
+
+use crate::router::shared::RouterShared;
+use deckwind_core::control::CutReport;
+use deckwind_core::routes::CutRuns;
+use deckwind_core::state::{ContentDigest, Life, SuspectChange, SuspectList};
+use deckwind_core::time::Instant;
+use deckwind_wire::{ControlReply, ControlRequest};
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::Duration;
+use tokio::sync::Notify;
+
+/// Timeout of a report to the leader. After it the report is sent again, together with
+/// later changes.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Time over which interrupted runs are collected into one report: all streams of an
+/// engine break off together.
+const BATCH_WINDOW: Duration = Duration::from_millis(5);
+
+/// Maximum number of targets named in one report: as many as end with a data centre.
+/// Further ones are detected by their missing announcements.
+const MAX_BROKEN_TARGETS: usize = 512;
+
+/// A run that was interrupted.
+pub struct CutRun<'a> {
+    /// Content of the request.
+    pub content: ContentDigest,
+    /// Address of the target.
+    pub address: SocketAddr,
+    /// Incarnation of the target.
+    pub life: &'a Life,
+    /// Time since the first event of the run; `None` if there was none.
+    pub ran: Option<Duration>,
+    /// Whether the target broke the run off.
+    pub broke: bool,
+}
+
+/// What this router knows of request contents and of targets that crashed on them.
+#[derive(Default)]
+pub struct PoisonRequests {
+    runs: Mutex<CutRuns>,
+    /// Targets whose answers broke off and that have not been reported to the leader
+    /// yet.
+    broken_targets: Mutex<Vec<SocketAddr>>,
+    report_due: Notify,
+}
+
+impl PoisonRequests {
+    /// Creates an empty record; targets announce themselves every `period`.
+    pub fn new(period: Duration) -> Self {
+        Self {
+            runs: Mutex::new(CutRuns::with_period(period)),
+            ..Self::default()
+        }
+    }
+
+    fn runs(&self) -> MutexGuard<'_, CutRuns> {
+        self.runs.lock().expect("no holder panics")
+    }
+
+    /// Whether a request with this content may be sent.
+    pub fn may_send(&self, now: Instant, content: &ContentDigest) -> bool {
+        self.runs().may_send(now, content)
+    }
+
+    /// Records that a target has served a request with this content and did not crash.
+    pub fn served(&self, now: Instant, content: ContentDigest) {
+        let mut runs = self.runs();
+        runs.served(now, content);
+        let has_changes = runs.has_news();
+        drop(runs);
+        if has_changes {
+            self.report_due.notify_one();
+        }
+    }
+
+    /// Records an interrupted run.
+    pub fn cut(&self, now: Instant, cut: &CutRun) {
+        let is_suspect = self.runs().cut(now, cut.content, cut.life, cut.ran);
+        if is_suspect && cut.broke {
+            let mut broke = self.broken_targets.lock().expect("no holder panics");
+            if broke.len() < MAX_BROKEN_TARGETS && !broke.contains(&cut.address) {
+                broke.push(cut.address);
+            }
+        }
+        self.report_due.notify_one();
+    }
+
+    /// Records that these incarnations have ended unplanned.
+    pub fn lives_over(&self, now: Instant, lives: Vec<Life>) {
+        if lives.is_empty() {
+            return;
+        }
+        let ended = self.runs().lives_over(now, lives);
+        for (content, life) in &ended {
+            metrics::counter!("deckwind_route_ended_targets_total").increment(1);
+            log::warn!("event=target_ended_under content={content} life={life}");
+        }
+        if !ended.is_empty() {
+            self.report_due.notify_one();
+        }
+    }
+
+    /// Applies the list of suspected request contents that the replicas have agreed on.
+    pub fn apply_list(&self, now: Instant, list: Arc<SuspectList>) {
+        let mut runs = self.runs();
+        let before = runs.agreed(now, list.clone());
+        let has_changes = runs.has_news();
+        drop(runs);
+        if has_changes {
+            self.report_due.notify_one();
+        }
+        if before != list {
+            log_quarantine_changes(&before, &list);
+        }
+    }
+
+    /// Waits for a change to report to the leader.
+    async fn next_report(&self) -> CutReport {
+        loop {
+            self.report_due.notified().await;
+            tokio::time::sleep(BATCH_WINDOW).await;
+            let broke = std::mem::take(&mut *self.broken_targets.lock().expect("no holder panics"));
+            let changes = self.runs().take_news();
+            if !(broke.is_empty() && changes.is_empty()) {
+                return CutReport { broke, changes };
+            }
+        }
+    }
+
+    /// Queues changes again that could not be reported, to be sent with later ones.
+    fn requeue(&self, changes: Vec<SuspectChange>) {
+        if !changes.is_empty() {
+            self.runs().put_back(changes);
+            self.report_due.notify_one();
+        }
+    }
+}
+
+/// Logs each content that is newly quarantined, or no longer.
+fn log_quarantine_changes(before: &SuspectList, now: &SuspectList) {
+    let contains =
+        |list: &SuspectList, content: &ContentDigest| list.quarantined().any(|c| c == content);
+    for content in now.quarantined().filter(|c| !contains(before, c)) {
+        log::warn!(
+            "event=content_quarantined content={content} ends={}",
+            now.ends(content)
+        );
+    }
+    for content in before.quarantined().filter(|c| !contains(now, c)) {
+        log::info!("event=content_served_again content={content}");
+    }
+    metrics::gauge!("deckwind_route_quarantined_contents").set(now.quarantined().count() as f64);
+}
+
+/// Reports interrupted runs to the leader in an endless loop.
+pub async fn tell_cut_runs(shared: Arc<RouterShared>) {
+    loop {
+        let report = shared.routes.suspects.next_report().await;
+        let request = ControlRequest::CutRuns(report.clone());
+        let asked = shared.control.ask(&request, REPORT_TIMEOUT).await;
+        if !matches!(asked, Ok(ControlReply::Done)) {
+            log::warn!(
+                "event=cut_runs_not_told changes={} answer={asked:?}",
+                report.changes.len()
+            );
+            shared.routes.suspects.requeue(report.changes);
+        }
+    }
+}
