--- a/crates/deckwindd/examples/quickstart.rs
+++ b/crates/deckwindd/examples/quickstart.rs
@@ -1,8 +1,8 @@
-//! The quick start: a whole cluster in one process, with fakes behind it.
+//! Quick start: a complete cluster in one process, with fake targets.
 //!
-//! Three control replicas and two routers on loopback, a model of 24 layers
-//! over three fake engines, and a lookup service. Prints a streamed answer, the
-//! chain that it took, a lookup's answer, and what `deckwind status` shows.
+//! Starts three control replicas and two routers on loopback, a model of 24 layers on
+//! three fake engines, and a lookup service. Prints a streamed answer, the chain of engines
+//! that served it, the answer of a lookup, and the output of `deckwind status`.
 
 use anyhow::Result;
 use deckwind_core::state::{Change, LayerRange};
@@ -20,7 +20,7 @@
 
 #[tokio::main]
 async fn main() -> Result<()> {
-    let any: SocketAddr = "127.0.0.1:0".parse()?;
+    let any_port: SocketAddr = "127.0.0.1:0".parse()?;
     println!("starting 3 control replicas and 2 routers …");
     let cluster = Cluster::start(3, 2).await?;
     cluster
@@ -35,18 +35,18 @@
 
     let mut engines = Vec::new();
     for i in 0..STAGES {
-        let per = LAYERS / STAGES;
-        let layers = LayerRange::new(i * per, (i + 1) * per);
+        let layers_per_stage = LAYERS / STAGES;
+        let layers = LayerRange::new(i * layers_per_stage, (i + 1) * layers_per_stage);
         let mut cfg = FakeEngineConfig::new(layers, LAYERS);
         cfg.step_time = Duration::from_millis(5);
         let engine = FakeEngine::new(cfg);
-        let served = serve::engine(any, Arc::new(engine.clone())).await?;
+        let served = serve::engine(any_port, Arc::new(engine.clone())).await?;
         let name = format!("engine-{i}");
         let target = engine_target(&name, served.address, layers.first, layers.last);
         cluster.apply(Change::Target(target)).await?;
         engines.push((name, engine, served));
     }
-    let service = serve::service(any, Arc::new(FakeService::new("card-status-1"))).await?;
+    let service = serve::service(any_port, Arc::new(FakeService::new("card-status-1"))).await?;
     let target = service_target("card-status-1", service.address, "card-status");
     cluster.apply(Change::Target(target)).await?;
 
--- a/crates/deckwindd/src/admin.rs
+++ b/crates/deckwindd/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' side of a daemon: HTTP by `oxhttp`, a thread a connection.
+//! HTTP server for operators, built on `oxhttp` with one thread per connection.
 
 use anyhow::{Context as _, Result};
 use oxhttp::Server;
@@ -7,13 +7,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Longest request or answer.
+/// Time limit for reading a request and for writing a response.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Connections at once.
+/// Maximum number of concurrent connections.
 const MAX_CONNECTIONS: usize = 64;
 
-/// Serves `handle` at an address until the process ends.
+/// Serves `handle` at an address until the process exits.
+///
+/// # Errors
+///
+/// Fails if the address cannot be bound.
 pub fn serve(
     address: SocketAddr,
     handle: impl Fn(&mut Request<Body>) -> Response<Body> + Send + Sync + 'static,
@@ -23,24 +27,24 @@
         .with_max_concurrent_connections(MAX_CONNECTIONS)
         .bind(address)
         .spawn()
-        .with_context(|| format!("TCP {address} can't be bound"))?;
+        .with_context(|| format!("failed to bind TCP address {address}"))?;
     Ok(())
 }
 
-/// A text answer.
+/// Builds a plain-text response.
 pub fn text(status: StatusCode, body: impl Into<String>) -> Response<Body> {
-    answer(status, "text/plain; charset=utf-8", body.into())
+    response(status, "text/plain; charset=utf-8", body.into())
 }
 
-/// A JSON answer.
+/// Builds a JSON response; the status is 500 if `value` cannot be serialized.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response<Body> {
     match serde_json::to_string(value) {
-        Ok(body) => answer(status, "application/json", body),
+        Ok(body) => response(status, "application/json", body),
         Err(e) => text(StatusCode::INTERNAL_SERVER_ERROR, e.to_string()),
     }
 }
 
-fn answer(status: StatusCode, content_type: &str, body: String) -> Response<Body> {
+fn response(status: StatusCode, content_type: &str, body: String) -> Response<Body> {
     let built = Response::builder()
         .status(status)
         .header("content-type", content_type)
--- a/crates/deckwindd/src/collect.rs
+++ b/crates/deckwindd/src/collect.rs
@@ -1,4 +1,5 @@
-//! Reads bodies whole, within a bound on one and a bound on all together.
+//! Reads complete HTTP bodies, with a size limit per body and a limit on the bytes of all
+//! bodies together.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -6,14 +7,14 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Why a body could not be read whole.
+/// Reason why a body could not be read completely.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CollectError {
-    /// It is longer than it may be.
+    /// The body exceeds its size limit.
     TooLong,
-    /// All together are held that may be.
+    /// The limit on the bytes of all bodies together is reached.
     NoRoom,
-    /// It broke off.
+    /// The connection failed before the end of the body.
     Broken(String),
 }
 
@@ -27,64 +28,73 @@
     }
 }
 
-/// Counts what is held, and gives it back when it is dropped.
+/// Reservation of memory that can grow, and is released when it is dropped.
 pub trait Grow {
-    /// Some bytes more, if there is room for them.
+    /// Reserves more bytes.
+    ///
+    /// # Errors
+    ///
+    /// Fails, and reserves nothing, if the limit would be exceeded.
     fn grow(&mut self, bytes: u64) -> Result<(), CollectError>;
 }
 
-/// Reads a whole body of `most` bytes at most, and counts it as it comes.
+/// Reads a complete body of at most `max_bytes` bytes. Memory is reserved from `held` as data
+/// arrives.
+///
+/// # Errors
+///
+/// Fails if the body is too long, no memory can be reserved, or the connection fails.
 pub async fn collect(
     mut body: Incoming,
-    most: usize,
+    max_bytes: usize,
     held: &mut impl Grow,
 ) -> Result<Bytes, CollectError> {
-    let mut whole = Bytes::new();
+    let mut body_bytes = Bytes::new();
     let mut parts = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|e| CollectError::Broken(e.to_string()))?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if whole.len() + parts.len() + data.len() > most {
+        if body_bytes.len() + parts.len() + data.len() > max_bytes {
             return Err(CollectError::TooLong);
         }
         held.grow(data.len() as u64)?;
-        // Most bodies come in one piece, which is not copied.
-        if whole.is_empty() && parts.is_empty() {
-            whole = data;
+        // Most bodies arrive in a single frame, which is returned without a copy.
+        if body_bytes.is_empty() && parts.is_empty() {
+            body_bytes = data;
             continue;
         }
-        parts.extend_from_slice(&std::mem::take(&mut whole));
+        parts.extend_from_slice(&std::mem::take(&mut body_bytes));
         parts.extend_from_slice(&data);
     }
     match parts.is_empty() {
-        true => Ok(whole),
+        true => Ok(body_bytes),
         false => Ok(parts.freeze()),
     }
 }
 
-/// Bytes that may be held at once.
+/// Limit on the number of bytes that are reserved at the same time.
 pub struct Room {
-    most: u64,
+    max_bytes: u64,
     held: AtomicU64,
 }
 
 impl Room {
-    /// For so many bytes.
-    pub fn new(most: u64) -> Arc<Self> {
+    /// Creates a limit of `max_bytes` bytes.
+    pub fn new(max_bytes: u64) -> Arc<Self> {
         Arc::new(Self {
-            most,
+            max_bytes,
             held: AtomicU64::new(0),
         })
     }
 
-    /// Bytes that are held.
+    /// Number of reserved bytes.
     pub fn held(&self) -> u64 {
         self.held.load(Ordering::Relaxed)
     }
 
-    /// Nothing of it yet.
+    /// Creates an empty reservation.
     pub fn part(self: &Arc<Self>) -> Part {
         Part {
             room: self.clone(),
@@ -93,7 +103,7 @@
     }
 }
 
-/// Bytes of a room that are held for as long as this lives.
+/// Reservation of bytes, released when it is dropped.
 pub struct Part {
     room: Arc<Room>,
     bytes: u64,
@@ -102,7 +112,7 @@
 impl Grow for Part {
     fn grow(&mut self, bytes: u64) -> Result<(), CollectError> {
         let before = self.room.held.fetch_add(bytes, Ordering::Relaxed);
-        if before + bytes > self.room.most {
+        if before + bytes > self.room.max_bytes {
             self.room.held.fetch_sub(bytes, Ordering::Relaxed);
             return Err(CollectError::NoRoom);
         }
--- a/crates/deckwindd/src/commands/mod.rs
+++ b/crates/deckwindd/src/commands/mod.rs
@@ -1,16 +1,16 @@
-//! The daemon's command line.
+//! Command line of the daemon.
 
 pub mod run;
 
 use deckwind_net::clock::Clock;
 use std::process::ExitCode;
 
-/// Parses the arguments, runs, and tells how it ended.
+/// Parses the arguments, runs the daemon and returns its exit code.
 pub fn main() -> ExitCode {
     main_by(Clock::start())
 }
 
-/// The same by another clock.
+/// Runs like [`main`], with the given clock.
 pub fn main_by(clock: Clock) -> ExitCode {
     match run::exec(&run::cli().get_matches(), clock) {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/deckwindd/src/commands/run.rs
+++ b/crates/deckwindd/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `deckwindd --settings FILE [--check]`
+//! The command `deckwindd --settings FILE [--check]`.
 
 use crate::logging;
 use crate::ops::Daemon;
@@ -10,13 +10,13 @@
 use std::time::{Duration, SystemTime};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// Longest wait for tasks that still run at the end.
-const SHUTDOWN: Duration = Duration::from_millis(50);
+/// Maximum time to wait for remaining tasks when the runtime shuts down.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Between two looks at whether the daemon still works.
-const WATCH_EVERY: Duration = Duration::from_millis(200);
+/// Interval between checks of the settings file and of the daemon's health.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The command.
+/// Returns the definition of the command line.
 pub fn cli() -> Command {
     Command::new("deckwindd")
         .about("The deckwind daemon: a router, a control replica, or both, by its settings")
@@ -37,7 +37,11 @@
         )
 }
 
-/// Runs the daemon until SIGTERM or SIGINT.
+/// Runs the daemon until SIGTERM or SIGINT. SIGHUP reloads the settings file.
+///
+/// # Errors
+///
+/// Fails if the settings are invalid, or the daemon cannot start or fails while running.
 pub fn exec(args: &ArgMatches, clock: Clock) -> Result<()> {
     let file = args.get_one::<PathBuf>("settings").context("--settings")?;
     let settings = load(file)?;
@@ -51,12 +55,12 @@
     if let Err(e) = &result {
         log::error!("event=failed error={:?}", format!("{e:#}"));
     }
-    runtime.shutdown_timeout(SHUTDOWN);
+    runtime.shutdown_timeout(SHUTDOWN_TIMEOUT);
     result
 }
 
-/// One thread on one core: nothing is gained by handing tasks between threads
-/// that take turns.
+/// Builds the runtime. On a single core it is single-threaded, since moving tasks between
+/// threads that share the core gains nothing.
 fn runtime() -> Result<tokio::runtime::Runtime> {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let mut builder = match cores {
@@ -68,7 +72,7 @@
 
 async fn serve(settings: Settings, file: &Path, clock: Clock) -> Result<()> {
     let mut hup = signal(SignalKind::hangup())?;
-    let mut seen = SettingsFile::new(file);
+    let mut settings_file = SettingsFile::new(file);
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     let daemon = Daemon::start_by(settings, clock).await?;
@@ -76,10 +80,10 @@
         tokio::select! {
             _ = term.recv() => break,
             _ = int.recv() => break,
-            _ = hup.recv() => seen.forget(),
-            () = tokio::time::sleep(WATCH_EVERY) => {}
+            _ = hup.recv() => settings_file.force_reload(),
+            () = tokio::time::sleep(CHECK_INTERVAL) => {}
         }
-        if let Some(settings) = seen.changed() {
+        if let Some(settings) = settings_file.load_if_changed() {
             daemon.reload(settings);
         }
         if !daemon.is_alive() {
@@ -91,42 +95,42 @@
     daemon.close().await
 }
 
-/// The settings file, and how it looked when it was last read.
+/// Settings file, with its modification time and size at the last read.
 struct SettingsFile {
     path: PathBuf,
-    read: Option<(SystemTime, u64)>,
+    last_read: Option<(SystemTime, u64)>,
 }
 
 impl SettingsFile {
-    /// A file that has just been read.
+    /// Creates a watcher of a file that has just been read.
     fn new(path: &Path) -> Self {
         let mut file = Self {
             path: path.to_path_buf(),
-            read: None,
+            last_read: None,
         };
-        file.read = file.look();
+        file.last_read = file.metadata();
         file
     }
 
-    fn look(&self) -> Option<(SystemTime, u64)> {
+    fn metadata(&self) -> Option<(SystemTime, u64)> {
         let meta = std::fs::metadata(&self.path).ok()?;
         Some((meta.modified().ok()?, meta.len()))
     }
 
-    /// Has the file read again, whether it looks changed or not.
-    fn forget(&mut self) {
+    /// Makes the next check read the file even if its metadata has not changed.
+    fn force_reload(&mut self) {
         log::info!("event=reload_asked file={}", self.path.display());
-        self.read = None;
+        self.last_read = None;
     }
 
-    /// The settings, if the file has changed. One that can't be taken is told
-    /// once, and the settings stay as they are.
-    fn changed(&mut self) -> Option<Settings> {
-        let now = self.look()?;
-        if self.read == Some(now) {
+    /// Returns the new settings if the file has changed. An invalid file is logged once,
+    /// and the current settings stay in effect.
+    fn load_if_changed(&mut self) -> Option<Settings> {
+        let now = self.metadata()?;
+        if self.last_read == Some(now) {
             return None;
         }
-        self.read = Some(now);
+        self.last_read = Some(now);
         match load(&self.path) {
             Ok(settings) => Some(settings),
             Err(findings) => {
--- a/crates/deckwindd/src/context.rs
+++ b/crates/deckwindd/src/context.rs
@@ -1,4 +1,4 @@
-//! What every part of a daemon is given: settings, clock, runtime, boot.
+//! Context shared by all parts of a daemon: settings, clock, runtime and boot number.
 
 use anyhow::Result;
 use deckwind_config::{SeedSettings, Settings};
@@ -14,20 +14,20 @@
 /// Context of one daemon; cheap to clone.
 #[derive(Clone)]
 pub struct Context {
-    /// Its settings.
+    /// Settings of the daemon.
     pub settings: Arc<Settings>,
-    /// Its clock.
+    /// Clock of the daemon.
     pub clock: Clock,
-    /// Runtime for the borders.
+    /// Runtime for network I/O and background tasks.
     pub runtime: Handle,
-    /// Random number of this start of the process.
+    /// Random number that identifies this start of the process.
     pub boot: u64,
-    /// How callers, targets and operators of published routes speak.
+    /// Protocols of callers, targets and operators of published routes.
     pub dialects: Dialects,
 }
 
 impl Context {
-    /// For a daemon that starts now, by this clock.
+    /// Creates the context of a daemon that starts now and uses `clock`.
     pub fn new(settings: Settings, runtime: Handle, clock: Clock) -> Self {
         Self {
             settings: Arc::new(settings),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Files of its certificates; nothing where any peer is trusted.
+    /// Returns the certificate files, or `None` if the settings trust any peer.
     pub fn key_files(&self) -> Option<KeyFiles> {
         let keys = self.settings.keys.as_ref()?;
         Some(KeyFiles {
@@ -48,15 +48,19 @@
         })
     }
 
-    /// Slots of the control replicas that are known from the settings.
+    /// Returns the slots of the control replicas named by the settings.
     pub fn known_slots(&self) -> Vec<u32> {
         match &self.settings.seeds {
-            Some(seeds) => slots_of(seeds),
+            Some(seeds) => seed_slots(seeds),
             None => self.settings.control_vms.iter().map(|vm| vm.slot).collect(),
         }
     }
 
-    /// UDP address of a control slot.
+    /// Returns the UDP address of the control replica in a slot.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the settings have no seeds and `control_vms` lacks the slot.
     pub fn control_address(&self, slot: u32) -> Result<SocketAddr> {
         if let Some(seeds) = &self.settings.seeds {
             let ip = Ipv4Addr::from(slot);
@@ -68,14 +72,14 @@
     }
 }
 
-/// Slots of the replicas that seeds name: their addresses as numbers.
-pub fn slots_of(seeds: &SeedSettings) -> Vec<u32> {
+/// Returns the slots of the replicas named as seeds: their IPv4 addresses as numbers.
+pub fn seed_slots(seeds: &SeedSettings) -> Vec<u32> {
     let slot = |a: &SocketAddrV4| u32::from(*a.ip());
     seeds.control.iter().map(slot).collect()
 }
 
-/// How often targets announce themselves; the usual period where the settings don't say,
-/// or say what can't be meant.
+/// Returns the interval at which targets announce themselves: `given`, or the default if
+/// nothing is given or the value lies outside the accepted range.
 pub fn period_of_targets(given: Option<Duration>) -> Duration {
     match given {
         None => DEFAULT_PERIOD,
--- a/crates/deckwindd/src/lib.rs
+++ b/crates/deckwindd/src/lib.rs
@@ -1,7 +1,7 @@
-//! The deckwind daemon as a library: the two roles, round the core.
+//! The deckwind daemon as a library: I/O for the router and control roles.
 //!
-//! For: the `deckwindd` binary, tests and the quick start. Not for: decisions;
-//! those are `deckwind-core`'s.
+//! Used by the `deckwindd` binary, tests and the quick-start example. Decisions are made
+//! in `deckwind-core`, which does no I/O.
 //!
 //! ```text
 //!              callers (HTTP)                 operators (HTTP)
--- a/crates/deckwindd/src/log_queue.rs
+++ b/crates/deckwindd/src/log_queue.rs
@@ -1,6 +1,6 @@
-//! Lines to standard output through a bounded queue: a slow reader of the log
-//! never holds up a request. Lines that find the queue full are counted and
-//! dropped; the count is written as soon as there is room.
+//! Writes log lines to standard output through a bounded queue, so that a slow reader of
+//! the log never blocks a request. Lines that do not fit are dropped and counted; the
+//! count is logged as soon as the queue drains.
 
 use crossbeam::channel::{Receiver, Sender, bounded};
 use flexi_logger::writers::LogWriter;
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Lines that may wait: some seconds of a router under full load.
-const MAX_WAITING: usize = 8_192;
+/// Maximum number of queued lines: a few seconds of a router under full load.
+const MAX_QUEUED_LINES: usize = 8_192;
 
-/// The sending end, as a writer of the logger.
+/// Log writer that puts lines into the queue.
 pub struct QueueWriter {
     tx: Sender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
@@ -21,14 +21,18 @@
 }
 
 impl QueueWriter {
-    /// Starts the thread that writes.
+    /// Starts the thread that writes the queued lines.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the thread cannot be spawned.
     pub fn start(format: FormatFunction) -> io::Result<Self> {
-        let (tx, rx) = bounded(MAX_WAITING);
+        let (tx, rx) = bounded(MAX_QUEUED_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
-        let for_thread = dropped.clone();
+        let thread_dropped = dropped.clone();
         std::thread::Builder::new()
             .name("log".to_string())
-            .spawn(move || write_all(&rx, &for_thread))?;
+            .spawn(move || write_all(&rx, &thread_dropped))?;
         Ok(Self {
             tx,
             dropped,
@@ -53,10 +57,10 @@
         Ok(())
     }
 
-    /// Waits, for a moment only, until what was queued is written.
+    /// Waits up to 200 ms until the queue is empty.
     fn shutdown(&self) {
-        const LOOKS: u32 = 20;
-        for _ in 0..LOOKS {
+        const MAX_CHECKS: u32 = 20;
+        for _ in 0..MAX_CHECKS {
             if self.tx.is_empty() {
                 return;
             }
@@ -68,15 +72,19 @@
 fn write_all(rx: &Receiver<Vec<u8>>, dropped: &AtomicU64) {
     let mut out = BufWriter::new(io::stdout());
     while let Ok(line) = rx.recv() {
-        let mut next = Some(line);
-        while let Some(line) = next {
-            // Whoever reads the log is gone: there is nowhere to say so.
+        let mut pending = Some(line);
+        while let Some(line) = pending {
+            // A write error means that the reader of the log is gone, so there is nowhere
+            // to report it.
             let _ = out.write_all(&line);
-            next = rx.try_recv().ok();
+            pending = rx.try_recv().ok();
         }
-        let lost = dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
-            let _ = writeln!(out, "level=warn event=log_lines_dropped count={lost}");
+        let dropped_count = dropped.swap(0, Ordering::Relaxed);
+        if dropped_count > 0 {
+            let _ = writeln!(
+                out,
+                "level=warn event=log_lines_dropped count={dropped_count}"
+            );
         }
         let _ = out.flush();
     }
--- a/crates/deckwindd/src/main.rs
+++ b/crates/deckwindd/src/main.rs
@@ -1,4 +1,4 @@
-//! The `deckwindd` binary.
+//! Entry point of the `deckwindd` binary.
 
 use std::process::ExitCode;
 
--- a/crates/deckwindd/src/metrics_page.rs
+++ b/crates/deckwindd/src/metrics_page.rs
@@ -1,18 +1,19 @@
-//! The process's one metrics recorder, and its Prometheus page.
+//! Global metrics recorder of the process, and its Prometheus page.
 
 use metrics_exporter_prometheus::{PrometheusBuilder, PrometheusHandle};
 use std::sync::OnceLock;
 
-/// The recorder is the process's, as `metrics` has it: the one global here.
-static PAGE: OnceLock<PrometheusHandle> = OnceLock::new();
+/// Handle of the recorder. It is a global because the `metrics` crate has one recorder per
+/// process; it is the only global here.
+static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
 
-/// The page; the first call installs the recorder.
+/// Returns the handle that renders the page. The first call installs the recorder.
 pub fn page() -> &'static PrometheusHandle {
-    PAGE.get_or_init(|| {
+    HANDLE.get_or_init(|| {
         let recorder = PrometheusBuilder::new().build_recorder();
         let handle = recorder.handle();
-        // Another recorder may be there in an embedding process: then ours
-        // stays empty, and that one counts.
+        // An embedding process may have installed a recorder already. It then receives the
+        // metrics, and this page stays empty.
         let _ = metrics::set_global_recorder(recorder);
         handle
     })
--- a/crates/deckwindd/src/ops/daemon.rs
+++ b/crates/deckwindd/src/ops/daemon.rs
@@ -1,6 +1,6 @@
-//! A daemon: the roles that its settings name.
+//! Daemon that runs the roles named by its settings.
 
-use crate::context::{Context, slots_of};
+use crate::context::{Context, seed_slots};
 use crate::control::Control;
 use crate::metrics_page;
 use crate::router::Router;
@@ -11,20 +11,28 @@
 use tokio::runtime::Handle;
 use tokio::task::JoinHandle;
 
-/// A running daemon.
+/// Running daemon with its roles.
 pub struct Daemon {
     control: Option<Control>,
     router: Option<Router>,
-    suspensions: JoinHandle<()>,
+    suspension_watcher: JoinHandle<()>,
 }
 
 impl Daemon {
-    /// Starts the roles that the settings name.
+    /// Starts the roles named by the settings.
+    ///
+    /// # Errors
+    ///
+    /// Fails if a role cannot start, for example if an address cannot be bound.
     pub async fn start(settings: Settings) -> Result<Self> {
         Self::start_by(settings, Clock::start()).await
     }
 
-    /// The same by another clock.
+    /// Starts like [`Daemon::start`], with the given clock.
+    ///
+    /// # Errors
+    ///
+    /// Fails like [`Daemon::start`].
     pub async fn start_by(settings: Settings, clock: Clock) -> Result<Self> {
         metrics_page::page();
         let cx = Context::new(settings, Handle::current(), clock);
@@ -42,29 +50,29 @@
             router.is_some(),
             control.is_some()
         );
-        let suspensions = tokio::spawn(suspension::watch(cx.clock));
+        let suspension_watcher = tokio::spawn(suspension::watch(cx.clock));
         Ok(Self {
             control,
             router,
-            suspensions,
+            suspension_watcher,
         })
     }
 
-    /// The router, if it has that role.
+    /// Returns the router, if the daemon has that role.
     pub fn router(&self) -> Option<&Router> {
         self.router.as_ref()
     }
 
-    /// Whether all roles still work. A control replica whose disk failed does
-    /// not.
+    /// Returns whether all roles are still running. A control replica whose disk failed
+    /// has stopped.
     pub fn is_alive(&self) -> bool {
         self.control.as_ref().is_none_or(Control::is_alive)
     }
 
-    /// Takes over what may change while it runs: the seeds. All else needs a
-    /// restart, which the log says.
+    /// Applies the settings that can change at runtime, which are only the seeds, and logs
+    /// them. All other settings need a restart.
     pub fn reload(&self, settings: Settings) {
-        let slots = settings.seeds.as_ref().map(slots_of).unwrap_or_default();
+        let slots = settings.seeds.as_ref().map(seed_slots).unwrap_or_default();
         log::info!("event=settings_read seeds={slots:?}");
         if slots.is_empty() {
             return;
@@ -73,12 +81,16 @@
             control.take_seeds(slots.clone());
         }
         if let Some(router) = &self.router {
-            router.take_seeds(slots);
+            router.set_seeds(slots);
         }
     }
 
-    /// A planned stop: the router first, so that it can still give its lease
-    /// back.
+    /// Shuts down gracefully. The router closes first, so that it can still release its
+    /// lease through the control replicas.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the control replica cannot be closed.
     pub async fn close(self) -> Result<()> {
         if let Some(router) = self.router {
             router.close().await;
@@ -86,7 +98,7 @@
         if let Some(control) = self.control {
             control.close().await?;
         }
-        self.suspensions.abort();
+        self.suspension_watcher.abort();
         log::info!("event=stopped");
         Ok(())
     }
--- a/crates/deckwindd/src/ops/mod.rs
+++ b/crates/deckwindd/src/ops/mod.rs
@@ -1,4 +1,4 @@
-//! What the daemon does, usable without its command line.
+//! Operations of the daemon, usable without the command line.
 
 mod daemon;
 
--- a/crates/deckwindd/src/router/admin_page.rs
+++ b/crates/deckwindd/src/router/admin_page.rs
@@ -1,4 +1,4 @@
-//! The router's page for operators and the balancer.
+//! Admin endpoints of a router, for operators and load balancers.
 
 use super::shared::RouterShared;
 use crate::admin::{self, json, text};
@@ -9,6 +9,10 @@
 use std::sync::Arc;
 
 /// Serves `/health`, `/ready`, `/metrics` and `/v1/burn`.
+///
+/// # Errors
+///
+/// Fails if the address cannot be bound.
 pub fn serve(address: SocketAddr, shared: Arc<RouterShared>) -> Result<()> {
     admin::serve(address, move |req| match req.uri().path() {
         "/health" => text(StatusCode::OK, "alive\n"),
--- a/crates/deckwindd/src/router/chat.rs
+++ b/crates/deckwindd/src/router/chat.rs
@@ -1,4 +1,4 @@
-//! Drives one chat session: carries out what [`Session`] asks for.
+//! Runs one chat session: performs the actions that [`Session`] requests.
 
 use super::shared::RouterShared;
 use super::template_runs::TemplateRun;
@@ -15,69 +15,69 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// What a session tells the caller's side.
+/// Event that a session sends to the task that answers the caller.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChatEvent {
-    /// A token.
+    /// Next token of the answer.
     Token(Token),
-    /// The end.
+    /// End of the session.
     End {
-        /// Why.
+        /// Reason for the end.
         reason: EndReason,
-        /// Whether any stage may have run any part of it.
+        /// Whether any stage may have run any part of the request.
         ran: bool,
     },
 }
 
-/// What a session needs.
+/// Input of a session.
 pub struct ChatJob {
-    /// Request id.
+    /// ID of the request.
     pub id: String,
-    /// The request.
+    /// Request that passed the first checks.
     pub entered: Entered,
-    /// Its model.
+    /// Model and layers that the request needs.
     pub work: ChatWork,
-    /// What it is, whoever sends it again.
+    /// Digest of the request content, which stays the same when the request is sent again.
     pub content: ContentDigest,
-    /// One input a position.
+    /// Prompt, one input per position.
     pub prompt: Vec<Activation>,
-    /// Prefixes of the prompt.
+    /// Hashes of the prompt's prefixes.
     pub prefixes: Vec<PrefixHash>,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens of the answer.
     pub max_tokens: u32,
 }
 
-/// Pause before a chain is looked for again when none was found.
-const REPLAN_PAUSE: Duration = Duration::from_millis(100);
+/// Delay before a chain is planned again if none was found.
+const REPLAN_DELAY: Duration = Duration::from_millis(100);
 
-/// How long a session that has begun waits for targets to come back.
-const REPLAN_WITHIN: Duration = Duration::from_secs(10);
+/// Maximum time that a session that has begun waits for a chain to become available.
+const REPLAN_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A stage that is open, or could not be opened.
+/// Stage that is open, or that failed to open.
 struct OpenedStage {
     target: TargetKey,
     layers: LayerRange,
     stream: Result<Box<dyn StageStream>, TargetError>,
-    /// Its run there; nothing where it could not be opened.
+    /// Run at the target; `None` if the target was no longer known.
     run: Option<TemplateRun>,
 }
 
-/// Runs one session to its end.
+/// Runs one session until it ends.
 pub struct ChatRun {
     shared: Arc<RouterShared>,
     job: ChatJob,
     tx: mpsc::Sender<ChatEvent>,
     session: Session,
     stages: BTreeMap<StageKey, OpenedStage>,
-    /// Planned and counted, not yet opened.
+    /// Stages that are planned and counted as load, but not yet opened.
     planned: Vec<PlannedStage>,
-    started: bool,
-    /// A step was sent to a stage.
-    ran: bool,
+    has_begun: bool,
+    /// Whether a step was sent to a stage.
+    step_sent: bool,
 }
 
 impl ChatRun {
-    /// For a job whose events go to `tx`.
+    /// Creates the run of a job that sends its events to `tx`.
     pub fn new(shared: Arc<RouterShared>, job: ChatJob, tx: mpsc::Sender<ChatEvent>) -> Self {
         let limits = SessionLimits {
             max_tokens: job.max_tokens,
@@ -91,23 +91,23 @@
             session,
             stages: BTreeMap::new(),
             planned: Vec::new(),
-            started: false,
-            ran: false,
+            has_begun: false,
+            step_sent: false,
         }
     }
 
-    /// Runs it.
+    /// Performs the actions of the session until there are none left.
     pub async fn run(mut self) {
-        let mut todo = Vec::new();
-        self.session.start(&mut todo);
-        let mut todo = VecDeque::from(todo);
-        while let Some(action) = todo.pop_front() {
+        let mut actions = Vec::new();
+        self.session.start(&mut actions);
+        let mut actions = VecDeque::from(actions);
+        while let Some(action) = actions.pop_front() {
             let Some(event) = self.perform(action).await else {
                 continue;
             };
-            let mut more = Vec::new();
-            self.session.step(event, &mut more);
-            todo.extend(more);
+            let mut new_actions = Vec::new();
+            self.session.step(event, &mut new_actions);
+            actions.extend(new_actions);
         }
         self.close().await;
     }
@@ -126,7 +126,7 @@
             }
             SessionAction::Close { key } => {
                 if let Some(stage) = self.stages.remove(&key) {
-                    self.end_stage(&stage);
+                    self.release_stage(&stage);
                 }
                 None
             }
@@ -135,7 +135,7 @@
                     let now = self.shared.clock.now();
                     self.shared.routes.suspects.served(now, self.job.content);
                 }
-                let ran = self.ran;
+                let ran = self.step_sent;
                 let _ = self.tx.send(ChatEvent::End { reason, ran }).await;
                 log::info!(
                     "event=session_ended request={} revision={} reason={reason:?} tokens={} attempts={}",
@@ -149,20 +149,21 @@
         }
     }
 
-    /// Looks for stages until there are some, the caller goes or time is over.
+    /// Plans a chain, and retries until one is found, the caller disconnects or the time
+    /// limit is reached.
     async fn plan(&mut self, avoid: BTreeSet<TargetName>, missing: LayerRange) -> SessionEvent {
-        let within = if self.started {
-            REPLAN_WITHIN
+        let timeout = if self.has_begun {
+            REPLAN_TIMEOUT
         } else {
             Duration::ZERO
         };
-        let deadline = self.shared.clock.now() + within;
+        let deadline = self.shared.clock.now() + timeout;
         loop {
             if self.shared.may_be_sent(&self.job.content).is_err() {
                 return SessionEvent::NoChain;
             }
             if let Some(chain) = self.plan_once(&avoid, missing) {
-                self.started = true;
+                self.has_begun = true;
                 return SessionEvent::Planned(chain);
             }
             if self.shared.clock.now() >= deadline {
@@ -170,28 +171,29 @@
             }
             tokio::select! {
                 () = self.tx.closed() => return SessionEvent::CallerGone,
-                () = tokio::time::sleep(REPLAN_PAUSE) => {}
+                () = tokio::time::sleep(REPLAN_DELAY) => {}
             }
         }
     }
 
-    /// Stages for the missing layers, best on targets that have not failed here
-    /// yet; if there are none, a whole new chain, which costs the caches of the
-    /// stages that live.
+    /// Plans stages for the missing layers, preferably on targets that have not failed in
+    /// this session. If there are none, plans a new chain for all layers, which loses the
+    /// caches of the stages that are still open.
     fn plan_once(&mut self, avoid: &BTreeSet<TargetName>, missing: LayerRange) -> Option<Chain> {
-        let whole = LayerRange::new(0, self.job.work.layers);
-        let ways = [
+        let all_layers = LayerRange::new(0, self.job.work.layers);
+        let candidates = [
             (missing, avoid.clone()),
             (missing, BTreeSet::new()),
-            (whole, avoid.clone()),
-            (whole, BTreeSet::new()),
+            (all_layers, avoid.clone()),
+            (all_layers, BTreeSet::new()),
         ];
-        ways.into_iter()
+        candidates
+            .into_iter()
             .find_map(|(layers, avoid)| self.plan_layers(layers, avoid))
     }
 
     fn plan_layers(&mut self, layers: LayerRange, avoid: BTreeSet<TargetName>) -> Option<Chain> {
-        self.end_planned();
+        self.release_planned();
         let need = ChainNeed {
             group: self.job.work.group.clone(),
             adapter: self.job.work.adapter.clone(),
@@ -218,8 +220,8 @@
     }
 
     async fn open(&mut self, key: StageKey, with: Stage) {
-        let is_it = |p: &PlannedStage| p.layers == with.layers;
-        let Some(planned) = self.planned.iter().find(|p| is_it(p)).copied() else {
+        let is_same_range = |p: &PlannedStage| p.layers == with.layers;
+        let Some(planned) = self.planned.iter().find(|p| is_same_range(p)).copied() else {
             return;
         };
         self.planned.retain(|p| *p != planned);
@@ -267,7 +269,7 @@
     }
 
     async fn step(&mut self, key: StageKey, order: StepOrder) -> SessionEvent {
-        self.end_planned();
+        self.release_planned();
         let Some(stage) = self.stages.get(&key) else {
             let fault = StageFault::Broken;
             return SessionEvent::Fault { key, fault };
@@ -275,9 +277,9 @@
         let (target, layers) = (stage.target, stage.layers);
         let positions = order.inputs.len();
         let limit = self.step_limit(target, layers, positions);
-        let began = self.shared.clock.now();
-        self.ran = true;
-        let stage = self.stages.get_mut(&key).expect("just seen");
+        let sent_at = self.shared.clock.now();
+        self.step_sent = true;
+        let stage = self.stages.get_mut(&key).expect("checked above");
         let result = match &mut stage.stream {
             Ok(stream) => tokio::select! {
                 () = self.tx.closed() => return SessionEvent::CallerGone,
@@ -290,7 +292,7 @@
         let now = self.shared.clock.now();
         match result {
             Ok(output) => {
-                let took = now.since(began);
+                let took = now.since(sent_at);
                 let mut core = self.shared.core();
                 core.stage_progressed(now, target, took, layers, positions);
                 if let Some(load) = output.load {
@@ -298,15 +300,15 @@
                 }
                 drop(core);
                 if let Some(run) = self.stages.get_mut(&key).and_then(|s| s.run.as_mut()) {
-                    run.progressed();
+                    run.record_progress();
                 }
                 SessionEvent::Output { key, output }
             }
             Err(e) => {
-                self.note_fault(target, &e);
+                self.record_fault(target, &e);
                 let run = self.stages.get(&key).and_then(|s| s.run.as_ref());
                 if let (TargetError::Broken(_), Some(run)) = (&e, run) {
-                    run.broke().await;
+                    run.record_broken_off().await;
                 }
                 let fault = fault_of(&e);
                 SessionEvent::Fault { key, fault }
@@ -314,9 +316,9 @@
         }
     }
 
-    fn note_fault(&self, target: TargetKey, e: &TargetError) {
+    fn record_fault(&self, target: TargetKey, e: &TargetError) {
         if let TargetError::Rests(rest) = e {
-            self.shared.target_rests(target, *rest);
+            self.shared.start_rest_period(target, *rest);
         }
         let now = self.shared.clock.now();
         let mut core = self.shared.core();
@@ -332,7 +334,7 @@
         );
     }
 
-    fn end_stage(&self, stage: &OpenedStage) {
+    fn release_stage(&self, stage: &OpenedStage) {
         let now = self.shared.clock.now();
         self.shared
             .core()
@@ -341,17 +343,17 @@
 
     async fn close(mut self) {
         for stage in std::mem::take(&mut self.stages).into_values() {
-            self.end_stage(&stage);
+            self.release_stage(&stage);
             if let Ok(stream) = stage.stream {
                 stream.close().await;
             }
         }
-        self.end_planned();
+        self.release_planned();
     }
 
-    /// Takes back the count of stages that were planned and never opened: a
-    /// kept stage was planned again, or the session ended first.
-    fn end_planned(&mut self) {
+    /// Releases the load counted for stages that were planned but never opened, because a
+    /// kept stage was planned again or the session ended first.
+    fn release_planned(&mut self) {
         let now = self.shared.clock.now();
         for p in std::mem::take(&mut self.planned) {
             self.shared.core().stage_ended(now, p.target, p.layers);
@@ -360,13 +362,13 @@
 }
 
 impl Drop for ChatRun {
-    /// A run that is dropped in the middle cancels its stages; the counts of
-    /// what it had at its targets go with it.
+    /// Dropping an unfinished run cancels its stages and releases the load counted at
+    /// their targets.
     fn drop(&mut self) {
         for stage in std::mem::take(&mut self.stages).into_values() {
-            self.end_stage(&stage);
+            self.release_stage(&stage);
         }
-        self.end_planned();
+        self.release_planned();
     }
 }
 
--- a/crates/deckwindd/src/router/chat_body.rs
+++ b/crates/deckwindd/src/router/chat_body.rs
@@ -1,29 +1,29 @@
-//! The body of a chat completion, as the OpenAI interface has it.
+//! Request and response bodies of chat completions, in the format of the OpenAI API.
 
 use deckwind_core::session::Activation;
 use serde::{Deserialize, Serialize};
 
-/// What a caller sends. Fields that deckwind does not use are passed over.
+/// Body of a chat request. Fields that deckwind does not use are ignored.
 #[derive(Clone, Debug, Deserialize)]
 pub struct ChatRequest {
     /// Name of the template.
     pub model: String,
-    /// The conversation.
+    /// Messages of the conversation.
     pub messages: Vec<ChatMessage>,
-    /// Whether the answer comes token by token.
+    /// Whether the answer is streamed token by token.
     #[serde(default)]
     pub stream: bool,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens of the answer.
     #[serde(default = "default_max_tokens", alias = "max_completion_tokens")]
     pub max_tokens: u32,
 }
 
-/// One message of a conversation.
+/// Message of a conversation.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct ChatMessage {
-    /// Who speaks.
+    /// Role of the author.
     pub role: String,
-    /// What they say.
+    /// Text of the message.
     pub content: String,
 }
 
@@ -32,8 +32,8 @@
 }
 
 impl ChatRequest {
-    /// One input a position: the words of all messages. Real tokens are the
-    /// first stage's matter; what counts here is how many positions there are.
+    /// Returns the words of all messages as inputs, one per position. The first stage does
+    /// the real tokenization; only the number of positions matters here.
     pub fn prompt(&self) -> Vec<Activation> {
         let mut prompt = Vec::new();
         for m in &self.messages {
@@ -47,13 +47,13 @@
         prompt
     }
 
-    /// The messages as blocks, for prefix affinity.
+    /// Returns the contents of the messages as blocks, for prefix affinity.
     pub fn blocks(&self) -> impl Iterator<Item = &[u8]> {
         self.messages.iter().map(|m| m.content.as_bytes())
     }
 }
 
-/// Part of a streamed answer.
+/// Chunk of a streamed answer.
 #[derive(Serialize)]
 pub struct ChatChunk<'a> {
     id: &'a str,
@@ -75,7 +75,7 @@
     content: Option<&'a str>,
 }
 
-/// A token, or the end, as a chunk.
+/// Builds the chunk of a token, or the last chunk if `content` is `None`.
 pub fn chunk<'a>(id: &'a str, model: &'a str, content: Option<&'a str>) -> ChatChunk<'a> {
     let finish_reason = content.is_none().then_some("stop");
     ChatChunk {
@@ -90,7 +90,7 @@
     }
 }
 
-/// A whole answer.
+/// Builds the body of an answer that is not streamed.
 pub fn completion(id: &str, model: &str, text: &str, prompt: usize, tokens: u32) -> Vec<u8> {
     let body = serde_json::json!({
         "id": id,
--- a/crates/deckwindd/src/router/answering.rs
+++ b/crates/deckwindd/src/router/chat_response.rs
@@ -1,11 +1,12 @@
-//! A chat's answer: whole, or as server-sent events (WHATWG HTML, section 9.2).
+//! Sends the answer of a chat session to its caller: as one response body, or as
+//! server-sent events (WHATWG HTML, section 9.2).
 
 use super::chat::ChatEvent;
 use super::chat_body::{ChatRequest, chunk, completion};
 use super::claims::HeldClaim;
 use super::shared::{HeldTicket, InProgress, RouterShared};
-use super::template_answers::{self as answers, Body, CallerError, Ran, answer};
-use super::template_callers::TOKENS_WAITING;
+use super::template_answers::{self as answers, Body, CallerError, Ran, response};
+use super::template_callers::MAX_BUFFERED_TOKENS;
 use bytes::Bytes;
 use deckwind_core::router::Entered;
 use deckwind_core::session::EndReason;
@@ -19,8 +20,8 @@
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::ReceiverStream;
 
-/// A chat whose session runs, and what it holds until it ends.
-pub struct Answering {
+/// Chat request whose session is running, with the resources that it holds until it ends.
+pub struct ChatResponder {
     pub shared: Arc<RouterShared>,
     pub id: String,
     pub chat: ChatRequest,
@@ -28,14 +29,15 @@
     pub held: Option<HeldClaim>,
     pub rx: mpsc::Receiver<ChatEvent>,
     pub first: Option<ChatEvent>,
-    /// Tokens that the caller has already.
-    pub had: u32,
+    /// Number of tokens that the caller has already received.
+    pub received_tokens: u32,
     pub _ticket: HeldTicket,
     pub _in_progress: InProgress,
 }
 
-/// 503 promises that nothing ran, so it is only for a session that sent no step.
-fn no_answer(reason: EndReason, ran: bool) -> CallerError {
+/// Builds the error of a session that ended without a complete answer. A status of 503
+/// guarantees that nothing ran, so it is used only if the session sent no step.
+fn incomplete_answer(reason: EndReason, ran: bool) -> CallerError {
     let message = format!("the session ended without its whole answer: {reason:?}");
     let (status, ran) = match ran {
         true => (StatusCode::BAD_GATEWAY, Ran::Unknown),
@@ -44,16 +46,20 @@
     CallerError::new(status, "no-targets", ran, message).retry_after(Duration::from_secs(1))
 }
 
-impl Answering {
-    /// Waits for the first token, so that an early failure has a status.
+impl ChatResponder {
+    /// Waits for the first token, so that an early failure can still set the HTTP status.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the session ends before its first token without being complete.
     pub async fn wait_for_first(&mut self) -> Result<(), CallerError> {
         let first = self.next().await;
         let now = self.shared.clock.now();
         let took = now.since(self.entered.arrived);
-        let ok = matches!(first, ChatEvent::Token(_));
+        let has_token = matches!(first, ChatEvent::Token(_));
         self.shared
             .core()
-            .answered(now, &self.entered, ok.then_some(took));
+            .answered(now, &self.entered, has_token.then_some(took));
         match first {
             ChatEvent::End { reason, ran } if reason != EndReason::Complete => {
                 let outcome = match ran {
@@ -61,7 +67,7 @@
                     false => Outcome::NotRun,
                 };
                 self.record(outcome).await;
-                Err(no_answer(reason, ran))
+                Err(incomplete_answer(reason, ran))
             }
             event => {
                 metrics::histogram!("deckwind_router_first_token_seconds")
@@ -89,7 +95,12 @@
         }
     }
 
-    pub async fn whole(mut self) -> Result<Response<Body>, CallerError> {
+    /// Collects the whole answer into one response.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the session ends before the answer is complete.
+    pub async fn into_full_response(mut self) -> Result<Response<Body>, CallerError> {
         let mut text = String::new();
         let mut tokens = 0;
         loop {
@@ -104,13 +115,13 @@
                 } => break,
                 ChatEvent::End { reason, .. } => {
                     self.record(Outcome::Unknown).await;
-                    return Err(no_answer(reason, true));
+                    return Err(incomplete_answer(reason, true));
                 }
             }
         }
         let body = self.completion(&text, tokens);
         self.record_answer(&body).await;
-        Ok(answer(200, "application/json", body))
+        Ok(response(200, "application/json", body))
     }
 
     fn completion(&self, text: &str, tokens: u32) -> Vec<u8> {
@@ -127,8 +138,9 @@
         .await;
     }
 
-    pub fn stream(self) -> Response<Body> {
-        let (tx, rx) = mpsc::channel(TOKENS_WAITING);
+    /// Returns a response that streams the answer as server-sent events.
+    pub fn into_event_stream(self) -> Response<Body> {
+        let (tx, rx) = mpsc::channel(MAX_BUFFERED_TOKENS);
         tokio::spawn(self.send_events(tx));
         let body = BodyExt::boxed(StreamBody::new(ReceiverStream::new(rx)));
         let mut res = Response::new(body);
@@ -139,8 +151,8 @@
         res
     }
 
-    /// Sends server-sent events. When the caller is gone `tx` is closed; the
-    /// session's receiver goes with `self`, and that cancels its stages.
+    /// Sends the answer as server-sent events. If the caller disconnects, `tx` is closed;
+    /// `self` is then dropped with the receiver of the session, which cancels its stages.
     async fn send_events(mut self, tx: mpsc::Sender<Result<Frame<Bytes>, Infallible>>) {
         let mut text = String::new();
         let mut tokens = 0;
@@ -153,29 +165,29 @@
                 ChatEvent::Token(token) => {
                     text.push_str(&token.text);
                     tokens += 1;
-                    if tokens <= self.had {
+                    if tokens <= self.received_tokens {
                         continue;
                     }
-                    self.token_event(tokens - 1, &token.text)
+                    self.format_token(tokens - 1, &token.text)
                 }
                 ChatEvent::End {
                     reason: EndReason::Complete,
                     ..
-                } => self.end_event(),
+                } => self.format_end(),
                 ChatEvent::End { reason, .. } => {
-                    let body = answers::error_body(&no_answer(*reason, true));
+                    let body = answers::error_body(&incomplete_answer(*reason, true));
                     format!("event: error\ndata: {body}\n\n")
                 }
             };
             let ended = matches!(event, ChatEvent::End { .. });
-            let whole = matches!(
+            let is_complete = matches!(
                 event,
                 ChatEvent::End {
                     reason: EndReason::Complete,
                     ..
                 }
             );
-            if whole {
+            if is_complete {
                 let body = self.completion(&text, tokens);
                 self.record_answer(&body).await;
             }
@@ -186,13 +198,13 @@
         }
     }
 
-    fn token_event(&self, position: u32, text: &str) -> String {
+    fn format_token(&self, position: u32, text: &str) -> String {
         let chunk = chunk(&self.id, &self.chat.model, Some(text));
         let json = serde_json::to_string(&chunk).unwrap_or_default();
         format!("id: {position}\ndata: {json}\n\n")
     }
 
-    fn end_event(&self) -> String {
+    fn format_end(&self) -> String {
         let chunk = chunk(&self.id, &self.chat.model, None);
         let json = serde_json::to_string(&chunk).unwrap_or_default();
         format!("data: {json}\n\ndata: [DONE]\n\n")
--- a/crates/deckwindd/src/router/claims.rs
+++ b/crates/deckwindd/src/router/claims.rs
@@ -1,8 +1,8 @@
-//! A not-repeatable request's claim: committed before the first byte is sent,
-//! its outcome after.
+//! Idempotency claims of requests that must not run twice. The control replicas commit a
+//! claim before the first byte is sent to a target, and its outcome afterwards.
 
 use super::shared::RouterShared;
-use super::template_answers::{Body, CallerError, Ran, answer};
+use super::template_answers::{Body, CallerError, Ran, response};
 use deckwind_core::state::{
     AccountName, ClaimKey, ClaimRequest, ClaimVerdict, FinishRequest, Outcome,
 };
@@ -12,20 +12,20 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// How long a claim may take.
-const CLAIM_WITHIN: Duration = Duration::from_secs(3);
+/// Maximum time to wait for the answer to a claim.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How long the outcome is kept being sent, if no replica leads.
-const FINISH_WITHIN: Duration = Duration::from_secs(60);
+/// Maximum time for which recording an outcome is retried while there is no leader.
+const FINISH_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How long the caller's answer waits for its record.
-const RECORD_WITHIN: Duration = Duration::from_millis(500);
+/// Maximum time that the answer to the caller waits until the outcome is recorded.
+const RECORD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// When to come back for a request that another try is running.
-const IN_PROGRESS: Duration = Duration::from_secs(1);
+/// Retry-After time of a request that another attempt is running.
+const CLAIM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A claim that was granted. It must be finished; if it is dropped without, the
-/// outcome is unknown.
+/// Granted claim, which must be finished. If it is dropped unfinished, its outcome is
+/// recorded as unknown.
 pub struct HeldClaim {
     shared: Arc<RouterShared>,
     key: ClaimKey,
@@ -33,21 +33,26 @@
     finished: bool,
 }
 
-/// What came of asking for a claim.
-pub enum Claimed {
-    /// Send it, once.
+/// Result of requesting a claim.
+pub enum ClaimResult {
+    /// The claim is granted: the request must be sent exactly once.
     Granted(HeldClaim),
-    /// Give this answer instead.
+    /// The request has run already: this is the recorded answer.
     Answer(Box<Response<Body>>),
 }
 
 /// Claims a request; `key` is the caller's `Idempotency-Key`, if any.
+///
+/// # Errors
+///
+/// Fails if no leader answers, or if the request must not be sent: another attempt is
+/// running or may have run, the key belongs to another request, or the table is full.
 pub async fn claim(
     shared: &Arc<RouterShared>,
     account: &AccountName,
     key: Option<&str>,
     body: &[u8],
-) -> Result<Claimed, CallerError> {
+) -> Result<ClaimResult, CallerError> {
     let key = ClaimKey {
         account: account.clone(),
         key: key.map_or_else(|| shared.request_id(), str::to_string),
@@ -59,17 +64,18 @@
         digest: xxh3_64(body),
         nonce,
     });
-    let reply = shared.control.ask(&request, CLAIM_WITHIN).await;
+    let reply = shared.control.ask(&request, CLAIM_TIMEOUT).await;
     match reply {
-        Ok(ControlReply::Claim(ClaimVerdict::Granted)) => Ok(Claimed::Granted(HeldClaim {
+        Ok(ControlReply::Claim(ClaimVerdict::Granted)) => Ok(ClaimResult::Granted(HeldClaim {
             shared: shared.clone(),
             key,
             nonce,
             finished: false,
         })),
-        Ok(ControlReply::Claim(verdict)) => refuse(verdict),
+        Ok(ControlReply::Claim(verdict)) => result_of_verdict(verdict),
         _ => {
-            // A claim that may have gone through is freed again: nothing was sent.
+            // The claim may have been committed. It is released again, since nothing was
+            // sent.
             let held = HeldClaim {
                 shared: shared.clone(),
                 key,
@@ -89,20 +95,20 @@
         Ran::NotRun,
         "no control replica can record the request, which must not run twice",
     )
-    .retry_after(IN_PROGRESS)
+    .retry_after(CLAIM_RETRY_AFTER)
 }
 
-fn refuse(verdict: ClaimVerdict) -> Result<Claimed, CallerError> {
+fn result_of_verdict(verdict: ClaimVerdict) -> Result<ClaimResult, CallerError> {
     match verdict {
         ClaimVerdict::Recorded(Outcome::Answer {
             status,
             body,
             truncated: false,
         }) => {
-            let mut res = answer(status, "application/json", body);
+            let mut res = response(status, "application/json", body);
             let replayed = http::HeaderValue::from_static("true");
             res.headers_mut().insert("idempotent-replayed", replayed);
-            Ok(Claimed::Answer(Box::new(res)))
+            Ok(ClaimResult::Answer(Box::new(res)))
         }
         ClaimVerdict::InProgress => Err(CallerError::new(
             StatusCode::CONFLICT,
@@ -110,7 +116,7 @@
             Ran::Unknown,
             "another try of this request is running; ask again with the same key",
         )
-        .retry_after(IN_PROGRESS)),
+        .retry_after(CLAIM_RETRY_AFTER)),
         ClaimVerdict::OtherRequest => Err(CallerError::new(
             StatusCode::UNPROCESSABLE_ENTITY,
             "key-reused",
@@ -144,12 +150,12 @@
         send_outcome(self.shared.clone(), request)
     }
 
-    /// Records how it ended. Sent until it is recorded; the caller's answer
-    /// waits a moment for that, not longer.
+    /// Records the outcome. Sending is retried in the background until the outcome is
+    /// recorded; this call waits for that only up to `RECORD_TIMEOUT`.
     pub async fn finish(mut self, outcome: Outcome) {
         self.finished = true;
         let sending = tokio::spawn(self.send(outcome));
-        let _ = tokio::time::timeout(RECORD_WITHIN, sending).await;
+        let _ = tokio::time::timeout(RECORD_TIMEOUT, sending).await;
     }
 }
 
@@ -163,7 +169,7 @@
 }
 
 async fn send_outcome(shared: Arc<RouterShared>, request: ControlRequest) {
-    if shared.control.ask(&request, FINISH_WITHIN).await.is_err() {
+    if shared.control.ask(&request, FINISH_TIMEOUT).await.is_err() {
         log::warn!("event=outcome_not_recorded vm={}", shared.vm);
     }
 }
--- a/crates/deckwindd/src/router/control_client.rs
+++ b/crates/deckwindd/src/router/control_client.rs
@@ -1,4 +1,4 @@
-//! Requests to the control replicas, one of which passes them on to the leader.
+//! Client of the control replicas, which forward requests to their leader.
 
 use crate::context::Context;
 use anyhow::{Result, bail};
@@ -9,148 +9,150 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Pause before another round when nobody leads.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a request is retried after a replica failed to answer or found no leader.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Longest wait for one replica's answer to a renewal. Longer than a renewal is
-/// held, shorter than a lease, so that another can still be asked.
-pub const RENEWAL_TRY: Duration = Duration::from_millis(700);
+/// Timeout of one replica's answer to a renewal. It is longer than replicas hold a renewal
+/// open, and shorter than a lease, so that another replica can still be asked.
+pub const RENEWAL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Longest wait for one replica's answer to anything else, which is not held: a
-/// replica that died gives no answer at all. What was asked may be sent again.
-const SHORT_TRY: Duration = Duration::from_millis(200);
+/// Timeout of one replica's answer to any other request. Replicas do not hold these open,
+/// and a replica that crashed gives no answer at all. Such requests can be sent again.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Searches for the leader that run side by side while there is no lease: one
-/// that waits for a replica that is down holds nothing up. More cost the replicas
-/// too much at the moment when all start: five, each asked again 50 ms after its
-/// answer, kept replicas with 0.3 of a core from serving any of 195 routers for
-/// 15 s.
-const SEARCHES: usize = 2;
+/// Number of concurrent searches for the leader while there is no lease, so that waiting
+/// for a replica that is down does not block the search. More searches overload the
+/// replicas when all routers start at once: with five, each asking again 50 ms after an
+/// answer, replicas with 0.3 of a core served none of 195 routers for 15 s.
+const CONCURRENT_SEARCHES: usize = 2;
 
-/// Longest wait for one replica's answer in a search. A replica that knows no
-/// leader holds the question for 500 ms.
-const SEARCH_TRY: Duration = Duration::from_millis(600);
+/// Timeout of one replica's answer in a search. A replica that knows no leader holds the
+/// request open for 500 ms.
+const SEARCH_REQUEST_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Pause after a replica did not help.
-const SEARCH_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a replica's answer that did not help the search.
+const SEARCH_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Without any answer for this long a router is cut off: longer than a renewal
-/// is held and one replica is waited for.
-const CUT_OFF_AFTER: Duration = Duration::from_millis(1_300);
+/// Time without any answer after which the router counts as partitioned from the control
+/// replicas. It is longer than a renewal is held open and than the wait for one replica.
+const PARTITION_TIMEOUT: Duration = Duration::from_millis(1_300);
 
-/// When something was asked for, by the router's clock.
-pub type Asked = deckwind_core::time::Instant;
+/// Time at which a request was sent, by the clock of the router.
+pub type RequestTime = deckwind_core::time::Instant;
 
-/// Looks for the leader, one replica after the other.
-struct Search {
+/// Search for the leader that asks one replica after the other.
+struct LeaderSearch {
     cx: Context,
     peer: QuicPeer,
     request: Vec<u8>,
-    heard: Arc<Mutex<Asked>>,
-    /// Replicas in the order in which they are asked, again and again.
+    last_answer_at: Arc<Mutex<RequestTime>>,
+    /// Replicas in the order in which they are asked, repeatedly.
     slots: Vec<u32>,
 }
 
-impl Search {
-    /// The slot of the leader, when it was asked, and its grant.
-    async fn run(self) -> (u32, Asked, ControlReply) {
-        let mut turn = self.slots.iter().copied().cycle();
-        let mut slot = turn.next().unwrap_or_default();
-        let mut was_named = false;
-        let mut held = false;
+impl LeaderSearch {
+    /// Returns the slot that granted the request, the time it was asked, and its reply.
+    async fn run(self) -> (u32, RequestTime, ControlReply) {
+        let mut next_slots = self.slots.iter().copied().cycle();
+        let mut slot = next_slots.next().unwrap_or_default();
+        let mut was_redirected = false;
+        let mut was_held = false;
         loop {
             let asked = self.cx.clock.now();
-            match self.ask(slot).await {
+            match self.ask_replica(slot).await {
                 Some(reply @ ControlReply::Granted(_)) => return (slot, asked, reply),
-                // Whoever leads is asked at once, but not along a chain of
-                // replicas that know it no better.
-                Some(ControlReply::NotLeader { leader: Some(l) }) if !was_named => {
+                // The named leader is asked at once. A leader that it names in turn is
+                // not, so that outdated replicas cannot send the search in circles.
+                Some(ControlReply::NotLeader { leader: Some(l) }) if !was_redirected => {
                     slot = l;
-                    was_named = true;
+                    was_redirected = true;
                     continue;
                 }
                 Some(ControlReply::AskAgain) => {}
-                // It is up, and has held the question for as long as it may. Not
-                // again and again: it may be cut off.
-                Some(ControlReply::NotLeader { leader: None }) if !held => held = true,
+                // The replica is up and held the request for its maximum time. It is asked
+                // only once more, since it may be partitioned from the others.
+                Some(ControlReply::NotLeader { leader: None }) if !was_held => was_held = true,
                 _ => {
-                    slot = turn.next().unwrap_or_default();
-                    held = false;
+                    slot = next_slots.next().unwrap_or_default();
+                    was_held = false;
                 }
             }
-            was_named = false;
-            tokio::time::sleep(SEARCH_PAUSE).await;
+            was_redirected = false;
+            tokio::time::sleep(SEARCH_RETRY_DELAY).await;
         }
     }
 
-    async fn ask(&self, slot: u32) -> Option<ControlReply> {
+    async fn ask_replica(&self, slot: u32) -> Option<ControlReply> {
         let address = self.cx.control_address(slot).ok()?;
         let answering = self.peer.request(address, &self.request);
-        let answer = tokio::time::timeout(SEARCH_TRY, answering)
+        let answer = tokio::time::timeout(SEARCH_REQUEST_TIMEOUT, answering)
             .await
             .ok()?
             .ok()?;
-        *self.heard.lock().expect("no holder panics") = self.cx.clock.now();
+        *self.last_answer_at.lock().expect("no holder panics") = self.cx.clock.now();
         decode(&answer).ok()
     }
 }
 
-/// Knows the control replicas, and which of them is asked.
+/// Client that knows the control replicas and chooses which of them to ask.
 pub struct ControlClient {
     cx: Context,
     peer: QuicPeer,
     choice: Mutex<ReplicaChoice>,
-    /// When a replica last answered anything; the start before the first.
-    heard: Arc<Mutex<Asked>>,
+    /// Time of the last answer of any replica, initially the time of creation.
+    last_answer_at: Arc<Mutex<RequestTime>>,
 }
 
 impl ControlClient {
-    /// Of the replicas that the settings name.
+    /// Creates a client of the replicas named by the settings.
     pub fn new(cx: Context, peer: QuicPeer) -> Self {
         let choice = ReplicaChoice::new(cx.settings.vm.clone(), cx.known_slots());
         Self {
-            heard: Arc::new(Mutex::new(cx.clock.now())),
+            last_answer_at: Arc::new(Mutex::new(cx.clock.now())),
             cx,
             peer,
             choice: Mutex::new(choice),
         }
     }
 
-    /// The leader named the replicas.
-    pub fn replicas_are(&self, slots: &[u32]) {
+    /// Sets the replicas as named by the leader.
+    pub fn set_replicas(&self, slots: &[u32]) {
         self.choice().members_are(slots);
     }
 
-    /// Other seeds: the settings have changed.
-    pub fn take_seeds(&self, slots: Vec<u32>) {
+    /// Replaces the seeds after a change of the settings.
+    pub fn set_seeds(&self, slots: Vec<u32>) {
         self.choice().seeds_are(slots);
     }
 
-    /// Whether no replica has answered for a while: this router is cut off, and
-    /// callers are better served by another one. A replica that does not lead
-    /// answers too.
+    /// Returns whether no replica has answered for a while, leader or not. This router is
+    /// then partitioned from the replicas, and other routers serve callers better.
     pub fn is_cut_off(&self) -> bool {
-        let heard = *self.heard.lock().expect("no holder panics");
-        self.cx.clock.now().since(heard) > CUT_OFF_AFTER
+        let last_answer_at = *self.last_answer_at.lock().expect("no holder panics");
+        self.cx.clock.now().since(last_answer_at) > PARTITION_TIMEOUT
     }
 
     fn choice(&self) -> MutexGuard<'_, ReplicaChoice> {
         self.choice.lock().expect("no holder panics")
     }
 
-    /// One try at the replica whose turn it is; another one's is next when it can't
-    /// help.
-    pub async fn ask_once(&self, request: &[u8], within: Duration) -> Result<ControlReply> {
+    /// Sends a request once, to the currently preferred replica. If that replica cannot
+    /// help, the next call asks another one.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no replica is known, or the replica gives no readable answer in time.
+    pub async fn ask_once(&self, request: &[u8], timeout: Duration) -> Result<ControlReply> {
         let now = self.cx.clock.now();
         let Some(slot) = self.choice().next(now) else {
             bail!("no control replica is known");
         };
         let address = self.cx.control_address(slot)?;
-        let asked = tokio::time::timeout(within, self.peer.request(address, request)).await;
+        let asked = tokio::time::timeout(timeout, self.peer.request(address, request)).await;
         let now = self.cx.clock.now();
         let answer = match asked {
             Ok(Ok(bytes)) => {
-                *self.heard.lock().expect("no holder panics") = now;
+                *self.last_answer_at.lock().expect("no holder panics") = now;
                 decode::<ControlReply>(&bytes)?
             }
             Ok(Err(e)) => {
@@ -158,11 +160,11 @@
                 return Err(e);
             }
             Err(_) => {
-                match within < RENEWAL_TRY {
+                match timeout < RENEWAL_TIMEOUT {
                     true => self.choice().was_slow(now, slot),
                     false => self.choice().failed(now, slot),
                 }
-                bail!("{address} gave no answer in {within:?}");
+                bail!("control replica {address} did not answer within {timeout:?}");
             }
         };
         if let ControlReply::NotLeader { leader } = answer {
@@ -174,58 +176,66 @@
         Ok(answer)
     }
 
-    /// Looks for the leader until it answers, or the time is over: for a router
-    /// without a lease, which does not know who leads. Each router asks in an
-    /// order of its own, so that all of them together load the replicas alike.
-    /// The answer, and when it was asked for.
+    /// Searches for the leader until it answers or the time limit is reached. Used by a
+    /// router without a lease, which does not know the leader. Each router asks the
+    /// replicas in its own order, which spreads the load of all routers evenly. Returns the
+    /// time at which the request was sent, and the reply.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no replica grants the request in time.
     pub async fn find_leader(
         &self,
         request: &[u8],
-        within: Duration,
-    ) -> Result<(Asked, ControlReply)> {
+        timeout: Duration,
+    ) -> Result<(RequestTime, ControlReply)> {
         let mut slots = self.choice().order();
         let mut searches = JoinSet::new();
-        for _ in 0..SEARCHES {
-            let search = Search {
+        for _ in 0..CONCURRENT_SEARCHES {
+            let search = LeaderSearch {
                 cx: self.cx.clone(),
                 peer: self.peer.clone(),
                 request: request.to_vec(),
-                heard: self.heard.clone(),
+                last_answer_at: self.last_answer_at.clone(),
                 slots: slots.clone(),
             };
             searches.spawn(search.run());
             slots.rotate_left(1);
         }
-        let found = tokio::time::timeout(within, searches.join_next()).await;
+        let found = tokio::time::timeout(timeout, searches.join_next()).await;
         let Ok(Some(Ok((slot, asked, reply)))) = found else {
-            bail!("no control replica led within {within:?}");
+            bail!("no control replica answered as the leader within {timeout:?}");
         };
         self.choice().answered(slot);
         Ok((asked, reply))
     }
 
-    /// Asks until a leader answers or the time is over. The request must be one
-    /// that may be sent again.
-    pub async fn ask(&self, request: &ControlRequest, within: Duration) -> Result<ControlReply> {
+    /// Sends a request until the leader answers or the time limit is reached. The request
+    /// must be safe to send more than once.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no leader answers in time.
+    pub async fn ask(&self, request: &ControlRequest, timeout: Duration) -> Result<ControlReply> {
         let request = encode(request);
-        let tries = async {
+        let attempts = async {
             loop {
-                match self.ask_once(&request, SHORT_TRY).await {
+                match self.ask_once(&request, REQUEST_TIMEOUT).await {
                     Ok(
                         ControlReply::NotLeader { .. }
                         | ControlReply::AskAgain
                         | ControlReply::Unknown,
                     )
                     | Err(_) => {
-                        tokio::time::sleep(PAUSE).await;
+                        tokio::time::sleep(RETRY_DELAY).await;
                     }
                     Ok(reply) => return reply,
                 }
             }
         };
-        match tokio::time::timeout(within, tries).await {
+        match tokio::time::timeout(timeout, attempts).await {
             Ok(reply) => Ok(reply),
-            Err(_) => bail!("no control replica led within {within:?}"),
+            Err(_) => bail!("no control replica answered as the leader within {timeout:?}"),
         }
     }
 }
--- a/crates/deckwindd/src/router/lease.rs
+++ b/crates/deckwindd/src/router/lease.rs
@@ -1,6 +1,7 @@
-//! Keeps the lease: asks again as soon as the last answer came.
+//! Renews the lease of the router, again as soon as the previous answer has arrived, and
+//! reports urgent changes to the leader between renewals.
 
-use super::control_client::{Asked, RENEWAL_TRY};
+use super::control_client::{RENEWAL_TIMEOUT, RequestTime};
 use super::shared::RouterShared;
 use deckwind_core::control::Grant;
 use deckwind_core::state::{Delta, PackedDelta};
@@ -8,120 +9,122 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest try to tell the leader of failing targets; the next renewal does.
-const TELL_WITHIN: Duration = Duration::from_millis(400);
+/// Maximum time to deliver a report to the leader. Failing targets that it misses are in
+/// the next renewal.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time over which streams that want repeats are told of in one message: they
-/// stand still together when an engine is lost.
-const COLLECT: Duration = Duration::from_millis(10);
+/// Time for which needs of retries are collected into one message, since many streams
+/// stall together when an engine is lost.
+const RETRY_COLLECT_TIME: Duration = Duration::from_millis(10);
 
-/// Time over which engines that refuse are told of in one message.
-const COLLECT_FULL: Duration = Duration::from_millis(20);
+/// Time for which engines that refuse requests are collected into one message.
+const FULL_COLLECT_TIME: Duration = Duration::from_millis(20);
 
-/// Between two such messages of repeats: the leader issues no more often.
-const TELL_EVERY: Duration = Duration::from_millis(80);
+/// Minimum interval between reports of needed retries; the leader issues retries no more
+/// often than this.
+const RETRY_REPORT_INTERVAL: Duration = Duration::from_millis(80);
 
-/// Longest search for a leader with one question: the settings may name other
-/// replicas by then, and what streams hold has changed.
-const LOOK_ANEW: Duration = Duration::from_secs(2);
+/// Maximum time of a search for the leader with the same renewal. After it, the settings
+/// may name other replicas, and the load of the streams has changed.
+const SEARCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Pause after an answer that was no grant.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a renewal that was not granted.
+const RENEWAL_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Renews for ever.
-pub async fn keep(shared: Arc<RouterShared>) {
+/// Renews the lease repeatedly. Never returns.
+pub async fn run_renewals(shared: Arc<RouterShared>) {
     let mut was_live = false;
     loop {
         let granted = renew(&shared).await;
-        note_change(&shared, &mut was_live);
+        log_lease_change(&shared, &mut was_live);
         if !granted {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(RENEWAL_RETRY_DELAY).await;
         }
     }
 }
 
-/// Tells the leader of failing targets as they fail, for ever.
-pub async fn tell_failing(shared: Arc<RouterShared>) {
+/// Reports failing targets to the leader as they fail. Never returns.
+pub async fn report_failing(shared: Arc<RouterShared>) {
     loop {
         let failing = shared.routes.failing().await;
         let request = ControlRequest::Failing(failing);
-        if let Err(e) = shared.control.ask(&request, TELL_WITHIN).await {
+        if let Err(e) = shared.control.ask(&request, REPORT_TIMEOUT).await {
             log::debug!("event=failing_not_told error={:?}", e.to_string());
         }
     }
 }
 
-/// Tells the leader of engines that refuse for want of room, for ever.
-pub async fn tell_full(shared: Arc<RouterShared>) {
+/// Reports engines that refuse requests for lack of capacity to the leader. Never returns.
+pub async fn report_full(shared: Arc<RouterShared>) {
     loop {
-        let full = shared.routes.full(COLLECT_FULL).await;
+        let full = shared.routes.full(FULL_COLLECT_TIME).await;
         let request = ControlRequest::Full(shared.holder(), full);
-        if let Err(e) = shared.control.ask(&request, TELL_WITHIN).await {
+        if let Err(e) = shared.control.ask(&request, REPORT_TIMEOUT).await {
             log::debug!("event=full_not_told error={:?}", e.to_string());
         }
     }
 }
 
-/// Tells the leader that repeats run short, for ever. What it gives comes with
-/// the answer to the renewal that it holds.
-pub async fn tell_repeats_short(shared: Arc<RouterShared>) {
+/// Reports to the leader that retries are running short. Never returns. The leader grants
+/// retries in its answer to the renewal that it holds open.
+pub async fn report_retries_short(shared: Arc<RouterShared>) {
     loop {
         shared.routes.repeats_short().await;
-        tokio::time::sleep(COLLECT).await;
+        tokio::time::sleep(RETRY_COLLECT_TIME).await;
         let Some(report) = shared.routes.repeat_report(shared.clock.now()) else {
             continue;
         };
         let request = ControlRequest::Repeats(shared.holder(), report);
-        if let Err(e) = shared.control.ask(&request, TELL_WITHIN).await {
+        if let Err(e) = shared.control.ask(&request, REPORT_TIMEOUT).await {
             log::debug!("event=repeats_short_not_told error={:?}", e.to_string());
         }
-        tokio::time::sleep(TELL_EVERY).await;
+        tokio::time::sleep(RETRY_REPORT_INTERVAL).await;
     }
 }
 
 async fn renew(shared: &RouterShared) -> bool {
-    let asked = shared.clock.now();
+    let sent_at = shared.clock.now();
     let (in_use, use_known, failing) = {
         let book = shared.routes.book();
-        (book.own_use(), book.use_known(), book.failing(asked))
+        (book.own_use(), book.use_known(), book.failing(sent_at))
     };
-    let repeats = shared.routes.repeat_report(asked);
+    let repeats = shared.routes.repeat_report(sent_at);
     let request = {
         let mut core = shared.core();
         ControlRequest::Renew(Renewal {
             holder: shared.holder(),
             applied: core.lease().applied(),
             admin: shared.cfg.admin,
-            demand: core.demand(asked),
+            demand: core.demand(sent_at),
             data_centre: shared.cx.settings.data_centre.clone(),
             in_use: in_use.clone(),
             use_known,
             failing,
             held_bytes: shared.routes.deliveries.held(),
             repeats,
-            limits: shared.routes.limit_report(asked),
+            limits: shared.routes.limit_report(sent_at),
         })
     };
-    let Some((asked, grant)) = ask(shared, asked, &encode(&request)).await else {
+    let Some((sent_at, grant)) = send_renewal(shared, sent_at, &encode(&request)).await else {
         return false;
     };
-    shared.control.replicas_are(&grant.replicas);
-    let Some(delta) = unpacked(shared, &grant) else {
+    shared.control.set_replicas(&grant.replicas);
+    let Some(delta) = unpack_delta(shared, &grant) else {
         return false;
     };
     let now = shared.clock.now();
-    let lasts = shared.cfg.lease;
+    let lease_duration = shared.cfg.lease;
     shared
         .routes
-        .others_told(asked, now, lasts, &in_use, &grant);
-    let lease = grant.lease(asked);
-    let before = shared.core().lease().applied();
+        .others_told(sent_at, now, lease_duration, &in_use, &grant);
+    let lease = grant.lease(sent_at);
+    let old_revision = shared.core().lease().applied();
     shared
         .core()
         .granted(lease, now, delta, grant.shares, grant.routers);
     let applied = shared.core().lease().applied();
-    if applied > before {
-        forget_gone_targets(shared);
+    if applied > old_revision {
+        drop_unused_clients(shared);
         let cfg = shared.core().configuration().clone();
         shared.routes.configuration_changed(now, &cfg);
         metrics::gauge!("deckwind_router_revision", "vm" => shared.vm.to_string())
@@ -134,18 +137,23 @@
     true
 }
 
-/// The leader's grant, and when it was asked for; nothing if there is none.
-async fn ask(shared: &RouterShared, now: Asked, request: &[u8]) -> Option<(Asked, Box<Grant>)> {
+/// Sends a renewal. Returns the time at which it was sent, and the grant, or `None` if the
+/// renewal was not granted.
+async fn send_renewal(
+    shared: &RouterShared,
+    now: RequestTime,
+    request: &[u8],
+) -> Option<(RequestTime, Box<Grant>)> {
     let live = shared.core().lease().is_live(now);
     let answered = match live {
         true => {
-            let answering = shared.control.ask_once(request, RENEWAL_TRY);
+            let answering = shared.control.ask_once(request, RENEWAL_TIMEOUT);
             answering.await.map(|reply| (now, reply))
         }
-        false => shared.control.find_leader(request, LOOK_ANEW).await,
+        false => shared.control.find_leader(request, SEARCH_TIMEOUT).await,
     };
     match answered {
-        Ok((asked, ControlReply::Granted(grant))) => Some((asked, grant)),
+        Ok((sent_at, ControlReply::Granted(grant))) => Some((sent_at, grant)),
         Ok(_) => None,
         Err(e) => {
             log::debug!("event=not_renewed error={:?}", e.to_string());
@@ -154,8 +162,9 @@
     }
 }
 
-/// What changed. Nothing if it can't be read: such an answer renews no lease.
-fn unpacked(shared: &RouterShared, grant: &Grant) -> Option<Delta> {
+/// Unpacks the configuration changes of a grant. Returns `None` if they cannot be read; the
+/// lease is then not renewed.
+fn unpack_delta(shared: &RouterShared, grant: &Grant) -> Option<Delta> {
     let bytes = grant.delta.as_ref().map_or(0, PackedDelta::size);
     metrics::counter!("deckwind_router_state_bytes_total").increment(bytes as u64);
     match grant.changes(shared.revision()) {
@@ -168,7 +177,7 @@
     }
 }
 
-fn forget_gone_targets(shared: &RouterShared) {
+fn drop_unused_clients(shared: &RouterShared) {
     let addresses: std::collections::HashSet<_> = shared
         .core()
         .fleet()
@@ -178,7 +187,7 @@
     shared.clients.retain(|a| addresses.contains(a));
 }
 
-fn note_change(shared: &RouterShared, was_live: &mut bool) {
+fn log_lease_change(shared: &RouterShared, was_live: &mut bool) {
     let (live, revision) = {
         let core = shared.core();
         (
--- a/crates/deckwindd/src/router/mod.rs
+++ b/crates/deckwindd/src/router/mod.rs
@@ -1,20 +1,24 @@
-//! The router role: callers in front, targets behind, the core between.
+//! Router role: accepts requests from callers and forwards them to targets, as decided by
+//! the router core.
 //!
 //! ```text
-//!  callers ─► callers.rs ─► chat.rs ────► stages at engines
-//!         ◄─ answering.rs ◄──┘
-//!                    │  └─► service.rs ─► plain services
-//!                    ▼
-//!               RouterCore (one lock, short calls)
-//!                    ▲
-//!  lease.rs ─────────┤ configuration, lease, shares
-//!  reports.rs ───────┘ load, cache events, the platform's list
+//!  callers ─► template_callers.rs ─┬─► chat.rs ────► stages at engines
+//!     ▲                            │      │
+//!     └──── chat_response.rs ◄─────│──────┘
+//!                                  └─► service.rs ─► plain services
+//!
+//!  all of these ─► RouterCore (one lock, short calls)
+//!                      ▲
+//!  lease.rs ───────────┤ configuration, lease, shares
+//!  reports.rs ─────────┘ load, cache events, the platform's VM list
 //! ```
+//!
+//! `routes` serves published routes; the modules above serve templates.
 
 mod admin_page;
-mod answering;
 mod chat;
 mod chat_body;
+mod chat_response;
 mod claims;
 mod control_client;
 mod lease;
@@ -40,7 +44,7 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// A running router.
+/// Running router with its background tasks.
 pub struct Router {
     shared: Arc<RouterShared>,
     drain: Duration,
@@ -50,38 +54,45 @@
     peer: QuicPeer,
 }
 
-/// Between two looks at what still runs while the router drains.
-const DRAIN_STEP: Duration = Duration::from_millis(20);
+/// Interval between checks for remaining requests while the router drains.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long after a planned stop began callers of routes are still served as
-/// usual: balancers ask each second, and leave out one that said no twice.
-const STILL_ACCEPT: Duration = Duration::from_millis(2_800);
+/// Time after the start of a graceful shutdown during which routes accept all requests.
+/// Load balancers check readiness every second, and remove a router after two failed
+/// checks.
+const FULL_ACCEPT_DURATION: Duration = Duration::from_millis(2_800);
 
-/// After this no request is let in: what takes longest with a whole answer ends
-/// before the process is killed.
-const LAST_ACCEPT: Duration = Duration::from_millis(4_500);
+/// Time after the start of a graceful shutdown from which no request is accepted, so that
+/// the longest request that is answered as a whole ends before the process is killed.
+const MAX_ACCEPT_DURATION: Duration = Duration::from_millis(4_500);
 
-/// What is done after the last answer must end before the process is killed.
+/// Time reserved before the process is killed, for the work that follows the last answer.
 const KILL_MARGIN: Duration = Duration::from_millis(600);
 
-/// Longest wait for the leader to take the lease back; else it runs out.
-const RELEASE_WITHIN: Duration = Duration::from_millis(200);
+/// Maximum time to wait until the leader confirms the release of the lease. Without
+/// confirmation the lease expires.
+const RELEASE_TIMEOUT: Duration = Duration::from_millis(200);
 
 fn bind(address: SocketAddr) -> Result<tokio::net::TcpListener> {
-    template_callers::listen(address).with_context(|| format!("TCP {address} can't be bound"))
+    template_callers::listen(address)
+        .with_context(|| format!("failed to bind TCP address {address}"))
 }
 
 impl Router {
-    /// Binds its addresses and starts.
+    /// Binds the addresses of the router and starts its tasks.
+    ///
+    /// # Errors
+    ///
+    /// Fails if an address cannot be bound or the certificates cannot be loaded.
     pub async fn start(cx: &Context, cfg: &RouterSettings) -> Result<Self> {
         let peer = QuicPeer::bind(cfg.peers, cx.key_files().as_ref(), MAX_MESSAGE)?;
         let shared = Arc::new(RouterShared::new(cx, cfg, peer.clone()));
         admin_page::serve(cfg.admin, shared.clone())?;
         let mut tasks = vec![
-            tokio::spawn(lease::keep(shared.clone())),
-            tokio::spawn(lease::tell_failing(shared.clone())),
-            tokio::spawn(lease::tell_repeats_short(shared.clone())),
-            tokio::spawn(lease::tell_full(shared.clone())),
+            tokio::spawn(lease::run_renewals(shared.clone())),
+            tokio::spawn(lease::report_failing(shared.clone())),
+            tokio::spawn(lease::report_retries_short(shared.clone())),
+            tokio::spawn(lease::report_full(shared.clone())),
             tokio::spawn(routes::watch_streams(shared.clone())),
             tokio::spawn(routes::tell_slow(shared.clone())),
             tokio::spawn(routes::tell_cut_runs(shared.clone())),
@@ -101,12 +112,12 @@
             )));
         }
         if let Some(address) = cfg.ready {
-            let serving = routes::accept_ready(bind(address)?, shared.clone());
-            tasks.push(tokio::spawn(serving));
+            let accepting = routes::accept_ready(bind(address)?, shared.clone());
+            tasks.push(tokio::spawn(accepting));
         }
         if let Some(address) = cfg.routes {
-            let serving = routes::accept(bind(address)?, shared.clone());
-            tasks.push(tokio::spawn(serving));
+            let accepting = routes::accept(bind(address)?, shared.clone());
+            tasks.push(tokio::spawn(accepting));
         }
         Ok(Self {
             shared,
@@ -118,53 +129,53 @@
         })
     }
 
-    /// Where callers of templates reach it.
+    /// Returns the address for callers of templates, if there is one.
     pub fn callers(&self) -> Option<SocketAddr> {
         self.callers
     }
 
-    /// Other seeds: the settings have changed.
-    pub fn take_seeds(&self, slots: Vec<u32>) {
-        self.shared.control.take_seeds(slots);
+    /// Replaces the seeds after a change of the settings.
+    pub fn set_seeds(&self, slots: Vec<u32>) {
+        self.shared.control.set_seeds(slots);
     }
 
-    /// What it shares between its tasks.
+    /// Returns the state that the tasks of the router share.
     pub fn shared(&self) -> &Arc<RouterShared> {
         &self.shared
     }
 
-    /// A planned stop: takes nothing new, finishes what runs, gives its lease
-    /// back, closes.
+    /// Shuts down gracefully: accepts no new requests, waits for those in progress, releases
+    /// the lease and closes the connections.
     pub async fn close(self) {
         self.shared.core().drain();
         self.shared.routes.drain();
-        let began = tokio::time::Instant::now();
-        let end = began + self.stop_within();
+        let started_at = tokio::time::Instant::now();
+        let deadline = started_at + self.drain_timeout();
         if self.shared.cfg.routes.is_some() {
             let steps = [
-                (STILL_ACCEPT, LetIn::NoStreams),
-                (LAST_ACCEPT, LetIn::Nothing),
+                (FULL_ACCEPT_DURATION, LetIn::NoStreams),
+                (MAX_ACCEPT_DURATION, LetIn::Nothing),
             ];
             for (after, let_in) in steps {
-                tokio::time::sleep_until((began + after).min(end)).await;
+                tokio::time::sleep_until((started_at + after).min(deadline)).await;
                 self.shared.routes.restrict(let_in);
             }
         }
-        while self.shared.in_progress() > 0 && tokio::time::Instant::now() < end {
-            tokio::time::sleep(DRAIN_STEP).await;
+        while self.shared.in_progress() > 0 && tokio::time::Instant::now() < deadline {
+            tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
         }
         log::info!("event=drained in_progress={}", self.shared.in_progress());
         for task in &self.tasks {
             task.abort();
         }
         let release = ControlRequest::Release(self.shared.holder());
-        let _ = self.shared.control.ask(&release, RELEASE_WITHIN).await;
+        let _ = self.shared.control.ask(&release, RELEASE_TIMEOUT).await;
         self.peer.close().await;
     }
 
-    /// Longest time that requests in progress are waited for.
-    fn stop_within(&self) -> Duration {
-        let killed = self.killed_after.map(|d| d.saturating_sub(KILL_MARGIN));
-        killed.unwrap_or(self.drain).min(self.drain)
+    /// Returns the maximum time to wait for requests in progress.
+    fn drain_timeout(&self) -> Duration {
+        let until_killed = self.killed_after.map(|d| d.saturating_sub(KILL_MARGIN));
+        until_killed.unwrap_or(self.drain).min(self.drain)
     }
 }
--- a/crates/deckwindd/src/router/reports.rs
+++ b/crates/deckwindd/src/router/reports.rs
@@ -1,4 +1,4 @@
-//! Load reports, cache events and the platform's list.
+//! Polls load reports and cache events of engines, and the VM list of the platform.
 
 use super::shared::RouterShared;
 use deckwind_core::routing::{LoadReport, PrefixHash, TargetKey};
@@ -9,25 +9,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Between two rounds of load reports.
-const EVERY: Duration = Duration::from_secs(1);
+/// Interval between rounds of load reports.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Targets asked in one round. Those that this router uses report their load
-/// with every answer; a few others are asked, so that the cost for a router does
-/// not grow with the fleet.
-const SAMPLE: usize = 2;
+/// Number of engines polled per round. Engines in use by this router report their load
+/// with every answer, so a small sample is enough. Its fixed size keeps the cost of a
+/// router independent of the size of the fleet.
+const SAMPLE_SIZE: usize = 2;
 
-/// Asks a sample of the engines for their load and cache events, for ever.
+/// Polls the load and cache events of a random sample of the engines. Never returns.
 pub async fn poll_targets(shared: Arc<RouterShared>) {
-    let mut next_event: HashMap<SocketAddr, u64> = HashMap::new();
+    let mut next_sequence: HashMap<SocketAddr, u64> = HashMap::new();
     loop {
         for (key, address) in sample(&shared) {
             let engine = shared.clients.engine(address);
-            report_load(&shared, key, engine.as_ref()).await;
-            let from = next_event.entry(address).or_insert(1);
-            *from = take_events(&shared, key, engine.as_ref(), *from).await;
+            poll_load(&shared, key, engine.as_ref()).await;
+            let from = next_sequence.entry(address).or_insert(1);
+            *from = apply_cache_events(&shared, key, engine.as_ref(), *from).await;
         }
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -39,10 +39,13 @@
         .filter(|(_, t)| !t.layers.is_empty())
         .map(|(k, t)| (k, t.address))
         .collect();
-    engines.sample(&mut rand::rng(), SAMPLE).copied().collect()
+    engines
+        .sample(&mut rand::rng(), SAMPLE_SIZE)
+        .copied()
+        .collect()
 }
 
-async fn report_load(shared: &RouterShared, key: TargetKey, engine: &dyn Engine) {
+async fn poll_load(shared: &RouterShared, key: TargetKey, engine: &dyn Engine) {
     if let Ok(report) = engine.load().await {
         let now = shared.clock.now();
         let load = LoadReport { load: report.load };
@@ -50,7 +53,12 @@
     }
 }
 
-async fn take_events(shared: &RouterShared, key: TargetKey, engine: &dyn Engine, from: u64) -> u64 {
+async fn apply_cache_events(
+    shared: &RouterShared,
+    key: TargetKey,
+    engine: &dyn Engine,
+    from: u64,
+) -> u64 {
     let Ok(answer) = engine.cache_events(from).await else {
         return from;
     };
@@ -67,7 +75,7 @@
     answer.next
 }
 
-/// Reads the platform's list, for ever, if the settings name one.
+/// Polls the VM list of the platform. Returns only if the settings name none.
 pub async fn poll_platform(shared: Arc<RouterShared>) {
     let Some(cfg) = shared.cx.settings.platform.clone() else {
         return;
--- a/crates/deckwindd/src/router/service.rs
+++ b/crates/deckwindd/src/router/service.rs
@@ -1,4 +1,5 @@
-//! One call to a plain service: choose, call, retry where that is safe.
+//! Runs one call to a plain service: chooses a target, sends the call, and retries it where
+//! that is safe.
 
 use super::shared::RouterShared;
 use super::template_answers::{CallerError, Ran};
@@ -13,7 +14,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Calls a service; `call` is the same for every try.
+/// Calls a service; every attempt sends the same `call`.
+///
+/// # Errors
+///
+/// Fails if the request content is quarantined, no target is available, or the last attempt
+/// fails. The error tells whether the call may have run.
 pub async fn run(
     shared: &Arc<RouterShared>,
     entered: &Entered,
@@ -21,65 +27,68 @@
     content: ContentDigest,
     mut call: ServiceCall,
 ) -> Result<ServiceAnswer, CallerError> {
-    let mut avoid = BTreeSet::new();
-    let mut tries = 0;
+    let mut failed_targets = BTreeSet::new();
+    let mut attempts = 0;
     let mut may_have_run = false;
     loop {
         match shared.may_be_sent(&content) {
-            Err(denied) if may_have_run => return Err(unknown(denied.code.to_string())),
+            Err(denied) if may_have_run => return Err(outcome_unknown(denied.code.to_string())),
             may_be_sent => may_be_sent?,
         }
         let now = shared.clock.now();
-        let planned = shared.core().plan_service(now, &entered.template, &avoid);
+        let planned = shared
+            .core()
+            .plan_service(now, &entered.template, &failed_targets);
         let key = match planned {
             Ok(key) => key,
-            Err(denied) if may_have_run => return Err(unknown(denied.code.to_string())),
+            Err(denied) if may_have_run => return Err(outcome_unknown(denied.code.to_string())),
             Err(denied) => return Err(denied.into()),
         };
-        let Some((name, address)) = target_of(shared, key) else {
+        let Some((name, address)) = target_address(shared, key) else {
             shared.core().service_ended(now, key, None);
             continue;
         };
-        tries += 1;
-        let left = entered.start_by.since(now) + work.timeout;
-        call.timeout = work.timeout.min(left);
+        attempts += 1;
+        let time_left = entered.start_by.since(now) + work.timeout;
+        call.timeout = work.timeout.min(time_left);
         let run = TemplateRun::begin(shared, content, address);
         let result = shared.clients.service(address).call(call.clone()).await;
         let took = shared.clock.now().since(now);
         let ok = result.is_ok().then_some(took);
         shared.core().service_ended(shared.clock.now(), key, ok);
         let error = match result {
-            // Its own word that it did not run it is `Refused`; this one may have.
+            // A target that guarantees not to have run a call answers in a way that becomes
+            // `TargetError::Refused`. With a bare status the call may have run.
             Ok(answer) if is_promise(answer.status) && !entered.repeatable => {
-                let why = format!("{name} answered {} without a promise", answer.status);
-                return Err(unknown(why));
+                let message = format!("{name} answered {} without a promise", answer.status);
+                return Err(outcome_unknown(message));
             }
             Ok(answer) => {
-                run.served();
+                run.record_served();
                 shared.core().retries().succeeded();
                 return Ok(answer);
             }
             Err(e) => e,
         };
         match error {
-            TargetError::Rests(rest) => shared.target_rests(key, rest),
-            TargetError::Broken(_) => run.broke().await,
+            TargetError::Rests(rest) => shared.start_rest_period(key, rest),
+            TargetError::Broken(_) => run.record_broken_off().await,
             _ => {}
         }
         log::info!(
-            "event=service_try_failed template={} target={name} try={tries} error={:?}",
+            "event=service_try_failed template={} target={name} try={attempts} error={:?}",
             entered.template,
             error.to_string()
         );
         may_have_run |= !error.certainly_not_run();
-        if !may_retry(shared, entered, tries, &error) {
-            return Err(failed(&error, may_have_run));
+        if !may_retry(shared, entered, attempts, &error) {
+            return Err(all_attempts_failed(&error, may_have_run));
         }
-        avoid.insert(name);
+        failed_targets.insert(name);
     }
 }
 
-fn target_of(
+fn target_address(
     shared: &RouterShared,
     key: deckwind_core::routing::TargetKey,
 ) -> Option<(deckwind_core::state::TargetName, std::net::SocketAddr)> {
@@ -88,29 +97,34 @@
     Some((t.name.clone(), t.address))
 }
 
-fn may_retry(shared: &RouterShared, entered: &Entered, tries: u32, error: &TargetError) -> bool {
+fn may_retry(shared: &RouterShared, entered: &Entered, attempts: u32, error: &TargetError) -> bool {
     let now = shared.clock.now();
-    let left = entered.start_by.since(now);
+    let time_left = entered.start_by.since(now);
     let not_run = error.certainly_not_run();
-    let allowed = RetryPolicy::default().allows(tries, entered.repeatable, not_run, left);
+    let allowed = RetryPolicy::default().allows(attempts, entered.repeatable, not_run, time_left);
     allowed && shared.core().retries().spend(now)
 }
 
-fn failed(error: &TargetError, may_have_run: bool) -> CallerError {
+fn all_attempts_failed(error: &TargetError, may_have_run: bool) -> CallerError {
     if may_have_run {
-        return unknown(error.to_string());
+        return outcome_unknown(error.to_string());
     }
-    let why = format!("no target took it: {error}");
+    let message = format!("no target took it: {error}");
     CallerError::new(
         StatusCode::SERVICE_UNAVAILABLE,
         "no-targets",
         Ran::NotRun,
-        why,
+        message,
     )
     .retry_after(Duration::from_secs(1))
 }
 
-fn unknown(why: impl std::fmt::Display) -> CallerError {
-    let why = format!("the call may have run: {why}");
-    CallerError::new(StatusCode::BAD_GATEWAY, "target-failed", Ran::Unknown, why)
+fn outcome_unknown(message: impl std::fmt::Display) -> CallerError {
+    let message = format!("the call may have run: {message}");
+    CallerError::new(
+        StatusCode::BAD_GATEWAY,
+        "target-failed",
+        Ran::Unknown,
+        message,
+    )
 }
--- a/crates/deckwindd/src/router/shared.rs
+++ b/crates/deckwindd/src/router/shared.rs
@@ -1,8 +1,8 @@
-//! What a router's tasks share.
+//! State shared by the tasks of a router.
 
 use super::control_client::ControlClient;
 use super::routes::Routes;
-use super::template_runs::TemplateLives;
+use super::template_runs::TargetCrashCounts;
 use crate::context::Context;
 use deckwind_config::RouterSettings;
 use deckwind_core::admission::{AdmissionConfig, TicketId};
@@ -21,7 +21,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Clients of all targets, by address; made at the first use.
+/// Clients of all targets by address, created on first use.
 #[derive(Default)]
 pub struct TargetClients {
     engines: Mutex<HashMap<SocketAddr, Arc<dyn Engine>>>,
@@ -29,21 +29,21 @@
 }
 
 impl TargetClients {
-    /// The engine at an address.
+    /// Returns the client of the engine at an address.
     pub fn engine(&self, address: SocketAddr) -> Arc<dyn Engine> {
         let mut engines = self.engines.lock().expect("no holder panics");
-        let made = || Arc::new(HttpEngine::new(address)) as Arc<dyn Engine>;
-        engines.entry(address).or_insert_with(made).clone()
+        let create = || Arc::new(HttpEngine::new(address)) as Arc<dyn Engine>;
+        engines.entry(address).or_insert_with(create).clone()
     }
 
-    /// The plain service at an address.
+    /// Returns the client of the plain service at an address.
     pub fn service(&self, address: SocketAddr) -> Arc<dyn PlainService> {
         let mut services = self.services.lock().expect("no holder panics");
-        let made = || Arc::new(HttpService::new(address)) as Arc<dyn PlainService>;
-        services.entry(address).or_insert_with(made).clone()
+        let create = || Arc::new(HttpService::new(address)) as Arc<dyn PlainService>;
+        services.entry(address).or_insert_with(create).clone()
     }
 
-    /// Forgets the clients of addresses that `keep` does not name.
+    /// Drops the clients of all addresses for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
         self.engines
             .lock()
@@ -56,29 +56,29 @@
     }
 }
 
-/// Where a waiting request hears whether it starts.
+/// Channel that notifies a queued request whether it starts.
 type Waiter = oneshot::Sender<Result<(), Denied>>;
 
-/// Shared by all tasks of a router.
+/// State shared by all tasks of a router.
 pub struct RouterShared {
     /// Context of the daemon.
     pub cx: Context,
-    /// Its VM.
+    /// VM of the router.
     pub vm: VmName,
-    /// Its boot.
+    /// Boot number of this router process.
     pub boot: u64,
-    /// Its clock.
+    /// Clock of the daemon.
     pub clock: Clock,
-    /// Its settings.
+    /// Settings of the router role.
     pub cfg: RouterSettings,
     /// Clients of targets.
     pub clients: TargetClients,
     /// Client of the control replicas.
     pub control: ControlClient,
-    /// Published routes.
+    /// State of the published routes.
     pub routes: Routes,
-    /// Ends of configured targets.
-    pub template_lives: TemplateLives,
+    /// Number of crashes of each configured target.
+    pub crash_counts: TargetCrashCounts,
     core: Mutex<RouterCore>,
     waiters: Mutex<HashMap<TicketId, Waiter>>,
     in_progress: AtomicUsize,
@@ -86,7 +86,7 @@
 }
 
 impl RouterShared {
-    /// For a router that starts now.
+    /// Creates the state of a router that starts now.
     pub fn new(cx: &Context, cfg: &RouterSettings, peer: QuicPeer) -> Self {
         let micros = |d: &Duration| d.as_micros() as f64;
         let core = RouterConfig {
@@ -118,7 +118,7 @@
             clients: TargetClients::default(),
             control: ControlClient::new(cx.clone(), peer),
             routes: Routes::new(cx, cfg),
-            template_lives: TemplateLives::default(),
+            crash_counts: TargetCrashCounts::default(),
             core: Mutex::new(RouterCore::new(core, cx.clock.now())),
             waiters: Mutex::default(),
             in_progress: AtomicUsize::new(0),
@@ -126,7 +126,7 @@
         }
     }
 
-    /// This process, as it holds leases and claims.
+    /// Returns the identity of this router process as a holder of leases and claims.
     pub fn holder(&self) -> Holder {
         Holder {
             vm: self.vm.clone(),
@@ -134,8 +134,8 @@
         }
     }
 
-    /// A target of a template wants to be left alone for so long.
-    pub fn target_rests(&self, key: TargetKey, rest: Duration) {
+    /// Records the rest period that a target of a template has asked for.
+    pub fn start_rest_period(&self, key: TargetKey, rest: Duration) {
         let now = self.clock.now();
         let mut core = self.core();
         core.target_rests(now, key, rest);
@@ -149,8 +149,11 @@
         );
     }
 
-    /// Whether a request of this content may be sent to a target; a refusal if targets
-    /// have ended under it.
+    /// Checks that a request content may be sent to a target.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the content is quarantined because targets crashed while running it.
     pub fn may_be_sent(&self, content: &ContentDigest) -> Result<(), Denied> {
         let suspects = &self.routes.suspects;
         if suspects.may_send(self.clock.now(), content) {
@@ -161,39 +164,40 @@
         Err(Denied::for_now(DeniedCode::Quarantined, after))
     }
 
-    /// The decisions. Hold it only for one call.
+    /// Locks the router core, which makes the decisions. The lock must be held for a single
+    /// call only.
     pub fn core(&self) -> MutexGuard<'_, RouterCore> {
         self.core.lock().expect("no holder panics")
     }
 
-    /// Revision of the configuration that is applied here, for logs.
+    /// Returns the revision of the configuration applied by this router, for logs.
     pub fn revision(&self) -> Revision {
         self.core().lease().applied()
     }
 
-    /// A number that no other request or try of this boot has.
+    /// Returns a number that is unique among the requests and attempts of this router process.
     pub fn next_id(&self) -> u64 {
         self.next_id.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A request id, unique over all routers.
+    /// Returns a new request ID that is unique across all routers.
     pub fn request_id(&self) -> String {
         format!("{}-{:x}-{:x}", self.vm, self.boot, self.next_id())
     }
 
-    /// Counts a request that has begun to be answered.
+    /// Counts a request as in progress until the returned guard is dropped.
     pub fn begin(self: &Arc<Self>) -> InProgress {
         self.in_progress.fetch_add(1, Ordering::Relaxed);
         InProgress(self.clone())
     }
 
-    /// Requests in progress.
+    /// Returns the number of requests in progress.
     pub fn in_progress(&self) -> usize {
         self.in_progress.load(Ordering::Relaxed)
     }
 
-    /// Where a waiting request will hear of its fate.
-    pub fn wait_for(&self, id: TicketId) -> oneshot::Receiver<Result<(), Denied>> {
+    /// Returns a channel that receives whether a queued request starts or is denied.
+    pub fn register_waiter(&self, id: TicketId) -> oneshot::Receiver<Result<(), Denied>> {
         let (tx, rx) = oneshot::channel();
         self.waiters
             .lock()
@@ -202,30 +206,30 @@
         rx
     }
 
-    /// Tells waiting requests what became of them.
-    pub fn tell(&self, admitted: Vec<Admitted>) {
-        for one in admitted {
-            let (id, fate) = match one {
+    /// Notifies queued requests whether they start or are denied.
+    pub fn notify_waiters(&self, admitted: Vec<Admitted>) {
+        for decision in admitted {
+            let (id, outcome) = match decision {
                 Admitted::Start(id) => (id, Ok(())),
                 Admitted::Denied(id, denied) => (id, Err(denied)),
             };
             let waiter = self.waiters.lock().expect("no holder panics").remove(&id);
-            let heard = waiter.is_some_and(|tx| tx.send(fate).is_ok());
-            if !heard && fate.is_ok() {
-                self.leave(id);
+            let was_notified = waiter.is_some_and(|tx| tx.send(outcome).is_ok());
+            if !was_notified && outcome.is_ok() {
+                self.release_ticket(id);
             }
         }
     }
 
-    /// Gives a ticket back, and its place if it had one.
-    pub fn leave(&self, id: TicketId) {
+    /// Releases a ticket, and its slot if it has one.
+    pub fn release_ticket(&self, id: TicketId) {
         self.waiters.lock().expect("no holder panics").remove(&id);
         let admitted = self.core().leave(self.clock.now(), id);
-        self.tell(admitted);
+        self.notify_waiters(admitted);
     }
 }
 
-/// A request in progress, for as long as this lives.
+/// Guard that counts a request as in progress until it is dropped.
 pub struct InProgress(Arc<RouterShared>);
 
 impl Drop for InProgress {
@@ -234,14 +238,14 @@
     }
 }
 
-/// A ticket that is given back when this goes.
+/// Guard that releases a ticket when it is dropped.
 pub struct HeldTicket {
     shared: Arc<RouterShared>,
     id: TicketId,
 }
 
 impl HeldTicket {
-    /// Holds a ticket.
+    /// Creates a guard for a ticket.
     pub fn new(shared: &Arc<RouterShared>, id: TicketId) -> Self {
         Self {
             shared: shared.clone(),
@@ -252,6 +256,6 @@
 
 impl Drop for HeldTicket {
     fn drop(&mut self) {
-        self.shared.leave(self.id);
+        self.shared.release_ticket(self.id);
     }
 }
--- a/crates/deckwindd/src/router/template_answers.rs
+++ b/crates/deckwindd/src/router/template_answers.rs
@@ -1,4 +1,4 @@
-//! Answers to callers: bodies, errors with a stable code, events of a stream.
+//! Responses to callers of templates: bodies, and errors with stable codes.
 
 use bytes::Bytes;
 use deckwind_core::router::{Denied, DeniedCode};
@@ -8,38 +8,38 @@
 use std::convert::Infallible;
 use std::time::Duration;
 
-/// Body of an answer.
+/// Body of a response.
 pub type Body = BoxBody<Bytes, Infallible>;
 
 /// Whether a request that failed may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ran {
-    /// It certainly did not.
+    /// The request has certainly not run.
     NotRun,
-    /// It may have.
+    /// The request may have run.
     Unknown,
 }
 
-/// An error as callers see it.
+/// Error as sent to callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct CallerError {
-    /// HTTP status.
+    /// HTTP status code.
     #[serde(skip)]
     pub status: u16,
-    /// Stable code.
+    /// Stable error code.
     pub code: String,
-    /// Whether it may have run.
+    /// Whether the request may have run.
     pub ran: Ran,
-    /// For people: what to do next.
+    /// Explanation for people, with what to do next.
     pub message: String,
-    /// When another try helps, seconds.
+    /// Time in seconds after which a retry may succeed.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after_s: Option<u64>,
 }
 
 impl CallerError {
-    /// An error that no later try of the same request changes.
+    /// Creates an error without a retry time: a retry of the same request does not help.
     pub fn new(status: StatusCode, code: &str, ran: Ran, message: impl Into<String>) -> Self {
         Self {
             status: status.as_u16(),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// With the time after which another try helps.
+    /// Sets the time after which a retry may succeed, rounded up to whole seconds.
     pub fn retry_after(mut self, after: Duration) -> Self {
         self.retry_after_s = Some(after.as_secs_f64().ceil().max(1.0) as u64);
         self
@@ -81,20 +81,20 @@
     }
 }
 
-/// Header that names the request in our logs.
-pub const REQUEST_ID: &str = "deckwind-request-id";
+/// Header with the request ID, as it appears in the logs.
+pub const REQUEST_ID_HEADER: &str = "deckwind-request-id";
 
-/// Header that says whether a failed request may have run.
-pub const RAN: &str = "deckwind-ran";
+/// Header that tells whether a failed request may have run.
+pub const RAN_HEADER: &str = "deckwind-ran";
 
-/// A whole body.
-pub fn whole(bytes: impl Into<Bytes>) -> Body {
+/// Creates a body that is complete from the start.
+pub fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).boxed()
 }
 
-/// An answer with a status, type and body.
-pub fn answer(status: u16, content_type: &str, body: impl Into<Bytes>) -> Response<Body> {
-    let mut res = Response::new(whole(body));
+/// Creates a response with a status, a content type and a body.
+pub fn response(status: u16, content_type: &str, body: impl Into<Bytes>) -> Response<Body> {
+    let mut res = Response::new(full_body(body));
     *res.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     if let Ok(value) = HeaderValue::from_str(content_type) {
         res.headers_mut().insert(header::CONTENT_TYPE, value);
@@ -102,20 +102,20 @@
     res
 }
 
-/// The body of an error.
+/// Returns the JSON body of an error.
 pub fn error_body(error: &CallerError) -> String {
     serde_json::json!({ "error": error }).to_string()
 }
 
-/// An error as an answer.
-pub fn error(error: &CallerError) -> Response<Body> {
-    let mut res = answer(error.status, "application/json", error_body(error));
+/// Creates the response of an error.
+pub fn error_response(error: &CallerError) -> Response<Body> {
+    let mut res = response(error.status, "application/json", error_body(error));
     let ran = match error.ran {
         Ran::NotRun => "not-run",
         Ran::Unknown => "unknown",
     };
     let headers = res.headers_mut();
-    headers.insert(RAN, HeaderValue::from_static(ran));
+    headers.insert(RAN_HEADER, HeaderValue::from_static(ran));
     if let Some(after) = error.retry_after_s {
         headers.insert(header::RETRY_AFTER, HeaderValue::from(after));
     }
--- a/crates/deckwindd/src/router/template_callers.rs
+++ b/crates/deckwindd/src/router/template_callers.rs
@@ -1,15 +1,17 @@
-//! The callers' side: HTTP/1.1 and HTTP/2 by hyper.
+//! HTTP/1.1 and HTTP/2 server for callers of templates, built on hyper.
 //!
-//! oxhttp collects an answer before it sends it (see docs/DESIGN.md), so the
-//! streams go by its nearest kin here; operators are served by oxhttp.
+//! oxhttp buffers a complete answer before it sends it (see docs/DESIGN.md), so it cannot
+//! stream answers to callers. It serves operators only.
 
-use super::answering::Answering;
 use super::chat::{ChatJob, ChatRun};
 use super::chat_body::ChatRequest;
-use super::claims::{Claimed, HeldClaim, claim};
+use super::claims::{ClaimResult, HeldClaim, claim};
+use super::responder::ChatResponder;
 use super::service;
 use super::shared::{HeldTicket, RouterShared};
-use super::template_answers::{self as answers, Body, CallerError, REQUEST_ID, Ran, answer};
+use super::template_answers::{
+    self as answers, Body, CallerError, REQUEST_ID_HEADER, Ran, response,
+};
 use bytes::Bytes;
 use deckwind_core::router::{Denied, DeniedCode, Entered, Placed, Work};
 use deckwind_core::routing::prefix_hashes;
@@ -29,29 +31,33 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::mpsc;
 
-/// Longest head of a request, bytes.
-const MAX_HEAD: usize = 64 * 1024;
+/// Maximum size of a request head in bytes.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// Longest wait for a request's head.
-const HEAD_WITHIN: Duration = Duration::from_secs(10);
+/// Timeout for reading a request head.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Longest wait for a request's body.
-const BODY_WITHIN: Duration = Duration::from_secs(30);
+/// Timeout for reading a request body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Longest `Idempotency-Key`, bytes.
-const MAX_KEY: usize = 200;
+/// Maximum length of an `Idempotency-Key` in bytes.
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 200;
 
-/// Tokens that may wait for a slow caller.
-pub const TOKENS_WAITING: usize = 16;
+/// Maximum number of tokens buffered for a slow caller.
+pub const MAX_BUFFERED_TOKENS: usize = 16;
 
-/// Between two looks at requests that wait.
-const EXPIRE_EVERY: Duration = Duration::from_millis(100);
+/// Interval between checks for queued requests that have expired.
+const EXPIRE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Connections that may wait to be accepted. With the default of 128 a burst of
-/// 500 loses handshakes, and each waits a second for its resend.
-const BACKLOG: u32 = 4_096;
+/// Maximum number of connections that wait to be accepted. With the default of 128, a burst
+/// of 500 connections loses handshakes, each of which is sent again only after a second.
+const LISTEN_BACKLOG: u32 = 4_096;
 
-/// Binds the callers' address.
+/// Binds a TCP address for callers.
+///
+/// # Errors
+///
+/// Fails if the address cannot be bound.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = match address {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
@@ -59,14 +65,14 @@
     };
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
-    socket.listen(BACKLOG)
+    socket.listen(LISTEN_BACKLOG)
 }
 
-/// Accepts connections for ever.
+/// Accepts connections from callers of templates. Never returns.
 pub async fn accept(listener: TcpListener, shared: Arc<RouterShared>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(EXPIRE_EVERY).await;
+            tokio::time::sleep(EXPIRE_INTERVAL).await;
             continue;
         };
         let _ = stream.set_nodelay(true);
@@ -77,9 +83,9 @@
             builder
                 .http1()
                 .timer(TokioTimer::new())
-                .header_read_timeout(HEAD_WITHIN)
-                .max_buf_size(MAX_HEAD);
-            builder.http2().max_header_list_size(MAX_HEAD as u32);
+                .header_read_timeout(HEAD_TIMEOUT)
+                .max_buf_size(MAX_HEAD_BYTES);
+            builder.http2().max_header_list_size(MAX_HEAD_BYTES as u32);
             let _ = builder
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -87,12 +93,12 @@
     }
 }
 
-/// Refuses what waits and can no longer start, for ever.
+/// Denies queued requests that can no longer start in time. Never returns.
 pub async fn expire_waiting(shared: Arc<RouterShared>) {
     loop {
-        tokio::time::sleep(EXPIRE_EVERY).await;
+        tokio::time::sleep(EXPIRE_INTERVAL).await;
         let admitted = shared.core().tick(shared.clock.now());
-        shared.tell(admitted);
+        shared.notify_waiters(admitted);
     }
 }
 
@@ -110,10 +116,10 @@
             e.code,
             e.status
         );
-        answers::error(&e)
+        answers::error_response(&e)
     });
     if let Ok(value) = HeaderValue::from_str(&id) {
-        res.headers_mut().insert(REQUEST_ID, value);
+        res.headers_mut().insert(REQUEST_ID_HEADER, value);
     }
     let labels = [("status", res.status().as_u16().to_string())];
     metrics::counter!("deckwind_router_answers_total", &labels).increment(1);
@@ -127,39 +133,43 @@
 ) -> Result<Response<Body>, CallerError> {
     let path = req.uri().path().to_string();
     match path.as_str() {
-        "/health" => return Ok(answer(200, "text/plain", "alive\n")),
+        "/health" => return Ok(response(200, "text/plain", "alive\n")),
         "/ready" => return Ok(ready(shared)),
         _ => {}
     }
     let account = authenticate(shared, req.headers())?;
     if path == "/v1/chat/completions" {
         if req.method() != Method::POST {
-            return Err(bad(
+            return Err(not_run_error(
                 StatusCode::METHOD_NOT_ALLOWED,
                 "bad-request",
                 "use POST",
             ));
         }
-        return chat(shared, id, account, req).await;
+        return complete_chat(shared, id, account, req).await;
     }
     if let Some(rest) = path.strip_prefix("/s/") {
         let template = rest.split('/').next().unwrap_or_default();
         let template = TemplateName::from(template);
-        return plain(shared, id, account, template, req).await;
+        return call_service(shared, id, account, template, req).await;
     }
     let message = "there is nothing here; use /v1/chat/completions or /s/TEMPLATE";
-    Err(bad(StatusCode::NOT_FOUND, "unknown-path", message))
+    Err(not_run_error(
+        StatusCode::NOT_FOUND,
+        "unknown-path",
+        message,
+    ))
 }
 
-fn bad(status: StatusCode, code: &str, message: &str) -> CallerError {
+fn not_run_error(status: StatusCode, code: &str, message: &str) -> CallerError {
     CallerError::new(status, code, Ran::NotRun, message)
 }
 
 fn ready(shared: &RouterShared) -> Response<Body> {
     if shared.core().is_ready(shared.clock.now()) {
-        return answer(200, "text/plain", "ready\n");
+        return response(200, "text/plain", "ready\n");
     }
-    answer(
+    response(
         503,
         "text/plain",
         "not ready: draining or without a lease\n",
@@ -167,11 +177,11 @@
 }
 
 fn authenticate(shared: &RouterShared, headers: &HeaderMap) -> Result<AccountName, CallerError> {
-    let given = headers.get(header::AUTHORIZATION);
-    let key = given.and_then(|v| v.to_str().ok()?.strip_prefix("Bearer "));
+    let authorization = headers.get(header::AUTHORIZATION);
+    let key = authorization.and_then(|v| v.to_str().ok()?.strip_prefix("Bearer "));
     let key = key.ok_or_else(|| {
         let message = "give the account's key as Authorization: Bearer KEY";
-        bad(StatusCode::UNAUTHORIZED, "unknown-key", message)
+        not_run_error(StatusCode::UNAUTHORIZED, "unknown-key", message)
     })?;
     let digest = Sha256::digest(key.as_bytes());
     let hex: String = digest.iter().map(|b| format!("{b:02x}")).collect();
@@ -180,9 +190,9 @@
 
 async fn read_body(shared: &RouterShared, body: Incoming) -> Result<Bytes, CallerError> {
     let limited = Limited::new(body, shared.cfg.max_body_bytes);
-    let read = tokio::time::timeout(BODY_WITHIN, limited.collect()).await;
-    let collected = read.map_err(|_| {
-        bad(
+    let timed_read = tokio::time::timeout(BODY_TIMEOUT, limited.collect()).await;
+    let collected = timed_read.map_err(|_| {
+        not_run_error(
             StatusCode::REQUEST_TIMEOUT,
             "body-late",
             "the body did not come in time",
@@ -192,13 +202,13 @@
         Ok(body) => Ok(body.to_bytes()),
         Err(e) if e.is::<LengthLimitError>() => {
             let message = format!("the body is above {} bytes", shared.cfg.max_body_bytes);
-            Err(bad(
+            Err(not_run_error(
                 StatusCode::PAYLOAD_TOO_LARGE,
                 "body-too-large",
                 &message,
             ))
         }
-        Err(_) => Err(bad(
+        Err(_) => Err(not_run_error(
             StatusCode::BAD_REQUEST,
             "bad-request",
             "the body broke off",
@@ -213,27 +223,32 @@
     let key = value
         .to_str()
         .ok()
-        .filter(|k| !k.is_empty() && k.len() <= MAX_KEY);
-    let message = format!("Idempotency-Key must be 1 to {MAX_KEY} visible characters");
+        .filter(|k| !k.is_empty() && k.len() <= MAX_IDEMPOTENCY_KEY_BYTES);
+    let message =
+        format!("Idempotency-Key must be 1 to {MAX_IDEMPOTENCY_KEY_BYTES} visible characters");
     match key {
         Some(key) => Ok(Some(key.to_string())),
-        None => Err(bad(StatusCode::BAD_REQUEST, "bad-request", &message)),
+        None => Err(not_run_error(
+            StatusCode::BAD_REQUEST,
+            "bad-request",
+            &message,
+        )),
     }
 }
 
-/// Tokens that the caller has already: those up to its `Last-Event-ID` (WHATWG
-/// HTML, server-sent events). The request runs again from the start, as engines
-/// give the same answer to the same request, and what the caller has is left
-/// out; so any router can go on where one that died left off, and none keeps
-/// state for it.
-fn tokens_had(headers: &HeaderMap) -> Result<u32, CallerError> {
+/// Returns the number of tokens that the caller has already received, according to its
+/// `Last-Event-ID` (WHATWG HTML, server-sent events). The request runs again from the
+/// start, since engines give the same answer to the same request, and the tokens already
+/// received are skipped. Any router can thus continue the stream of a router that crashed,
+/// and no router keeps state for it.
+fn count_received_tokens(headers: &HeaderMap) -> Result<u32, CallerError> {
     let Some(value) = headers.get("last-event-id") else {
         return Ok(0);
     };
     let last = value.to_str().ok().and_then(|v| v.parse::<u32>().ok());
     match last.and_then(|l| l.checked_add(1)) {
-        Some(had) => Ok(had),
-        None => Err(bad(
+        Some(count) => Ok(count),
+        None => Err(not_run_error(
             StatusCode::BAD_REQUEST,
             "bad-request",
             "Last-Event-ID must be the id of the last event that came",
@@ -241,7 +256,7 @@
     }
 }
 
-/// Passes the first checks and waits for a place.
+/// Applies the first checks and waits for a slot.
 async fn admit(
     shared: &Arc<RouterShared>,
     account: &AccountName,
@@ -249,7 +264,7 @@
 ) -> Result<(Entered, HeldTicket), CallerError> {
     let now = shared.clock.now();
     let entered = shared.core().enter(now, account, template)?;
-    let waiting = shared.wait_for(entered.id);
+    let waiting = shared.register_waiter(entered.id);
     let placed = shared.core().place(now, &entered);
     let ticket = HeldTicket::new(shared, entered.id);
     match placed {
@@ -260,7 +275,7 @@
             Err(_) => refuse(
                 shared,
                 &entered,
-                Denied::for_now(DeniedCode::Deadline, EXPIRE_EVERY),
+                Denied::for_now(DeniedCode::Deadline, EXPIRE_INTERVAL),
             ),
         },
         Err(denied) => refuse(shared, &entered, denied),
@@ -273,7 +288,7 @@
     Err(denied.into())
 }
 
-async fn plain(
+async fn call_service(
     shared: &Arc<RouterShared>,
     id: &str,
     account: AccountName,
@@ -291,7 +306,7 @@
     let path = full[format!("/s/{template}").len()..].to_string();
     let (method, uri) = (req.method().clone(), req.uri().clone());
     let body = read_body(shared, req.into_body()).await?;
-    let content = content_of(&method, &uri, &account, &body);
+    let content = content_digest(&method, &uri, &account, &body);
     shared.may_be_sent(&content)?;
     let (entered, _ticket) = admit(shared, &account, &template).await?;
     let Work::Service(work) = entered.work.clone() else {
@@ -320,7 +335,7 @@
         held.finish(outcome_of(&result)).await;
     }
     let done = result?;
-    Ok(answer(done.status, &done.content_type, done.body))
+    Ok(response(done.status, &done.content_type, done.body))
 }
 
 fn outcome_of(result: &Result<deckwind_net::targets::ServiceAnswer, CallerError>) -> Outcome {
@@ -335,7 +350,7 @@
     }
 }
 
-/// A claim, where the template needs one.
+/// Outcome of claiming a request, if its template needs a claim.
 enum NeededClaim {
     Held(Option<HeldClaim>),
     Answer(Box<Response<Body>>),
@@ -351,12 +366,12 @@
         return Ok(NeededClaim::Held(None));
     }
     Ok(match claim(shared, &entered.account, key, body).await? {
-        Claimed::Granted(held) => NeededClaim::Held(Some(held)),
-        Claimed::Answer(res) => NeededClaim::Answer(res),
+        ClaimResult::Granted(held) => NeededClaim::Held(Some(held)),
+        ClaimResult::Answer(res) => NeededClaim::Answer(res),
     })
 }
 
-async fn chat(
+async fn complete_chat(
     shared: &Arc<RouterShared>,
     id: &str,
     account: AccountName,
@@ -364,10 +379,10 @@
 ) -> Result<Response<Body>, CallerError> {
     let in_progress = shared.begin();
     let key = idempotency_key(req.headers())?;
-    let had = tokens_had(req.headers())?;
+    let received_tokens = count_received_tokens(req.headers())?;
     let (method, uri) = (req.method().clone(), req.uri().clone());
     let body = read_body(shared, req.into_body()).await?;
-    let content = content_of(&method, &uri, &account, &body);
+    let content = content_digest(&method, &uri, &account, &body);
     shared.may_be_sent(&content)?;
     let chat = parse_chat(&body)?;
     let template = TemplateName::from(chat.model.as_str());
@@ -379,7 +394,7 @@
         NeededClaim::Answer(res) => return Ok(*res),
         NeededClaim::Held(held) => held,
     };
-    let (tx, rx) = mpsc::channel(TOKENS_WAITING);
+    let (tx, rx) = mpsc::channel(MAX_BUFFERED_TOKENS);
     let job = ChatJob {
         id: id.to_string(),
         entered: entered.clone(),
@@ -390,7 +405,7 @@
         max_tokens: chat.max_tokens,
     };
     tokio::spawn(ChatRun::new(shared.clone(), job, tx).run());
-    let mut answering = Answering {
+    let mut responder = ChatResponder {
         shared: shared.clone(),
         id: id.to_string(),
         chat,
@@ -398,25 +413,26 @@
         held,
         rx,
         first: None,
-        had,
+        received_tokens,
         _ticket: ticket,
         _in_progress: in_progress,
     };
-    answering.wait_for_first().await?;
-    if answering.chat.stream {
-        return Ok(answering.stream());
+    responder.wait_for_first().await?;
+    if responder.chat.stream {
+        return Ok(responder.into_event_stream());
     }
-    answering.whole().await
+    responder.into_full_response().await
 }
 
-/// What a request is, whoever sends it again under whatever id.
-fn content_of(method: &Method, uri: &Uri, account: &AccountName, body: &[u8]) -> ContentDigest {
+/// Returns the digest of a request content, which does not depend on the request ID and so
+/// stays the same when the request is sent again.
+fn content_digest(method: &Method, uri: &Uri, account: &AccountName, body: &[u8]) -> ContentDigest {
     let path = uri.path_and_query().map_or("/", |p| p.as_str());
     ContentDigest::of(method.as_str(), path, Some(account.as_str()), body)
 }
 
 fn parse_chat(body: &[u8]) -> Result<ChatRequest, CallerError> {
-    let refuse = |why: String| bad(StatusCode::BAD_REQUEST, "bad-request", &why);
+    let refuse = |why: String| not_run_error(StatusCode::BAD_REQUEST, "bad-request", &why);
     let chat: ChatRequest = serde_json::from_slice(body).map_err(|e| refuse(e.to_string()))?;
     if chat.messages.is_empty() {
         return Err(refuse(
--- a/crates/deckwindd/src/router/template_runs.rs
+++ b/crates/deckwindd/src/router/template_runs.rs
@@ -1,9 +1,9 @@
-//! Runs of requests by template, and whether their targets end under them.
+//! Runs of template requests, with detection of targets that crash while running them.
 //!
-//! Configured targets announce no lives, so a router finds out by itself: a target that
-//! broke a run off and whose port then refuses connections has ended. What follows is
-//! as for published routes (`deckwind_core::routes::CutRuns`): three ends under one
-//! content, and no router sends it.
+//! Configured targets do not announce their incarnations, so the router detects a crash by
+//! itself: a target has crashed if it broke off a run and its port then refuses
+//! connections. As with published routes (`deckwind_core::routes::CutRuns`), a request
+//! content is quarantined after three crashes, and no router sends it any more.
 
 use super::routes::CutRun;
 use super::shared::RouterShared;
@@ -16,71 +16,76 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Longest wait for a connection to a target that broke a run off: a refusal takes a
-/// round trip. One that says nothing may be there.
-const LOOK_WITHIN: Duration = Duration::from_millis(200);
+/// Timeout for connecting to a target that broke off a run. A refusal takes one round trip;
+/// a target that does not respond may still be running.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Until the second look: a request that broke off is sent again so much later.
-const LOOK_AGAIN: Duration = Duration::from_millis(30);
+/// Delay before the second connection attempt. It delays the retry of the broken-off request
+/// by as much.
+const RECHECK_DELAY: Duration = Duration::from_millis(30);
 
-/// Addresses whose ends are counted: more than there are configured targets.
-const MOST: usize = 4_096;
+/// Maximum number of addresses whose crashes are counted, which is more than there are
+/// configured targets.
+const MAX_ADDRESSES: usize = 4_096;
 
-/// Ends of configured targets, as this router has seen them.
+/// Number of crashes of each configured target that this router has detected.
 #[derive(Default)]
-pub struct TemplateLives {
-    ended: Mutex<HashMap<SocketAddr, u64>>,
+pub struct TargetCrashCounts {
+    counts: Mutex<HashMap<SocketAddr, u64>>,
 }
 
-impl TemplateLives {
-    /// Ends at an address so far: they number its lives.
-    fn ended(&self, address: SocketAddr) -> u64 {
-        let ended = self.ended.lock().expect("no holder panics");
-        ended.get(&address).copied().unwrap_or(0)
+impl TargetCrashCounts {
+    /// Returns the number of crashes at an address so far, which numbers the incarnations
+    /// of the target there.
+    fn count(&self, address: SocketAddr) -> u64 {
+        let counts = self.counts.lock().expect("no holder panics");
+        counts.get(&address).copied().unwrap_or(0)
     }
 
-    /// The life with this number is over. Many runs may tell of one end.
-    fn end(&self, address: SocketAddr, number: u64) {
-        let mut ended = self.ended.lock().expect("no holder panics");
-        if ended.len() >= MOST && !ended.contains_key(&address) {
-            log::warn!("event=ends_of_targets_forgotten addresses={}", ended.len());
-            ended.clear();
+    /// Records the crash of the incarnation with this number. Several runs may report the
+    /// same crash.
+    fn record(&self, address: SocketAddr, number: u64) {
+        let mut counts = self.counts.lock().expect("no holder panics");
+        if counts.len() >= MAX_ADDRESSES && !counts.contains_key(&address) {
+            log::warn!("event=ends_of_targets_forgotten addresses={}", counts.len());
+            counts.clear();
         }
-        let count = ended.entry(address).or_default();
+        let count = counts.entry(address).or_default();
         *count = (*count).max(number + 1);
     }
 }
 
-/// A run at one target, from just before the request is sent.
+/// Run of a request at one target, from just before the request is sent.
 pub struct TemplateRun {
     shared: Arc<RouterShared>,
     content: ContentDigest,
     address: SocketAddr,
     number: u64,
-    progressed: Option<Instant>,
+    first_progress_at: Option<Instant>,
 }
 
 impl TemplateRun {
-    /// The request is about to be sent there.
+    /// Begins the run of a request that is about to be sent to a target.
     pub fn begin(shared: &Arc<RouterShared>, content: ContentDigest, address: SocketAddr) -> Self {
         Self {
             shared: shared.clone(),
             content,
             address,
-            number: shared.template_lives.ended(address),
-            progressed: None,
+            number: shared.crash_counts.count(address),
+            first_progress_at: None,
         }
     }
 
-    /// Something of the answer has come.
-    pub fn progressed(&mut self) {
-        if self.progressed.is_none() {
-            self.progressed = Some(self.shared.clock.now());
+    /// Records that part of the answer has arrived.
+    pub fn record_progress(&mut self) {
+        if self.first_progress_at.is_none() {
+            self.first_progress_at = Some(self.shared.clock.now());
         }
     }
 
-    /// The life that runs it, by a name of this router's own.
-    fn life(&self) -> Life {
+    /// Returns the incarnation that runs the request, under an ID unique to this router
+    /// process.
+    fn incarnation(&self) -> Life {
         let holder = self.shared.holder();
         Life {
             id: format!("{} by {}/{}", self.address, holder.vm, holder.boot),
@@ -88,18 +93,18 @@
         }
     }
 
-    /// The answer broke off: looks whether the target has ended, before the request is
-    /// sent to another one.
-    pub async fn broke(&self) {
-        let gone = has_gone(self.address).await;
-        let life = self.life();
+    /// Records that the answer broke off, and checks whether the target has crashed. Must
+    /// complete before the request is sent to another target.
+    pub async fn record_broken_off(&self) {
+        let has_crashed = is_gone(self.address).await;
+        let life = self.incarnation();
         metrics::counter!("deckwind_route_runs_cut_total", "how" => "broke").increment(1);
         log::info!(
-            "event=run_cut content={} target={} life={life} how=broke gone={gone}",
+            "event=run_cut content={} target={} life={life} how=broke gone={has_crashed}",
             self.content,
             self.address
         );
-        if !gone {
+        if !has_crashed {
             return;
         }
         let now = self.shared.clock.now();
@@ -107,34 +112,34 @@
             content: self.content,
             address: self.address,
             life: &life,
-            ran: self.progressed.map(|at| now.since(at)),
-            // The leader knows nothing of configured targets that it could ask.
+            ran: self.first_progress_at.map(|at| now.since(at)),
+            // The leader cannot probe configured targets, since it does not track them.
             broke: false,
         };
         let suspects = &self.shared.routes.suspects;
         suspects.cut(now, &cut);
-        self.shared.template_lives.end(self.address, self.number);
+        self.shared.crash_counts.record(self.address, self.number);
         suspects.lives_over(now, vec![life]);
     }
 
-    /// The target has served it, and is there.
-    pub fn served(&self) {
+    /// Records that the target has served the request and is still running.
+    pub fn record_served(&self) {
         let now = self.shared.clock.now();
         self.shared.routes.suspects.served(now, self.content);
     }
 }
 
-/// Whether nobody listens any more. Looked at twice: a process that ends may close its
-/// connections before its port.
-async fn has_gone(address: SocketAddr) -> bool {
+/// Returns whether nothing listens at the address any more. It is checked twice, since a
+/// process that exits may close its connections before its listening port.
+async fn is_gone(address: SocketAddr) -> bool {
     if refuses_connections(address).await {
         return true;
     }
-    tokio::time::sleep(LOOK_AGAIN).await;
+    tokio::time::sleep(RECHECK_DELAY).await;
     refuses_connections(address).await
 }
 
 async fn refuses_connections(address: SocketAddr) -> bool {
-    let connecting = tokio::time::timeout(LOOK_WITHIN, TcpStream::connect(address));
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
     matches!(connecting.await, Ok(Err(e)) if e.kind() == ErrorKind::ConnectionRefused)
 }
--- a/crates/deckwindd/src/suspension.rs
+++ b/crates/deckwindd/src/suspension.rs
@@ -1,27 +1,28 @@
-//! Notices that the VM was suspended, for operators. Nothing is decided here: what a
-//! process believes ages by a clock that counts suspensions.
+//! Detects that the VM was suspended, and logs it for operators. No decision depends on
+//! it: leases and other timeouts use a clock that includes suspensions.
 
 use deckwind_net::clock::Clock;
 use std::time::Duration;
 
-/// Between two looks.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// Interval between checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Shortest suspension that is told: below it the two clocks were read apart.
-const LEAST: Duration = Duration::from_millis(20);
+/// Shortest suspension that is logged. Smaller differences arise because the two clocks
+/// are not read at the same moment.
+const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 
-/// Writes a line after each suspension, for ever.
+/// Logs each suspension. Never returns.
 pub async fn watch(clock: Clock) {
     let mut known = clock.suspended();
     loop {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         let suspended = clock.suspended();
-        let length = suspended.saturating_sub(known);
-        if length < LEAST {
+        let duration = suspended.saturating_sub(known);
+        if duration < MIN_SUSPENSION {
             continue;
         }
         known = suspended;
-        metrics::counter!("deckwind_suspended_ms_total").increment(length.as_millis() as u64);
-        log::warn!("event=was_suspended ms={}", length.as_millis());
+        metrics::counter!("deckwind_suspended_ms_total").increment(duration.as_millis() as u64);
+        log::warn!("event=was_suspended ms={}", duration.as_millis());
     }
 }
