--- a/crates/deckwindd/src/router/template_callers.rs
+++ b/crates/deckwindd/src/router/template_callers.rs
@@ -5,8 +5,8 @@
 
 use super::chat::{ChatJob, ChatRun};
 use super::chat_body::ChatRequest;
+use super::chat_response::ChatResponder;
 use super::claims::{ClaimResult, HeldClaim, claim};
-use super::responder::ChatResponder;
 use super::service;
 use super::shared::{HeldTicket, RouterShared};
 use super::template_answers::{
