--- a/crates/deckwindd/src/router/service.rs
+++ b/crates/deckwindd/src/router/service.rs
@@ -57,8 +57,8 @@
         let ok = result.is_ok().then_some(took);
         shared.core().service_ended(shared.clock.now(), key, ok);
         let error = match result {
-            // A target that guarantees not to have run a call answers in a way that becomes
-            // `TargetError::Refused`. With a bare status the call may have run.
+            // A target that explicitly states that it did not run the call yields
+            // `TargetError::Refused`. With only such a status, the call may have run.
             Ok(answer) if is_promise(answer.status) && !entered.repeatable => {
                 let message = format!("{name} answered {} without a promise", answer.status);
                 return Err(outcome_unknown(message));
