--- a/crates/deckwindd/src/control/calls.rs
+++ b/crates/deckwindd/src/control/calls.rs
@@ -1,10 +1,10 @@
-//! Calls of operators who publish releases and of targets that announce
+//! HTTP server for operators who publish releases and for targets that announce
 //! themselves.
 //!
-//! Every replica hears targets that are ready. All else only the leader answers;
-//! another replica sends the caller there. A call
-//! that can't be answered in time is refused: its sender sends it again,
-//! unchanged, and a change that is agreed twice changes nothing.
+//! Every replica receives the announcements of ready targets. Only the leader answers
+//! other calls; the other replicas redirect the caller to it. A call that can't be
+//! answered in time is refused. The caller sends it again unchanged, which is safe: a
+//! change that is committed twice has no further effect.
 
 use super::handle::{ControlHandle, Input};
 use super::refusals::Refusals;
@@ -31,48 +31,54 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Longest body of a call: a release of ten thousand routes is about 3 MB.
-const MAX_BODY: usize = 16 << 20;
+/// Maximum size of the body of a call, bytes: a release of ten thousand routes is about 3 MB.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Bodies of calls, and documents on their way, that are held at once, bytes: three
-/// of the longest. Control VMs have 256 MB, and the rest of a replica needs less
-/// than half of them (docs/CAPACITY.md).
-const MAX_HELD: u64 = 3 * MAX_BODY as u64;
+/// Maximum size of all bodies of calls and documents being sent, bytes: three of the
+/// longest. Control VMs have 256 MB, and the rest of a replica needs less than half of
+/// that (docs/CAPACITY.md).
+const MAX_HELD_BYTES: u64 = 3 * MAX_BODY_BYTES as u64;
 
-/// Longest wait for a body.
-const BODY_WITHIN: Duration = Duration::from_secs(3);
+/// Timeout for reading a body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Longest wait for the driver. Callers ask another replica after a second.
-const ANSWER_WITHIN: Duration = Duration::from_millis(900);
+/// Timeout for the driver's reply. Callers try another replica after a second.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Longest wait for a head, and longest rest of a connection.
-const REST: Duration = Duration::from_secs(15);
+/// Timeout for reading the head of a request, which also limits the time that a
+/// connection stays idle.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// When a refused caller should ask again, seconds.
-const ASK_AGAIN_S: &str = "0.2";
+/// Time after which a refused caller should try again, seconds (`Retry-After`).
+const RETRY_AFTER_S: &str = "0.2";
 
 struct Calls {
     handle: ControlHandle,
-    /// What callers send and read.
+    /// Limit on the bytes of bodies and documents in memory.
     room: Arc<Room>,
     dialect: Arc<dyn ControlDialect>,
-    /// Where this replica takes calls.
+    /// Address on which this replica accepts calls.
     address: SocketAddr,
-    /// Port of every replica's calls, where a slot is an address.
+    /// Port on which every replica accepts calls, if slots are IPv4 addresses (with
+    /// seeds).
     port: Option<u16>,
     refusals: Refusals,
 }
 
-/// Serves calls for ever.
+/// Binds the listener and returns a future that serves calls forever.
+///
+/// # Errors
+///
+/// Fails if the address can't be bound.
 pub fn serve(
     cx: &Context,
     address: SocketAddr,
     handle: ControlHandle,
 ) -> Result<impl Future<Output = ()> + use<>> {
-    let listener = listen(address).with_context(|| format!("TCP {address} can't be bound"))?;
+    let listener = listen(address).with_context(|| format!("failed to bind TCP {address}"))?;
     let calls = Arc::new(Calls {
         handle,
-        room: Room::new(MAX_HELD),
+        room: Room::new(MAX_HELD_BYTES),
         dialect: cx.dialects.control.clone(),
         address,
         port: cx.settings.seeds.is_some().then_some(address.port()),
@@ -94,7 +100,7 @@
             let service = service_fn(move |req| answer(calls.clone(), req));
             let serving = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(REST)
+                .header_read_timeout(HEAD_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
             tokio::spawn(async move {
                 if let Err(e) = serving.await {
@@ -105,14 +111,17 @@
     })
 }
 
-async fn answer(calls: Arc<Calls>, req: Request<Incoming>) -> Result<Response<Answer>, Infallible> {
+async fn answer(
+    calls: Arc<Calls>,
+    req: Request<Incoming>,
+) -> Result<Response<AnswerBody>, Infallible> {
     let (head, body) = req.into_parts();
     let path = head.uri.path();
-    let mut held = calls.room.part();
-    let collecting = collect(body, MAX_BODY, &mut held);
-    let body = match tokio::time::timeout(BODY_WITHIN, collecting).await {
+    let mut reservation = calls.room.part();
+    let collecting = collect(body, MAX_BODY_BYTES, &mut reservation);
+    let body = match tokio::time::timeout(BODY_TIMEOUT, collecting).await {
         Ok(Ok(body)) => body,
-        Ok(Err(CollectError::NoRoom)) => return Ok(calls.no_room(path)),
+        Ok(Err(CollectError::NoRoom)) => return Ok(calls.refuse_for_memory(path)),
         Ok(Err(e)) => return Ok(refuse(path, StatusCode::BAD_REQUEST, &e.to_string())),
         Err(_) => {
             return Ok(refuse(
@@ -132,46 +141,55 @@
         }
         Err(e) => return Ok(refuse(path, StatusCode::BAD_REQUEST, &e.to_string())),
     };
-    Ok(calls.ask(path, call).await)
+    Ok(calls.send_to_driver(path, call).await)
 }
 
-/// Body of an answer. What it holds is counted until it has been sent.
-type Answer = BoxBody<Bytes, Infallible>;
+/// Body of an answer. Documents count towards [`MAX_HELD_BYTES`] until they have been sent.
+type AnswerBody = BoxBody<Bytes, Infallible>;
 
 impl Calls {
-    fn no_room(&self, path: &str) -> Response<Answer> {
+    fn refuse_for_memory(&self, path: &str) -> Response<AnswerBody> {
         metrics::counter!("deckwind_control_calls_refused_for_memory_total").increment(1);
-        not_now(path, "too much is held for other callers")
+        retry_later(path, "too much is held for other callers")
     }
 
-    /// A document for a caller that may read it slowly.
-    fn document(&self, path: &str, document: Bytes) -> Response<Answer> {
-        let mut held = self.room.part();
-        if held.grow(document.len() as u64).is_err() {
-            return self.no_room(path);
+    /// Answers with a document, whose bytes count as held until a slow caller has read
+    /// them.
+    fn document(&self, path: &str, document: Bytes) -> Response<AnswerBody> {
+        let mut reservation = self.room.part();
+        if reservation.grow(document.len() as u64).is_err() {
+            return self.refuse_for_memory(path);
         }
         metrics::gauge!("deckwind_control_calls_held_bytes").set(self.room.held() as f64);
-        let rest = document;
-        let counted = Counted { rest, _held: held };
+        let remaining = document;
+        let counted = CountedBody {
+            remaining,
+            _reservation: reservation,
+        };
         respond(StatusCode::OK, Bytes::new()).map(|_| counted.boxed())
     }
 
-    async fn ask(&self, path: &str, call: ControlCall) -> Response<Answer> {
+    async fn send_to_driver(&self, path: &str, call: ControlCall) -> Response<AnswerBody> {
         let is_release = matches!(call, ControlCall::Publish(_));
-        let request = request_of(call);
+        let request = to_operator_request(call);
         let (tx, rx) = oneshot::channel();
         let reply = Box::new(move |r| drop(tx.send(r)));
         self.handle.send(Input::Operator(request, reply));
-        match tokio::time::timeout(ANSWER_WITHIN, rx).await {
+        match tokio::time::timeout(ANSWER_TIMEOUT, rx).await {
             Ok(Ok(reply)) => self.to_response(path, is_release, reply),
-            Ok(Err(_)) | Err(_) => not_now(path, "no answer in time"),
+            Ok(Err(_)) | Err(_) => retry_later(path, "no answer in time"),
         }
     }
 
-    fn to_response(&self, path: &str, is_release: bool, reply: OperatorReply) -> Response<Answer> {
+    fn to_response(
+        &self,
+        path: &str,
+        is_release: bool,
+        reply: OperatorReply,
+    ) -> Response<AnswerBody> {
         match reply {
             OperatorReply::Accepted { revision, .. } => {
-                // Announcements come each second from every target.
+                // Logged at debug level, since every target announces itself each second.
                 let level = match is_release {
                     true => log::Level::Info,
                     false => log::Level::Debug,
@@ -180,33 +198,33 @@
                 respond(StatusCode::OK, Bytes::from_static(b"{}"))
             }
             OperatorReply::Heard => {
-                // No line: each target comes once in its period.
+                // Only counted, not logged: every target announces itself once per interval.
                 metrics::counter!("deckwind_control_targets_heard_total").increment(1);
                 respond(StatusCode::OK, self.dialect.heard_at(self.address))
             }
             OperatorReply::NotTaken(fault) => self.refuse_announcement(path, fault, ""),
-            OperatorReply::Doubted => not_now(path, "another life of it still speaks"),
+            OperatorReply::Doubted => retry_later(path, "another life of it still speaks"),
             OperatorReply::Rejected(rejection) => {
                 refuse(path, StatusCode::BAD_REQUEST, &rejection.to_string())
             }
             OperatorReply::Document(Some(document)) => self.document(path, document.into()),
-            OperatorReply::Document(None) => not_now(path, "nothing is published yet"),
+            OperatorReply::Document(None) => retry_later(path, "nothing is published yet"),
             OperatorReply::NotLeader { leader: Some(slot) } => self.redirect(path, slot),
-            OperatorReply::NotLeader { leader: None } => not_now(path, "nobody leads"),
-            OperatorReply::Unknown => not_now(path, "leadership was lost on the way"),
+            OperatorReply::NotLeader { leader: None } => retry_later(path, "nobody leads"),
+            OperatorReply::Unknown => retry_later(path, "leadership was lost on the way"),
             OperatorReply::Configuration(_) | OperatorReply::Status(_) => {
                 refuse(path, StatusCode::NOT_FOUND, "not served here")
             }
         }
     }
 
-    /// Refuses what a target said of itself, or somebody in its name.
+    /// Refuses an announcement and logs it, subject to the rate limit of [`Refusals`].
     fn refuse_announcement(
         &self,
         path: &str,
         fault: AnnouncementFault,
         why: &str,
-    ) -> Response<Answer> {
+    ) -> Response<AnswerBody> {
         let reason = fault.label();
         metrics::counter!("deckwind_control_announcements_refused_total", "reason" => reason)
             .increment(1);
@@ -219,10 +237,10 @@
         respond(StatusCode::BAD_REQUEST, body.into())
     }
 
-    /// Sends the caller to the leader, where its slot is its address.
-    fn redirect(&self, path: &str, slot: u32) -> Response<Answer> {
+    /// Redirects the caller to the leader if slots are addresses, else asks it to retry.
+    fn redirect(&self, path: &str, slot: u32) -> Response<AnswerBody> {
         let Some(port) = self.port else {
-            return not_now(path, "another replica leads");
+            return retry_later(path, "another replica leads");
         };
         let location = format!("http://{}:{port}{path}", Ipv4Addr::from(slot));
         let mut res = respond(StatusCode::TEMPORARY_REDIRECT, Bytes::new());
@@ -233,7 +251,7 @@
     }
 }
 
-fn request_of(call: ControlCall) -> OperatorRequest {
+fn to_operator_request(call: ControlCall) -> OperatorRequest {
     match call {
         ControlCall::Publish(published) => {
             log::info!(
@@ -250,7 +268,7 @@
     }
 }
 
-fn refuse(path: &str, status: StatusCode, why: &str) -> Response<Answer> {
+fn refuse(path: &str, status: StatusCode, why: &str) -> Response<AnswerBody> {
     log::info!(
         "event=call_refused path={path} status={} error={why:?}",
         status.as_u16()
@@ -259,14 +277,14 @@
     respond(status, body.into())
 }
 
-fn not_now(path: &str, why: &str) -> Response<Answer> {
+fn retry_later(path: &str, why: &str) -> Response<AnswerBody> {
     let mut res = refuse(path, StatusCode::SERVICE_UNAVAILABLE, why);
-    let value = header::HeaderValue::from_static(ASK_AGAIN_S);
+    let value = header::HeaderValue::from_static(RETRY_AFTER_S);
     res.headers_mut().insert(header::RETRY_AFTER, value);
     res
 }
 
-fn respond(status: StatusCode, body: Bytes) -> Response<Answer> {
+fn respond(status: StatusCode, body: Bytes) -> Response<AnswerBody> {
     let mut res = Response::new(Full::new(body).boxed());
     *res.status_mut() = status;
     let json = header::HeaderValue::from_static("application/json");
@@ -274,17 +292,17 @@
     res
 }
 
-/// Bytes of a document that are handed to a connection at once: what a slow caller
-/// has not taken stays counted.
-const SLICE: usize = 16 * 1024;
+/// Maximum size of one frame of a document, bytes. The remaining bytes of the document
+/// count as held until a slow caller has read up to them.
+const MAX_FRAME_BYTES: usize = 16 * 1024;
 
-/// A document that is counted as held until it has been handed over.
-struct Counted {
-    rest: Bytes,
-    _held: Part,
+/// Body with a document that counts as held until the connection has taken all of it.
+struct CountedBody {
+    remaining: Bytes,
+    _reservation: Part,
 }
 
-impl Body for Counted {
+impl Body for CountedBody {
     type Data = Bytes;
     type Error = Infallible;
 
@@ -292,12 +310,12 @@
         mut self: Pin<&mut Self>,
         _: &mut std::task::Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        let length = SLICE.min(self.rest.len());
-        let piece = self.rest.split_to(length);
-        Poll::Ready((length > 0).then(|| Ok(Frame::data(piece))))
+        let length = MAX_FRAME_BYTES.min(self.remaining.len());
+        let chunk = self.remaining.split_to(length);
+        Poll::Ready((length > 0).then(|| Ok(Frame::data(chunk))))
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact(self.rest.len() as u64)
+        SizeHint::with_exact(self.remaining.len() as u64)
     }
 }
--- a/crates/deckwindd/src/control/driver.rs
+++ b/crates/deckwindd/src/control/driver.rs
@@ -1,14 +1,14 @@
-//! The thread of a control replica: gathers inputs into batches, and hands the
-//! effects on. While a sync runs the next batch gathers.
+//! The thread of a control replica: gathers inputs into batches, processes them and
+//! performs the effects. Inputs that arrive during a sync form the next batch.
 
-use super::checking;
 use super::handle::{ControlHandle, Inbox, Input, ReplyTo};
-use super::limit_notes::{self, LimitNotes};
+use super::limit_metrics::{self, LimitMetrics};
 use super::node::{ControlNode, Effect, Now};
 use super::peers::Senders;
-use super::placing;
-use super::repeat_notes::RepeatNotes;
-use super::{orders, paces};
+use super::placement_task;
+use super::retry_metrics::RetryMetrics;
+use super::target_check;
+use super::{engine_pace, orders};
 use crate::context::{Context, period_of_targets};
 use anyhow::Result;
 use deckwind_config::ControlSettings;
@@ -28,24 +28,24 @@
 use std::time::Duration;
 use tokio::runtime::Handle;
 
-/// Between two ticks.
+/// Interval between two ticks.
 pub const TICK: Duration = Duration::from_millis(10);
 
-/// Bytes of state in one message of answers, above which the next ones go in a
-/// message of their own: some 0.6 ms of a link of 420 Mbit/s, so that small answers
+/// Bytes of state in one message of answers above which further answers are sent in the
+/// next message. They take some 0.6 ms on a link of 420 Mbit/s, so that small answers
 /// need not wait for large ones.
-const MOST_STATE: usize = 32 * 1024;
+const MAX_STATE_BYTES: usize = 32 * 1024;
 
-/// Who waits for the answer to a router's request.
-enum Asker {
-    /// A router that asked here.
+/// Receiver of the answer to a router's request.
+enum ReplyReceiver {
+    /// Router that sent the request to this replica.
     Router(ReplyTo<ControlReply>),
-    /// A replica that passed the request on: its slot, the start of its process, and
-    /// its token.
+    /// Replica that forwarded the request: its slot, the random number of its process, and
+    /// its token for the request.
     Replica(u32, u64, u64),
 }
 
-/// The driver, owned by its thread.
+/// Driver of a control replica, owned by its thread.
 pub struct Driver {
     clock: Clock,
     node: ControlNode,
@@ -53,23 +53,28 @@
     handle: ControlHandle,
     runtime: Handle,
     dialect: Arc<dyn EngineDialect>,
-    /// Connections to engines that are asked for their pace.
-    engines: Arc<KeptConnections>,
-    /// Who waits for the answer to a router's request.
-    router_replies: HashMap<u64, Asker>,
-    /// Tells this start of the process from others, where replicas pass requests on.
-    life: u64,
-    /// Answers to requests that other replicas passed on, by their slot.
-    passed_back: BTreeMap<u32, RelayedReplies>,
+    /// Connections to engines whose pace is queried.
+    engine_connections: Arc<KeptConnections>,
+    /// Receivers of the answers to routers' requests, by token.
+    router_replies: HashMap<u64, ReplyReceiver>,
+    /// Random number of this process, by which answers to requests that an earlier process
+    /// of this replica forwarded are recognised and dropped.
+    process_id: u64,
+    /// Answers to requests that other replicas forwarded, by their slot.
+    forwarded_answers: BTreeMap<u32, RelayedReplies>,
     operator_replies: HashMap<u64, ReplyTo<OperatorReply>>,
     next_token: u64,
     role: Role,
-    repeats: RepeatNotes,
-    limits: LimitNotes,
+    retry_metrics: RetryMetrics,
+    limit_metrics: LimitMetrics,
 }
 
 impl Driver {
-    /// With an open store.
+    /// Creates a driver on an open store.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the snapshot in the data folder is of another version.
     pub fn new(
         cx: &Context,
         cfg: &ControlSettings,
@@ -109,23 +114,27 @@
             handle,
             runtime: cx.runtime.clone(),
             dialect: cx.dialects.engines.clone(),
-            engines: Arc::new(KeptConnections::new(cx.clock)),
+            engine_connections: Arc::new(KeptConnections::new(cx.clock)),
             router_replies: HashMap::new(),
-            life: rand::random(),
-            passed_back: BTreeMap::new(),
+            process_id: rand::random(),
+            forwarded_answers: BTreeMap::new(),
             operator_replies: HashMap::new(),
             next_token: 1,
             role: Role::Unformed,
-            repeats: RepeatNotes::default(),
-            limits: LimitNotes::default(),
+            retry_metrics: RetryMetrics::default(),
+            limit_metrics: LimitMetrics::default(),
         })
     }
 
-    /// Runs until it is told to stop, or until the disk fails: a replica that
-    /// can't write must not vote or acknowledge.
+    /// Runs until the driver must stop.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the disk fails or if the core stops the replica: a replica that can't write
+    /// must not vote or acknowledge entries.
     pub fn run(mut self, inbox: &Inbox) -> Result<()> {
         while let Some(batch) = inbox.gather(TICK) {
-            if let Err(e) = self.take_batch(batch) {
+            if let Err(e) = self.process_batch(batch) {
                 log::error!("event=store_failed error={:?}", format!("{e:#}"));
                 return Err(e);
             }
@@ -133,8 +142,8 @@
         Ok(())
     }
 
-    fn take_batch(&mut self, batch: Vec<Input>) -> Result<()> {
-        let events = batch.into_iter().flat_map(|input| self.register(input));
+    fn process_batch(&mut self, batch: Vec<Input>) -> Result<()> {
+        let events = batch.into_iter().flat_map(|input| self.to_events(input));
         let events = events.collect();
         let now = Now {
             at: self.clock.now(),
@@ -143,34 +152,34 @@
         let mut effects = Vec::new();
         self.node.take(now, events, &mut effects)?;
         for effect in effects {
-            self.hand_on(effect);
+            self.perform(effect);
         }
-        self.send_passed_back();
-        self.note_role();
-        self.repeats.look(now.at, self.node.core());
-        self.limits.look(now.at, self.node.core());
+        self.send_forwarded_answers();
+        self.log_role_change();
+        self.retry_metrics.update(now.at, self.node.core());
+        self.limit_metrics.update(now.at, self.node.core());
         Ok(())
     }
 
-    /// Notes who asks for what, and makes events of it.
-    fn register(&mut self, input: Input) -> Vec<ControlEvent> {
+    /// Converts an input into events for the core, and stores where the replies go.
+    fn to_events(&mut self, input: Input) -> Vec<ControlEvent> {
         match input {
-            Input::PassedOn(passed_on) => self.register_passed_on(passed_on),
-            Input::Answers(answers) if answers.life != self.life => Vec::new(),
-            other => vec![self.register_one(other)],
+            Input::PassedOn(forwarded) => self.forwarded_to_events(forwarded),
+            Input::Answers(answers) if answers.life != self.process_id => Vec::new(),
+            other => vec![self.to_event(other)],
         }
     }
 
-    fn register_passed_on(&mut self, passed_on: RelayedRequests) -> Vec<ControlEvent> {
+    fn forwarded_to_events(&mut self, forwarded: RelayedRequests) -> Vec<ControlEvent> {
         let RelayedRequests {
             slot,
             life,
             requests,
-        } = passed_on;
+        } = forwarded;
         let event = |request: RelayedRequest| {
-            let token = self.token();
-            let asker = Asker::Replica(slot, life, request.token);
-            self.router_replies.insert(token, asker);
+            let token = self.new_token();
+            let receiver = ReplyReceiver::Replica(slot, life, request.token);
+            self.router_replies.insert(token, receiver);
             ControlEvent::Relayed {
                 token,
                 from: slot,
@@ -180,18 +189,19 @@
         requests.into_iter().map(event).collect()
     }
 
-    fn token(&mut self) -> u64 {
+    fn new_token(&mut self) -> u64 {
         let token = self.next_token;
         self.next_token += 1;
         token
     }
 
-    fn register_one(&mut self, input: Input) -> ControlEvent {
-        let token = self.token();
+    fn to_event(&mut self, input: Input) -> ControlEvent {
+        let token = self.new_token();
         match input {
             Input::Replication(message) => ControlEvent::Replica(Event::Receive(message)),
             Input::Router(request, reply) => {
-                self.router_replies.insert(token, Asker::Router(reply));
+                self.router_replies
+                    .insert(token, ReplyReceiver::Router(reply));
                 ControlEvent::Request { token, request }
             }
             Input::Operator(request, reply) => {
@@ -209,28 +219,33 @@
         }
     }
 
-    fn hand_on(&mut self, effect: Effect) {
+    fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Send(message) => self.senders.send(message),
-            Effect::PassOn(slot, requests) => self.pass_on(slot, requests),
-            Effect::TellHeard(slot, heard) => self.senders.tell_heard(slot, heard),
+            Effect::PassOn(slot, requests) => self.forward_requests(slot, requests),
+            Effect::TellHeard(slot, heard) => self.senders.report_heard(slot, heard),
             Effect::Check(life, address) => {
                 let dialect = self.dialect.clone();
                 let checking =
-                    checking::check(life, address, dialect, self.handle.clone(), self.clock);
+                    target_check::check(life, address, dialect, self.handle.clone(), self.clock);
                 self.runtime.spawn(checking);
             }
-            Effect::NoteLife(note) => note_life(&note),
-            Effect::NoteLimit(note) => limit_notes::note(&note),
+            Effect::NoteLife(note) => log_life_decision(&note),
+            Effect::NoteLimit(note) => limit_metrics::log_change(&note),
             Effect::AskPace(address) => {
                 let dialect = self.dialect.clone();
-                let kept = self.engines.clone();
-                let asking = paces::ask(address, dialect, kept, self.handle.clone());
-                self.runtime.spawn(asking);
+                let connections = self.engine_connections.clone();
+                let querying =
+                    engine_pace::query(address, dialect, connections, self.handle.clone());
+                self.runtime.spawn(querying);
             }
             Effect::Place(order) => {
-                let placing =
-                    placing::place(order, self.dialect.clone(), self.handle.clone(), self.clock);
+                let placing = placement_task::place(
+                    order,
+                    self.dialect.clone(),
+                    self.handle.clone(),
+                    self.clock,
+                );
                 self.runtime.spawn(placing);
             }
             Effect::Order(batch) => {
@@ -238,9 +253,9 @@
                 self.runtime.spawn(sending);
             }
             Effect::Reply(token, reply) => match self.router_replies.remove(&token) {
-                Some(Asker::Router(to)) => to(reply),
-                Some(Asker::Replica(slot, life, token)) => {
-                    self.pass_back(slot, life, token, reply);
+                Some(ReplyReceiver::Router(to)) => to(reply),
+                Some(ReplyReceiver::Replica(slot, life, token)) => {
+                    self.add_forwarded_answer(slot, life, token, reply);
                 }
                 None => {}
             },
@@ -252,40 +267,40 @@
         }
     }
 
-    fn pass_on(&mut self, slot: u32, requests: Vec<RelayedRequest>) {
+    fn forward_requests(&mut self, slot: u32, requests: Vec<RelayedRequest>) {
         let own = self.node.core().replica().id().slot;
-        let passed_on = RelayedRequests {
+        let forwarded = RelayedRequests {
             slot: own,
-            life: self.life,
+            life: self.process_id,
             requests,
         };
-        self.senders.pass_on(slot, passed_on);
+        self.senders.forward_requests(slot, forwarded);
     }
 
-    /// An answer for a router that asked another replica: it goes with the others of
-    /// this batch.
-    fn pass_back(&mut self, slot: u32, life: u64, token: u64, reply: ControlReply) {
-        let answers = self.passed_back.remove(&slot);
-        let fits = |a: &RelayedReplies| a.life == life && a.has_room_for(&reply, MOST_STATE);
+    /// Adds an answer to a request that another replica forwarded. It is sent together with
+    /// the other answers of this batch.
+    fn add_forwarded_answer(&mut self, slot: u32, life: u64, token: u64, reply: ControlReply) {
+        let answers = self.forwarded_answers.remove(&slot);
+        let fits = |a: &RelayedReplies| a.life == life && a.has_room_for(&reply, MAX_STATE_BYTES);
         let mut answers = match answers {
             Some(answers) if fits(&answers) => answers,
             Some(answers) => {
-                self.senders.answer(slot, answers);
+                self.senders.send_answers(slot, answers);
                 RelayedReplies::new(life)
             }
             None => RelayedReplies::new(life),
         };
         answers.push(token, reply);
-        self.passed_back.insert(slot, answers);
+        self.forwarded_answers.insert(slot, answers);
     }
 
-    fn send_passed_back(&mut self) {
-        for (slot, answers) in std::mem::take(&mut self.passed_back) {
-            self.senders.answer(slot, answers);
+    fn send_forwarded_answers(&mut self) {
+        for (slot, answers) in std::mem::take(&mut self.forwarded_answers) {
+            self.senders.send_answers(slot, answers);
         }
     }
 
-    fn note_role(&mut self) {
+    fn log_role_change(&mut self) {
         let replica = self.node.core().replica();
         let role = replica.role();
         if role == self.role {
@@ -303,7 +318,7 @@
     }
 }
 
-fn note_life(note: &LifeNote) {
+fn log_life_decision(note: &LifeNote) {
     match note {
         LifeNote::Ended { life, by } => {
             metrics::counter!("deckwind_control_lives_ended_total").increment(1);
--- a/crates/deckwindd/src/control/paces.rs
+++ b/crates/deckwindd/src/control/engine_pace.rs
@@ -1,4 +1,4 @@
-//! Asks an engine for its pace.
+//! Query for the pace of an engine.
 
 use super::handle::{ControlHandle, Input};
 use deckwind_net::edge::EngineDialect;
@@ -7,25 +7,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait for a report: some hundred round trips.
-const REPORT_WITHIN: Duration = Duration::from_millis(200);
+/// Timeout for a report: some hundred round trips.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Asks it, and tells the driver.
-pub async fn ask(
+/// Queries the pace of the engine at `address` and sends it to the driver. A query that
+/// fails is only logged.
+pub async fn query(
     address: SocketAddr,
     dialect: Arc<dyn EngineDialect>,
     connections: Arc<KeptConnections>,
     handle: ControlHandle,
 ) {
     let call = dialect.report();
-    let called = call_target(&connections, address, &call, REPORT_WITHIN).await;
+    let called = call_target(&connections, address, &call, REPORT_TIMEOUT).await;
     let report = called
         .map_err(|e| e.to_string())
         .and_then(|reply| {
             let report = dialect.read_report(&reply.body);
             report.map_err(|e| e.to_string())
         })
-        .and_then(|r| r.pace_percent.ok_or("the report has none".to_string()));
+        .and_then(|r| r.pace_percent.ok_or("the report gives no pace".to_string()));
     match report {
         Ok(percent) => {
             log::info!("event=pace_told address={address} percent={percent}");
--- a/crates/deckwindd/src/control/handle.rs
+++ b/crates/deckwindd/src/control/handle.rs
@@ -1,4 +1,4 @@
-//! The way into the driver's thread.
+//! Queues of inputs to the driver's thread.
 
 use crossbeam::channel::{Receiver, Sender, bounded};
 use deckwind_core::control::{
@@ -9,67 +9,69 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Where a reply goes.
+/// Callback that receives the reply to a request.
 pub type ReplyTo<T> = Box<dyn FnOnce(T) + Send>;
 
-/// What the driver takes.
+/// Input to the driver.
 pub enum Input {
-    /// A peer's message.
+    /// Message of the replicated log from another replica.
     Replication(Message),
-    /// A router's request.
+    /// Request of a router.
     Router(ControlRequest, ReplyTo<ControlReply>),
-    /// An operator's request.
+    /// Request of an operator.
     Operator(OperatorRequest, ReplyTo<OperatorReply>),
-    /// A batch of orders is over: the target, and whether it took them all.
+    /// End of a batch of orders: the target, and whether it accepted all of them.
     OrdersDone(TargetName, bool),
-    /// An order to this life to place layers is over: what the engine then held,
-    /// if known.
+    /// End of an order to this incarnation to place layers: the layers that the engine
+    /// held afterwards, if known.
     Placed(Life, Option<LayerRange>),
-    /// A target was asked whether this life of it is there.
+    /// Result of a check whether this incarnation of a target still runs.
     Checked(Life, bool),
-    /// An engine told its pace, in hundredths of the usual time.
+    /// Pace that an engine reported, in hundredths of the usual time.
     Pace(SocketAddr, u32),
-    /// Requests of routers that another replica passes on.
+    /// Requests of routers that another replica forwarded.
     PassedOn(RelayedRequests),
-    /// The leader's answers to requests that this replica has passed on.
+    /// The leader's answers to requests that this replica forwarded.
     Answers(RelayedReplies),
-    /// Whom another replica has heard.
+    /// Targets whose announcements another replica has received.
     Heard(HeardTargets),
-    /// Other seeds: these slots.
+    /// Changed seeds: their slots.
     Seeds(Vec<u32>),
-    /// Stop.
+    /// Request to stop the driver.
     Stop,
 }
 
-/// Inputs of each lane that may wait.
-const MAX_WAITING: usize = 16_384;
+/// Maximum number of inputs in each queue.
+const MAX_QUEUED_INPUTS: usize = 16_384;
 
-/// Most inputs of routers, targets and operators in one batch: what the replicated log
-/// is to be told waits for a batch at most, some 5 ms of work.
-const MOST_OTHERS: usize = 128;
+/// Maximum number of inputs of routers, targets and operators in one batch. Messages of
+/// the replicated log wait for one batch at most, some 5 ms of work.
+const MAX_OTHER_INPUTS: usize = 128;
 
-/// Most messages of the replicated log in one batch.
-const MOST_OF_LOG: usize = 1_024;
+/// Maximum number of messages of the replicated log in one batch, besides the input that
+/// ended the wait.
+const MAX_LOG_INPUTS: usize = 1_024;
 
 /// Sends inputs to the driver; cheap to clone.
 #[derive(Clone)]
 pub struct ControlHandle {
-    /// Messages of the replicated log: nothing else stands before them.
+    /// Messages of the replicated log, in a queue of their own so that no other input
+    /// delays them.
     log: Sender<Input>,
     others: Sender<Input>,
 }
 
-/// Where the driver takes its inputs from.
+/// Receiving end of the driver's input queues.
 pub struct Inbox {
     log: Receiver<Input>,
     others: Receiver<Input>,
 }
 
 impl ControlHandle {
-    /// A handle and its receiving end.
+    /// Creates a handle and its receiving end.
     pub fn new() -> (Self, Inbox) {
-        let (log, log_rx) = bounded(MAX_WAITING);
-        let (others, others_rx) = bounded(MAX_WAITING);
+        let (log, log_rx) = bounded(MAX_QUEUED_INPUTS);
+        let (others, others_rx) = bounded(MAX_QUEUED_INPUTS);
         let inbox = Inbox {
             log: log_rx,
             others: others_rx,
@@ -77,22 +79,23 @@
         (Self { log, others }, inbox)
     }
 
-    /// Gives the driver an input. When it can't keep up the input is dropped:
-    /// every sender has its own time-out or resend.
+    /// Sends an input to the driver. An input that finds its queue full is dropped:
+    /// every sender has a timeout or sends again.
     pub fn send(&self, input: Input) {
-        let lane = match input {
+        let queue = match input {
             Input::Replication(_) | Input::Stop => &self.log,
             _ => &self.others,
         };
-        if lane.try_send(input).is_err() {
+        if queue.try_send(input).is_err() {
             metrics::counter!("deckwind_control_inputs_dropped_total").increment(1);
         }
     }
 }
 
 impl Inbox {
-    /// What has come in, after a wait of at most `tick`: all messages of the log before
-    /// a bounded number of others. Nothing when it is time to stop.
+    /// Waits for at most `tick` and returns the inputs received: a bounded number of
+    /// messages of the log, then a bounded number of other inputs. Returns `None` when
+    /// the driver must stop.
     pub fn gather(&self, tick: Duration) -> Option<Vec<Input>> {
         let mut batch = Vec::new();
         let first = crossbeam::channel::select! {
@@ -101,9 +104,9 @@
             default(tick) => return Some(batch),
         };
         batch.push(first.ok()?);
-        batch.extend(self.log.try_iter().take(MOST_OF_LOG));
-        batch.extend(self.others.try_iter().take(MOST_OTHERS));
-        let stops = batch.iter().any(|input| matches!(input, Input::Stop));
-        (!stops).then_some(batch)
+        batch.extend(self.log.try_iter().take(MAX_LOG_INPUTS));
+        batch.extend(self.others.try_iter().take(MAX_OTHER_INPUTS));
+        let must_stop = batch.iter().any(|input| matches!(input, Input::Stop));
+        (!must_stop).then_some(batch)
     }
 }
--- a/crates/deckwindd/src/control/mod.rs
+++ b/crates/deckwindd/src/control/mod.rs
@@ -1,40 +1,41 @@
-//! The control role: one thread drives the core, the borders feed it.
+//! The control role: one thread drives the control core; network servers and timers
+//! send it inputs over a channel.
 //!
 //! ```text
 //!  QUIC ──┐                    ┌─► store: write, sync
 //!  HTTP ──┼─► channel ─► driver┤
-//!  ticks ─┘   (crossbeam)      ├─► one sender task a peer
+//!  ticks ─┘   (crossbeam)      ├─► one sender task per peer and queue
 //!                              └─► replies
 //! ```
 
 mod calls;
-mod checking;
 mod driver;
+mod engine_pace;
 mod handle;
-mod keeper;
-mod limit_notes;
+mod limit_metrics;
 mod node;
 mod operators;
 mod orders;
-mod paces;
 mod peers;
-mod placing;
+mod placement_task;
 mod refusals;
-mod repeat_notes;
+mod retry_metrics;
+mod supervisor;
+mod target_check;
 mod work_times;
 
 pub use handle::{ControlHandle, Inbox, Input};
-pub use keeper::OpenDisk;
 pub use node::{ControlNode, Effect, Now};
 pub use refusals::{LOG_EVERY, Refusals};
+pub use supervisor::OpenDisk;
 
 use crate::context::Context;
 use anyhow::Result;
 use deckwind_config::ControlSettings;
 use deckwind_net::quic::QuicPeer;
 use deckwind_wire::MAX_MESSAGE;
-use keeper::{Keeper, open_fs_disk};
 use std::thread::JoinHandle;
+use supervisor::{Supervisor, open_fs_disk};
 
 /// A running control replica.
 pub struct Control {
@@ -44,14 +45,14 @@
 }
 
 impl Control {
-    /// Opens the data folder and starts.
+    /// Opens the data folder and starts the replica.
     pub fn start(cx: &Context, cfg: &ControlSettings) -> Result<Self> {
         Self::start_on(cx, cfg, Box::new(open_fs_disk))
     }
 
-    /// The same on another disk.
+    /// Starts the replica like [`Control::start`], on the disk that `open_disk` opens.
     pub fn start_on(cx: &Context, cfg: &ControlSettings, open_disk: OpenDisk) -> Result<Self> {
-        let (store, opened) = keeper::open(&open_disk, cfg)?;
+        let (store, opened) = supervisor::open(&open_disk, cfg)?;
         let _guard = cx.runtime.enter();
         let address = cx.control_address(cfg.slot)?;
         let peer = QuicPeer::bind(address, cx.key_files().as_ref(), MAX_MESSAGE)?;
@@ -62,17 +63,17 @@
             let serving = calls::serve(cx, address, handle.clone())?;
             cx.runtime.spawn(serving);
         }
-        let keeper = Keeper {
+        let supervisor = Supervisor {
             cx: cx.clone(),
             cfg: cfg.clone(),
             peer: peer.clone(),
             handle: handle.clone(),
             open_disk,
         };
-        let driver = keeper.driver(store, opened)?;
+        let driver = supervisor.driver(store, opened)?;
         let thread = std::thread::Builder::new()
             .name("control".to_string())
-            .spawn(move || keeper.run(driver, &inbox))?;
+            .spawn(move || supervisor.run(driver, &inbox))?;
         Ok(Self {
             handle,
             thread,
@@ -80,17 +81,17 @@
         })
     }
 
-    /// The way into it.
+    /// Returns the handle that sends inputs to the driver.
     pub fn handle(&self) -> &ControlHandle {
         &self.handle
     }
 
-    /// Other seeds: the settings have changed.
+    /// Replaces the seeds after a change of the settings.
     pub fn take_seeds(&self, slots: Vec<u32>) {
         self.handle.send(Input::Seeds(slots));
     }
 
-    /// Whether the driver's thread still runs.
+    /// Returns whether the driver's thread still runs.
     pub fn is_alive(&self) -> bool {
         !self.thread.is_finished()
     }
--- a/crates/deckwindd/src/control/node.rs
+++ b/crates/deckwindd/src/control/node.rs
@@ -1,11 +1,12 @@
-//! Core and store of a control replica, without threads, clocks or sockets.
+//! Core and store of a control replica, without threads, clocks or sockets, so that
+//! tests can run it on simulated time and networks.
 //!
-//! Carries out what the core asks for, in its order. A batch is all that has
-//! come in since the last one: one sync serves all its commands.
+//! Performs the actions of the core, in their order. A batch holds the events received
+//! since the last one; one sync covers all of its commands.
 //!
 //! ```text
 //!  events ─► core ─► early sends ─► writes ─► sync ─► Synced ─► core ─► other sends, replies
-//!                                               └── repeats until nothing is left ──┘
+//!                                               └── repeats until no action is left ──┘
 //! ```
 
 use super::work_times::{WorkTimes, kind_of};
@@ -22,14 +23,15 @@
 use deckwind_wire::{ControlReply, Message};
 use std::net::SocketAddr;
 
-/// What the outside must do.
+/// Action that the caller must perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a message.
+    /// Send a message to another replica.
     Send(Message),
-    /// Pass requests of routers on to the replica of this slot, the leader.
+    /// Forward requests of routers to the replica of this slot, the leader.
     PassOn(u32, Vec<RelayedRequest>),
-    /// Tell the replica of this slot, the leader, whom this one has heard.
+    /// Report to the replica of this slot, the leader, the targets whose announcements
+    /// this replica has received.
     TellHeard(u32, HeardTargets),
     /// Answer a router.
     Reply(u64, ControlReply),
@@ -37,28 +39,28 @@
     OperatorReply(u64, OperatorReply),
     /// Send orders to a target.
     Order(OrderBatch),
-    /// Have an engine hold other layers.
+    /// Order an engine to hold other layers.
     Place(PlaceOrder),
-    /// Ask a target whether this life of it is there.
+    /// Check whether this incarnation of a target still runs.
     Check(Life, SocketAddr),
-    /// Log and count what was decided on a life of a target.
+    /// Log and count a decision about an incarnation of a target.
     NoteLife(LifeNote),
-    /// Log and count what became of a limit.
+    /// Log the start, change or end of a target's rate limit.
     NoteLimit(LimitNote),
-    /// Ask an engine for its pace.
+    /// Query the pace of an engine.
     AskPace(SocketAddr),
 }
 
 /// The time of a batch.
 #[derive(Clone, Copy, Debug)]
 pub struct Now {
-    /// Monotonic.
+    /// Monotonic time.
     pub at: Instant,
-    /// Milliseconds since the Unix epoch.
+    /// Wall clock, milliseconds since the Unix epoch.
     pub wall_ms: u64,
 }
 
-/// A control replica on its data folder.
+/// A control replica and the store of its data folder.
 pub struct ControlNode {
     core: ControlCore,
     store: Store,
@@ -66,7 +68,11 @@
 }
 
 impl ControlNode {
-    /// With an open store.
+    /// Creates a replica on an open store.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the snapshot in the data folder is of another version.
     pub fn new(
         cfg: ReplicaConfig,
         lease: LeaseTiming,
@@ -82,18 +88,22 @@
         Ok(Self { core, store, times })
     }
 
-    /// The core.
+    /// Returns the control core.
     pub fn core(&self) -> &ControlCore {
         &self.core
     }
 
-    /// The store.
+    /// Returns the store.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// Takes a batch. After an error the replica must stop: what it has said
-    /// may not be on its disk.
+    /// Processes a batch of events and appends the resulting effects to `effects`.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the disk fails or if the core stops the replica. The replica must not go
+    /// on after an error: state that its messages imply may be missing on its disk.
     pub fn take(
         &mut self,
         now: Now,
@@ -113,7 +123,7 @@
             self.core.flush(now.at, &mut out);
         }
         self.times.end_batch(events);
-        self.times.note_load(&self.core);
+        self.times.log_load(&self.core);
         Ok(())
     }
 
@@ -164,12 +174,12 @@
             self.step(now, ControlEvent::Replica(Event::Synced(at)), out);
         }
         for action in after_sync {
-            self.finish(action, effects)?;
+            self.perform_after_sync(action, effects)?;
         }
         Ok(())
     }
 
-    fn finish(&self, action: ControlAction, effects: &mut Vec<Effect>) -> Result<()> {
+    fn perform_after_sync(&self, action: ControlAction, effects: &mut Vec<Effect>) -> Result<()> {
         match action {
             ControlAction::Replica(Action::Send { message, .. }) => {
                 effects.push(Effect::Send(message));
--- a/crates/deckwindd/src/control/operators.rs
+++ b/crates/deckwindd/src/control/operators.rs
@@ -1,15 +1,15 @@
-//! The operators' interface of a control replica.
+//! HTTP interface of a control replica for operators.
 //!
 //! | call | body | answer |
 //! |---|---|---|
 //! | `POST /v1/apply?wait_ms=N` | `ApplyRequest` | 200 accepted; 409 rejected; 421 not the leader; 504 unknown |
 //! | `GET /v1/configuration` | | 200 `ConfigurationView` |
 //! | `GET /v1/status` | | 200 `ClusterStatus` |
+//! | `POST /v1/quarantine/lift/CONTENT` | | 200 accepted; 400 not a digest; 421 not the leader; 504 unknown |
 //! | `GET /health`, `GET /metrics` | | 200, without a token |
 //!
-//! Where the settings hold no token, `GET /v1/status` is answered without one and
-//! nothing else: it tells names, addresses and counts, as the metrics beside it do,
-//! and changes nothing.
+//! If the settings hold no token, only `GET /v1/status` is answered, without a token: it
+//! returns names, addresses and counts, as the metrics do, and changes nothing.
 
 use super::handle::{ControlHandle, Input};
 use crate::admin::{self, json, text};
@@ -27,16 +27,16 @@
 use std::time::Duration;
 use subtle::ConstantTimeEq;
 
-/// Longest body of a change.
-const MAX_BODY: u64 = 1 << 20;
+/// Maximum size of the body of a change, bytes.
+const MAX_BODY_BYTES: u64 = 1 << 20;
 
-/// How long an operator waits for a change to be in force, if not said.
+/// Default time to wait until a change is in force.
 const DEFAULT_WAIT: Duration = Duration::from_secs(3);
 
-/// Longest such wait.
+/// Maximum time to wait until a change is in force.
 const MAX_WAIT: Duration = Duration::from_secs(20);
 
-/// How much longer the answer may take.
+/// Time beyond the maximum wait after which an answer counts as lost.
 const ANSWER_SLACK: Duration = Duration::from_secs(3);
 
 /// Serves operators until the process ends.
@@ -52,8 +52,8 @@
         "/metrics" => return text(StatusCode::OK, metrics_page::page().render()),
         _ => {}
     }
-    let open = token_sha256.is_empty() && is_status(req);
-    if !open && !has_token(req, token_sha256) {
+    let is_open = token_sha256.is_empty() && is_status(req);
+    if !is_open && !has_token(req, token_sha256) {
         let error = "the operators' token is missing or wrong; give it with --token-file";
         return json(StatusCode::UNAUTHORIZED, &ErrorAnswer::new(error));
     }
@@ -66,12 +66,12 @@
     handle.send(Input::Operator(request, reply));
     match rx.recv_timeout(MAX_WAIT + ANSWER_SLACK) {
         Ok(reply) => to_response(reply),
-        Err(_) => unknown(),
+        Err(_) => answer_lost(),
     }
 }
 
-/// Path under which a quarantined content is served again; its digest follows.
-const LIFT: &str = "/v1/quarantine/lift/";
+/// Path prefix that lifts the quarantine of a request content; the digest follows.
+const LIFT_PATH: &str = "/v1/quarantine/lift/";
 
 fn is_status(req: &Request<Body>) -> bool {
     req.method().as_str() == "GET" && req.uri().path() == "/v1/status"
@@ -84,7 +84,7 @@
     given.is_some() && bool::from(hash.as_bytes().ct_eq(token_sha256.as_bytes()))
 }
 
-/// Bytes in hexadecimal.
+/// Formats bytes in lowercase hexadecimal.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
@@ -96,9 +96,9 @@
         ("GET", "/v1/configuration") => Ok(OperatorRequest::Configuration),
         ("GET", "/v1/status") => Ok(OperatorRequest::Status),
         ("POST", "/v1/apply") => {
-            let wait = wait_of(req.uri().query().unwrap_or_default());
+            let wait = parse_wait(req.uri().query().unwrap_or_default());
             let mut body = Vec::new();
-            let mut limited = req.body_mut().take(MAX_BODY);
+            let mut limited = req.body_mut().take(MAX_BODY_BYTES);
             let read = limited.read_to_end(&mut body);
             read.map_err(|e| refuse(StatusCode::BAD_REQUEST, e.to_string()))?;
             let request: ApplyRequest = serde_json::from_slice(&body)
@@ -106,8 +106,8 @@
             let request = Box::new(request);
             Ok(OperatorRequest::Apply { request, wait })
         }
-        ("POST", path) if path.starts_with(LIFT) => {
-            let content = path[LIFT.len()..].parse();
+        ("POST", path) if path.starts_with(LIFT_PATH) => {
+            let content = path[LIFT_PATH.len()..].parse();
             let content =
                 content.map_err(|e: NoDigest| refuse(StatusCode::BAD_REQUEST, e.to_string()))?;
             Ok(OperatorRequest::Lift(content))
@@ -119,7 +119,7 @@
     }
 }
 
-fn wait_of(query: &str) -> Duration {
+fn parse_wait(query: &str) -> Duration {
     let wait = query.split('&').find_map(|p| p.strip_prefix("wait_ms="));
     let wait = wait
         .and_then(|ms| ms.parse().ok())
@@ -154,17 +154,17 @@
         OperatorReply::NotLeader { leader } => {
             json(StatusCode::MISDIRECTED_REQUEST, &NotLeaderAnswer { leader })
         }
-        // Announcements come by another way.
+        // Targets announce themselves on another listener, see the module `calls`.
         OperatorReply::Heard => text(StatusCode::OK, "heard"),
-        OperatorReply::Unknown => unknown(),
-        // Only targets hear these.
+        OperatorReply::Unknown => answer_lost(),
+        // Only announcements of targets are answered with these.
         OperatorReply::Doubted | OperatorReply::NotTaken(_) => {
             text(StatusCode::NOT_FOUND, "not served here")
         }
     }
 }
 
-fn unknown() -> Response<Body> {
+fn answer_lost() -> Response<Body> {
     let error = "the answer was lost on the way; send it again with the same request id";
     json(StatusCode::GATEWAY_TIMEOUT, &ErrorAnswer::new(error))
 }
--- a/crates/deckwindd/src/control/orders.rs
+++ b/crates/deckwindd/src/control/orders.rs
@@ -5,15 +5,15 @@
 use deckwind_net::clock::Clock;
 use deckwind_net::targets::{Engine, HttpEngine, TargetError};
 
-/// Sends a batch on a connection of its own, which is closed when the batch's
-/// time is over: nothing of it can arrive later. After a suspension that took that
-/// time none of the rest is sent.
+/// Sends a batch of orders on a connection of its own, which is closed when the batch
+/// times out, so that no order can arrive later. If the process was suspended for that
+/// time, the remaining orders are not sent.
 pub async fn send(batch: OrderBatch, handle: ControlHandle, clock: Clock) {
-    let until = clock.now() + batch.within;
+    let deadline = clock.now() + batch.within;
     let engine = HttpEngine::new(batch.address);
     let sending = async {
         for order in batch.orders {
-            if until <= clock.now() {
+            if deadline <= clock.now() {
                 return Err(TargetError::Late(batch.within));
             }
             engine.order(order).await?;
@@ -21,8 +21,8 @@
         Ok::<(), TargetError>(())
     };
     let sent = clock.timeout(batch.within, sending).await;
-    let taken = matches!(sent, Some(Ok(())));
-    if !taken {
+    let is_accepted = matches!(sent, Some(Ok(())));
+    if !is_accepted {
         log::info!(
             "event=orders_not_taken target={} address={} revision={}",
             batch.target,
@@ -30,5 +30,5 @@
             batch.revision
         );
     }
-    handle.send(Input::OrdersDone(batch.target, taken));
+    handle.send(Input::OrdersDone(batch.target, is_accepted));
 }
--- a/crates/deckwindd/src/control/peers.rs
+++ b/crates/deckwindd/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! QUIC to and from the other replicas and the routers.
+//! QUIC connections with the other replicas and the routers.
 
 use super::handle::{ControlHandle, Input};
 use crate::context::Context;
@@ -10,28 +10,30 @@
 use std::net::SocketAddr;
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages that may wait for one peer; more are dropped, as a network would.
-const MAX_WAITING: usize = 256;
+/// Maximum number of messages in each queue to a peer. Further messages are dropped, as
+/// by a network.
+const MAX_QUEUED_MESSAGES: usize = 256;
 
-/// What a queue of messages is for.
+/// Kind of a queue of messages to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Lane {
-    /// Of the replicated log: nothing else stands before it.
+enum QueueKind {
+    /// Messages of the replicated log, in a queue of their own so that no other message
+    /// delays them.
     Log,
-    /// Of routers and targets.
+    /// Messages about routers and targets.
     Others,
 }
 
-/// Two queues a slot, made at the first message of each: they keep the order of
-/// messages to a peer.
+/// Queues of messages to the other replicas: two per slot, each created at its first
+/// message. A queue keeps the order of its messages.
 pub struct Senders {
     cx: Context,
     peer: QuicPeer,
-    queues: BTreeMap<(u32, Lane), mpsc::Sender<PeerMessage>>,
+    queues: BTreeMap<(u32, QueueKind), mpsc::Sender<PeerMessage>>,
 }
 
 impl Senders {
-    /// Without any queue.
+    /// Creates senders without any queue.
     pub fn new(cx: &Context, peer: &QuicPeer) -> Self {
         Self {
             cx: cx.clone(),
@@ -40,31 +42,33 @@
         }
     }
 
-    /// Queues a message. A full queue drops it; the protocol sends again.
+    /// Queues a message of the replicated log. If the queue is full, the message is
+    /// dropped, and the protocol sends it again.
     pub fn send(&mut self, message: Message) {
         let slot = message.to_slot;
-        self.queue(slot, Lane::Log, PeerMessage::Replication(message));
+        self.queue(slot, QueueKind::Log, PeerMessage::Replication(message));
     }
 
-    /// Tells the replica of this slot whom this one has heard.
-    pub fn tell_heard(&mut self, slot: u32, heard: HeardTargets) {
-        self.queue(slot, Lane::Others, PeerMessage::Heard(heard));
+    /// Reports to the replica of this slot the targets whose announcements this replica has
+    /// received.
+    pub fn report_heard(&mut self, slot: u32, heard: HeardTargets) {
+        self.queue(slot, QueueKind::Others, PeerMessage::Heard(heard));
     }
 
-    /// Passes requests of routers on to the replica of this slot.
-    pub fn pass_on(&mut self, slot: u32, requests: RelayedRequests) {
-        self.queue(slot, Lane::Others, PeerMessage::PassedOn(requests));
+    /// Forwards requests of routers to the replica of this slot.
+    pub fn forward_requests(&mut self, slot: u32, requests: RelayedRequests) {
+        self.queue(slot, QueueKind::Others, PeerMessage::PassedOn(requests));
     }
 
-    /// Answers requests that the replica of this slot has passed on.
-    pub fn answer(&mut self, slot: u32, answers: RelayedReplies) {
-        self.queue(slot, Lane::Others, PeerMessage::Answers(answers));
+    /// Answers requests that the replica of this slot has forwarded.
+    pub fn send_answers(&mut self, slot: u32, answers: RelayedReplies) {
+        self.queue(slot, QueueKind::Others, PeerMessage::Answers(answers));
     }
 
-    fn queue(&mut self, slot: u32, lane: Lane, message: PeerMessage) {
-        let to = (slot, lane);
+    fn queue(&mut self, slot: u32, kind: QueueKind, message: PeerMessage) {
+        let to = (slot, kind);
         if !self.queues.contains_key(&to)
-            && let Some(tx) = self.start(slot)
+            && let Some(tx) = self.start_sender(slot)
         {
             self.queues.insert(to, tx);
         }
@@ -75,7 +79,7 @@
         }
     }
 
-    fn start(&self, slot: u32) -> Option<mpsc::Sender<PeerMessage>> {
+    fn start_sender(&self, slot: u32) -> Option<mpsc::Sender<PeerMessage>> {
         let address = match self.cx.control_address(slot) {
             Ok(address) => address,
             Err(e) => {
@@ -83,22 +87,23 @@
                 return None;
             }
         };
-        let (tx, rx) = mpsc::channel(MAX_WAITING);
+        let (tx, rx) = mpsc::channel(MAX_QUEUED_MESSAGES);
         self.cx
             .runtime
-            .spawn(send_all(self.peer.clone(), address, rx));
+            .spawn(send_queued(self.peer.clone(), address, rx));
         Some(tx)
     }
 }
 
-async fn send_all(peer: QuicPeer, to: SocketAddr, mut rx: mpsc::Receiver<PeerMessage>) {
+async fn send_queued(peer: QuicPeer, to: SocketAddr, mut rx: mpsc::Receiver<PeerMessage>) {
     while let Some(message) = rx.recv().await {
         let bytes = encode(&message);
         count_sent(kind_of_message(&message), bytes.len());
         let Err(e) = peer.send(to, &bytes).await else {
             continue;
         };
-        // What waited meanwhile is as old; the protocol sends what matters again.
+        // Messages queued meanwhile are likely outdated as well; the protocol sends those
+        // that are still needed again.
         let mut dropped = 1;
         while rx.try_recv().is_ok() {
             dropped += 1;
@@ -110,7 +115,7 @@
     }
 }
 
-/// Hands what comes in to the driver.
+/// Passes incoming messages and requests to the driver.
 pub async fn serve(peer: QuicPeer, handle: ControlHandle) {
     let runtime = tokio::runtime::Handle::current();
     peer.serve(move |from, incoming| match incoming {
@@ -142,8 +147,7 @@
     }
 }
 
-/// Counts what leaves through this VM's link, for whoever looks for what fills
-/// it.
+/// Counts the messages and bytes sent by kind, to show what fills the link of this VM.
 fn count_sent(kind: &'static str, bytes: usize) {
     metrics::counter!("deckwind_control_sent_total", "kind" => kind).increment(1);
     metrics::counter!("deckwind_control_sent_bytes_total", "kind" => kind).increment(bytes as u64);
--- a/crates/deckwindd/src/control/refusals.rs
+++ b/crates/deckwindd/src/control/refusals.rs
@@ -1,40 +1,42 @@
-//! Announcements that aren't taken: each is counted, a few are logged.
+//! Rate limit on the log lines for refused announcements. The caller counts every
+//! refusal in the metrics.
 
 use deckwind_core::control::AnnouncementFault;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Between two lines of one kind: what comes in between is counted in the next.
+/// Minimum time between two log lines of one kind. The second line gives the number of
+/// refusals in between.
 pub const LOG_EVERY: Duration = Duration::from_secs(1);
 
-struct Logged {
+struct LastLine {
     at: Instant,
     left_out: u64,
 }
 
-/// What was logged of each kind of fault.
+/// Last log line of each kind of fault.
 #[derive(Default)]
-pub struct Refusals(Mutex<BTreeMap<AnnouncementFault, Logged>>);
+pub struct Refusals(Mutex<BTreeMap<AnnouncementFault, LastLine>>);
 
 impl Refusals {
-    /// An announcement wasn't taken. If it is time for a line, how many were left
-    /// out since the last one.
+    /// Records a refused announcement. Returns the number of refusals left out since the
+    /// last line if a line is due now, else `None`.
     pub fn note(&self, now: Instant, fault: AnnouncementFault) -> Option<u64> {
-        let mut all = self.0.lock().expect("no holder panics");
-        let Some(logged) = all.get_mut(&fault) else {
-            let first = Logged {
+        let mut last_lines = self.0.lock().expect("no holder panics");
+        let Some(last) = last_lines.get_mut(&fault) else {
+            let first = LastLine {
                 at: now,
                 left_out: 0,
             };
-            all.insert(fault, first);
+            last_lines.insert(fault, first);
             return Some(0);
         };
-        if now.duration_since(logged.at) < LOG_EVERY {
-            logged.left_out += 1;
+        if now.duration_since(last.at) < LOG_EVERY {
+            last.left_out += 1;
             return None;
         }
-        logged.at = now;
-        Some(std::mem::take(&mut logged.left_out))
+        last.at = now;
+        Some(std::mem::take(&mut last.left_out))
     }
 }
--- a/crates/deckwindd/src/control/repeat_notes.rs
+++ b/crates/deckwindd/src/control/retry_metrics.rs
@@ -1,35 +1,36 @@
-//! Lines and metrics of the repeats that a leader gives out.
+//! Log lines and metrics of the retries that a leader grants to routers.
 
 use deckwind_core::control::{ControlCore, RepeatCounts};
 use deckwind_core::time::Instant;
 use std::time::Duration;
 
-/// Shortest time between two looks: a line a second for each pool at most.
-const EVERY: Duration = Duration::from_secs(1);
+/// Minimum time between two updates, which limits the log to one line per second and
+/// pool.
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What was last noted.
+/// Counts of each pool as last logged.
 #[derive(Default)]
-pub struct RepeatNotes {
+pub struct RetryMetrics {
     at: Option<Instant>,
     last: Vec<RepeatCounts>,
 }
 
-impl RepeatNotes {
-    /// Notes what has changed.
-    pub fn look(&mut self, now: Instant, core: &ControlCore) {
-        if self.at.is_some_and(|at| now.since(at) < EVERY) {
+impl RetryMetrics {
+    /// Logs the pools whose counts have changed and updates their metrics.
+    pub fn update(&mut self, now: Instant, core: &ControlCore) {
+        if self.at.is_some_and(|at| now.since(at) < UPDATE_INTERVAL) {
             return;
         }
         self.at = Some(now);
         let counts = core.repeat_counts();
-        for one in counts.iter().filter(|c| !self.last.contains(c)) {
-            note(one);
+        for pool_counts in counts.iter().filter(|c| !self.last.contains(c)) {
+            report(pool_counts);
         }
         self.last = counts;
     }
 }
 
-fn note(counts: &RepeatCounts) {
+fn report(counts: &RepeatCounts) {
     let RepeatCounts {
         pool,
         most,
--- a/crates/deckwindd/src/control/keeper.rs
+++ b/crates/deckwindd/src/control/supervisor.rs
@@ -1,8 +1,8 @@
-//! Keeps a control replica going through failures of its disk.
+//! Restarts a control replica after failures of its disk.
 //!
-//! A replica that can't write must not vote or acknowledge. It stops, and begins
-//! again from what its data folder holds, as after a restart of the process, as
-//! soon as the folder can be used.
+//! A replica that can't write must not vote or acknowledge entries. It stops, and starts
+//! again from the contents of its data folder, as after a restart of the process, once
+//! the folder can be opened.
 
 use super::driver::{Driver, TICK};
 use super::handle::{ControlHandle, Inbox};
@@ -16,12 +16,12 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Between two tries to open the data folder: as often as a supervisor would
-/// start the process again.
-const OPEN_AGAIN: Duration = Duration::from_millis(500);
+/// Interval between two attempts to open the data folder, as often as a process manager
+/// would restart the process.
+const REOPEN_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What a replica is made of besides its data folder.
-pub struct Keeper {
+/// Parts of a replica that outlive a failure of its disk.
+pub struct Supervisor {
     pub cx: Context,
     pub cfg: ControlSettings,
     pub peer: QuicPeer,
@@ -29,15 +29,15 @@
     pub open_disk: OpenDisk,
 }
 
-/// Opens the disk under a data folder.
+/// Function that opens the disk of a data folder.
 pub type OpenDisk = Box<dyn Fn(&Path) -> Result<Box<dyn Disk>> + Send>;
 
-/// The folder on the VM's own disk.
+/// Opens a data folder in the VM's file system.
 pub fn open_fs_disk(folder: &Path) -> Result<Box<dyn Disk>> {
     Ok(Box::new(FsDisk::open(folder)?))
 }
 
-/// Opens the data folder of a replica.
+/// Opens the data folder of a replica, with a new random identity if it holds none.
 pub fn open(open_disk: &OpenDisk, cfg: &ControlSettings) -> Result<(Store, Opened)> {
     let disk = open_disk(&cfg.data_folder)?;
     let fresh = ReplicaId {
@@ -56,42 +56,42 @@
     Ok((store, opened))
 }
 
-impl Keeper {
-    /// A replica on an open data folder.
+impl Supervisor {
+    /// Creates the driver of a replica on an open data folder.
     pub fn driver(&self, store: Store, opened: Opened) -> Result<Driver> {
         let senders = Senders::new(&self.cx, &self.peer);
         let handle = self.handle.clone();
         Driver::new(&self.cx, &self.cfg, store, opened, senders, handle)
     }
 
-    /// Runs until it is told to stop, or until something other than the disk
-    /// fails.
+    /// Runs the replica until it must stop, or until something other than the disk fails.
     pub fn run(self, mut driver: Driver, inbox: &Inbox) -> Result<()> {
         loop {
             match driver.run(inbox) {
-                Err(e) if is_of_disk(&e) => {}
-                ended => return ended,
+                Err(e) if is_disk_error(&e) => {}
+                result => return result,
             }
-            match self.open_again(inbox)? {
-                Some(again) => driver = again,
+            match self.reopen(inbox)? {
+                Some(reopened) => driver = reopened,
                 None => return Ok(()),
             }
         }
     }
 
-    /// The replica as its folder holds it; nothing when it is time to stop.
-    fn open_again(&self, inbox: &Inbox) -> Result<Option<Driver>> {
+    /// Opens the data folder again, with retries, and returns a driver on it. Returns
+    /// `None` when the replica must stop.
+    fn reopen(&self, inbox: &Inbox) -> Result<Option<Driver>> {
         loop {
-            let until = Instant::now() + OPEN_AGAIN;
-            while Instant::now() < until {
-                // What comes meanwhile goes unanswered, as to a stopped process.
+            let retry_at = Instant::now() + REOPEN_INTERVAL;
+            while Instant::now() < retry_at {
+                // Inputs received meanwhile are dropped, as by a stopped process.
                 if inbox.gather(TICK).is_none() {
                     return Ok(None);
                 }
             }
             match open(&self.open_disk, &self.cfg) {
                 Ok((store, opened)) => return self.driver(store, opened).map(Some),
-                Err(e) if is_of_disk(&e) => {
+                Err(e) if is_disk_error(&e) => {
                     log::warn!("event=store_not_opened error={:?}", format!("{e:#}"));
                 }
                 Err(e) => return Err(e),
@@ -100,7 +100,7 @@
     }
 }
 
-fn is_of_disk(e: &anyhow::Error) -> bool {
+fn is_disk_error(e: &anyhow::Error) -> bool {
     e.chain().any(|cause| {
         let store = cause.downcast_ref::<StoreError>();
         matches!(store, Some(StoreError::Io(_))) || cause.is::<std::io::Error>()
--- a/crates/deckwindd/src/control/work_times.rs
+++ b/crates/deckwindd/src/control/work_times.rs
@@ -1,28 +1,27 @@
-//! Time that a replica works, by what it works at: for whoever looks for what keeps its
-//! heartbeats waiting.
+//! Time that a replica spends on each kind of event, to show what delays its heartbeats.
 
 use deckwind_core::control::{ControlCore, ControlEvent, ControlRequest};
 use deckwind_core::replication::Role;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// A batch that takes longer is told of in a line: a heartbeat's period.
-const LONG: Duration = Duration::from_millis(80);
+/// Duration above which a batch is logged: the heartbeat interval.
+const LONG_BATCH: Duration = Duration::from_millis(80);
 
-/// Between two such lines.
-const LINE_EVERY: Duration = Duration::from_secs(1);
+/// Minimum time between two log lines for long batches.
+const LONG_BATCH_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Between two lines of a leader's load.
-const LOAD_EVERY: Duration = Duration::from_secs(2);
+/// Interval between two log lines with a leader's load.
+const LOAD_LOG_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Times of one batch, and of all since the last look.
+/// Times by kind of event, of the current batch and since the last line with the load.
 #[derive(Default)]
 pub struct WorkTimes {
     batch: BTreeMap<&'static str, Duration>,
-    /// Since the last line of the load.
-    lately: BTreeMap<&'static str, Duration>,
-    line_at: Option<Instant>,
-    load_at: Option<Instant>,
+    /// Times since the last line with the load.
+    since_load_line: BTreeMap<&'static str, Duration>,
+    long_batch_logged_at: Option<Instant>,
+    load_logged_at: Option<Instant>,
 }
 
 impl WorkTimes {
@@ -31,40 +30,46 @@
         *self.batch.entry(kind).or_default() += took;
     }
 
-    /// A batch of so many events is over: counts it, and tells of one that took long.
+    /// Ends a batch of `events` events: adds its times to the metrics, and logs it if it
+    /// took long.
     pub fn end_batch(&mut self, events: usize) {
         let batch = std::mem::take(&mut self.batch);
         for (kind, took) in &batch {
             metrics::counter!("deckwind_control_worked_us_total", "kind" => *kind)
                 .increment(took.as_micros() as u64);
-            *self.lately.entry(*kind).or_default() += *took;
+            *self.since_load_line.entry(*kind).or_default() += *took;
         }
-        let all: Duration = batch.values().sum();
-        metrics::histogram!("deckwind_control_batch_seconds").record(all.as_secs_f64());
-        let lately = self.line_at.is_some_and(|at| at.elapsed() < LINE_EVERY);
-        if all < LONG || lately {
+        let total: Duration = batch.values().sum();
+        metrics::histogram!("deckwind_control_batch_seconds").record(total.as_secs_f64());
+        let was_logged = self
+            .long_batch_logged_at
+            .is_some_and(|at| at.elapsed() < LONG_BATCH_LOG_INTERVAL);
+        if total < LONG_BATCH || was_logged {
             return;
         }
-        self.line_at = Some(Instant::now());
+        self.long_batch_logged_at = Some(Instant::now());
         let longest = batch.iter().max_by_key(|(_, took)| **took);
         let (kind, took) = longest.map_or(("", Duration::ZERO), |(k, t)| (*k, *t));
         log::info!(
             "event=long_batch took_ms={} events={events} most_at={kind} most_ms={}",
-            all.as_millis(),
+            total.as_millis(),
             took.as_millis()
         );
     }
 }
 
 impl WorkTimes {
-    /// Now and then a line of what a leader works at, and for how many.
-    pub fn note_load(&mut self, core: &ControlCore) {
-        let lately = self.load_at.is_some_and(|at| at.elapsed() < LOAD_EVERY);
-        if lately {
+    /// Updates the metrics of forwarded requests and lagging routers, and logs a leader's
+    /// times by kind of event, every `LOAD_LOG_INTERVAL`.
+    pub fn log_load(&mut self, core: &ControlCore) {
+        let was_logged = self
+            .load_logged_at
+            .is_some_and(|at| at.elapsed() < LOAD_LOG_INTERVAL);
+        if was_logged {
             return;
         }
-        let since = self.load_at.replace(Instant::now());
-        let worked = std::mem::take(&mut self.lately);
+        let last = self.load_logged_at.replace(Instant::now());
+        let times = std::mem::take(&mut self.since_load_line);
         metrics::gauge!("deckwind_control_passed_on_waiting").set(core.passed_on() as f64);
         let Some((routers, behind)) = core.routers_behind() else {
             return;
@@ -73,20 +78,20 @@
         if core.replica().role() != Role::Leader {
             return;
         }
-        let over = since.map_or(LOAD_EVERY, |at| at.elapsed());
-        let kinds: Vec<String> = worked
+        let period = last.map_or(LOAD_LOG_INTERVAL, |at| at.elapsed());
+        let kinds: Vec<String> = times
             .iter()
             .map(|(kind, took)| format!("{kind}_ms={}", took.as_millis()))
             .collect();
         log::info!(
             "event=leader_load over_ms={} routers={routers} behind={behind} {}",
-            over.as_millis(),
+            period.as_millis(),
             kinds.join(" ")
         );
     }
 }
 
-/// What an event is work at.
+/// Returns the metric label for the kind of an event.
 pub fn kind_of(event: &ControlEvent) -> &'static str {
     match event {
         ControlEvent::Tick => "tick",
