--- a/crates/deckwind/src/cli.rs
+++ b/crates/deckwind/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: shared options, and one file a subcommand.
+//! Command line: global options and the dispatch to the subcommands.
 
 use crate::commands;
 use crate::context::{Context, Exit, exit_of};
@@ -10,14 +10,14 @@
 
 const EXIT_CODES: &str = "\
 Exit codes:
-  0  done; a change is in force everywhere
-  1  failed, nothing was changed
-  2  wrong command line
-  3  the change was rejected, nothing was changed
-  4  the change was accepted, and is not yet in force everywhere
-  5  not known whether the change was accepted: send it again with the same --request-id";
+  0  success; a change is in force everywhere
+  1  failure; nothing was changed
+  2  invalid command line
+  3  the change was rejected; nothing was changed
+  4  the change was accepted but is not yet in force everywhere
+  5  unknown whether the change was accepted; send it again with the same --request-id";
 
-/// The whole command line.
+/// Returns the command-line parser with all subcommands.
 pub fn cli() -> Command {
     Command::new("deckwind")
         .about("Operates a deckwind cluster")
@@ -30,7 +30,7 @@
                 .global(true)
                 .value_parser(["text", "json"])
                 .default_value("text")
-                .help("How results are printed"),
+                .help("Output format"),
         )
         .arg(
             Arg::new("control")
@@ -40,7 +40,7 @@
                 .value_delimiter(',')
                 .action(clap::ArgAction::Append)
                 .value_parser(value_parser!(SocketAddr))
-                .help("Operators' addresses of the control replicas"),
+                .help("Addresses of the control replicas' operator interface"),
         )
         .arg(
             Arg::new("token-file")
@@ -48,7 +48,7 @@
                 .global(true)
                 .value_name("FILE")
                 .value_parser(value_parser!(PathBuf))
-                .help("File that holds the operators' token"),
+                .help("File with the operators' token"),
         )
         .subcommands([
             commands::settings::cli(),
@@ -63,7 +63,7 @@
         ])
 }
 
-/// Parses the arguments, runs, and tells how it ended.
+/// Parses the arguments, runs the subcommand, and returns the exit code of the process.
 pub fn main() -> ExitCode {
     match exec(&cli().get_matches()) {
         Ok(exit) => ExitCode::from(exit.code()),
@@ -74,9 +74,9 @@
     }
 }
 
-/// Runs the subcommand that was named.
+/// Runs the subcommand that the arguments select.
 pub fn exec(args: &ArgMatches) -> Result<Exit> {
-    let cx = Context::of(args);
+    let cx = Context::from_args(args);
     match args.subcommand() {
         Some(("settings", args)) => commands::settings::exec(&cx, args),
         Some(("template", args)) => commands::object::exec(&cx, commands::object::TEMPLATE, args),
@@ -87,6 +87,6 @@
         Some(("report", args)) => commands::report::exec(&cx, args),
         Some(("keys", args)) => commands::keys::exec(&cx, args),
         Some(("completions", args)) => commands::completions::exec(&cx, args),
-        _ => bail!("name a command; see --help"),
+        _ => bail!("a subcommand is required; see --help"),
     }
 }
--- a/crates/deckwind/src/commands/completions.rs
+++ b/crates/deckwind/src/commands/completions.rs
@@ -1,14 +1,14 @@
-//! `deckwind completions SHELL`
+//! The subcommand `deckwind completions SHELL`.
 
 use crate::context::{Context, Exit};
 use anyhow::{Context as _, Result};
 use clap::{Arg, ArgMatches, Command, value_parser};
 use clap_complete::Shell;
 
-/// The command.
+/// Returns the parser of the subcommand.
 pub fn cli() -> Command {
     Command::new("completions")
-        .about("Prints a shell's completions")
+        .about("Prints the completion script of a shell")
         .arg(
             Arg::new("shell")
                 .required(true)
@@ -16,7 +16,7 @@
         )
 }
 
-/// Prints them.
+/// Prints the completion script.
 pub fn exec(_: &Context, args: &ArgMatches) -> Result<Exit> {
     let shell = *args.get_one::<Shell>("shell").context("shell is missing")?;
     clap_complete::generate(
--- a/crates/deckwind/src/commands/keys.rs
+++ b/crates/deckwind/src/commands/keys.rs
@@ -1,6 +1,6 @@
-//! `deckwind keys new|token`
+//! The subcommand `deckwind keys new|token`.
 
-use super::file_of;
+use super::path_arg;
 use crate::context::{Context, Exit};
 use crate::ops;
 use anyhow::Result;
@@ -8,7 +8,7 @@
 use std::net::IpAddr;
 use std::path::PathBuf;
 
-/// The command.
+/// Returns the parser of the subcommand.
 pub fn cli() -> Command {
     let path = |name: &'static str| {
         Arg::new(name)
@@ -22,19 +22,19 @@
         .required(true)
         .action(ArgAction::Append)
         .value_parser(parse_vm)
-        .help("A VM that gets a certificate");
+        .help("VM to create a certificate for; may be given several times");
     Command::new("keys")
-        .about("Certificates, the operators' token and accounts' keys")
+        .about("Creates certificates, the operators' token and client accounts' keys")
         .subcommand_required(true)
         .subcommand(
             Command::new("new")
-                .about("Makes certificates for VMs, and a CA where the folder has none")
+                .about("Creates certificates for VMs, and a CA if the folder has none")
                 .arg(path("folder"))
                 .arg(vm),
         )
         .subcommand(
             Command::new("token")
-                .about("Makes a token or account key, and prints its SHA-256 for the settings")
+                .about("Creates a token or account key, and prints its SHA-256 for the settings")
                 .arg(path("file")),
         )
 }
@@ -44,20 +44,20 @@
         let ip: IpAddr = ip.parse().ok()?;
         (!name.is_empty()).then(|| (name.to_string(), ip))
     });
-    parsed.ok_or_else(|| "write NAME=IP, such as recife-a-1=10.0.0.1".to_string())
+    parsed.ok_or_else(|| "expected NAME=IP, such as recife-a-1=10.0.0.1".to_string())
 }
 
-/// Makes them.
+/// Creates the certificates or the secret.
 pub fn exec(cx: &Context, args: &ArgMatches) -> Result<Exit> {
     match args.subcommand() {
         Some(("new", args)) => {
             let vms = args.get_many::<(String, IpAddr)>("vm").unwrap_or_default();
             let vms: Vec<(String, IpAddr)> = vms.cloned().collect();
-            let made = ops::new_keys(&file_of(args, "folder")?, &vms)?;
-            cx.print(&made, |m| m.files.join("\n"))?;
+            let written = ops::new_keys(&path_arg(args, "folder")?, &vms)?;
+            cx.print(&written, |m| m.files.join("\n"))?;
         }
         Some((_, args)) => {
-            let sha256 = ops::new_token(&file_of(args, "file")?)?;
+            let sha256 = ops::new_token(&path_arg(args, "file")?)?;
             cx.print(&serde_json::json!({ "sha256": sha256 }), |_| sha256.clone())?;
         }
         None => return Ok(Exit::Failed),
--- a/crates/deckwind/src/commands/mod.rs
+++ b/crates/deckwind/src/commands/mod.rs
@@ -1,4 +1,5 @@
-//! One file a subcommand: what it parses, and the operation that it calls.
+//! Subcommands, one module each: the arguments, and the call of the operation in
+//! [`ops`](crate::ops).
 
 pub mod completions;
 pub mod keys;
@@ -12,14 +13,14 @@
 use clap::ArgMatches;
 use std::path::PathBuf;
 
-/// The file given as the argument `name`.
-fn file_of(args: &ArgMatches, name: &str) -> Result<PathBuf> {
+/// Returns the path given as the argument `name`.
+fn path_arg(args: &ArgMatches, name: &str) -> Result<PathBuf> {
     let file = args.get_one::<PathBuf>(name);
     Ok(file.with_context(|| format!("{name} is missing"))?.clone())
 }
 
-/// The text given as the argument `name`.
-fn text_of(args: &ArgMatches, name: &str) -> Result<String> {
+/// Returns the string given as the argument `name`.
+fn string_arg(args: &ArgMatches, name: &str) -> Result<String> {
     let text = args.get_one::<String>(name);
     Ok(text.with_context(|| format!("{name} is missing"))?.clone())
 }
--- a/crates/deckwind/src/commands/object.rs
+++ b/crates/deckwind/src/commands/object.rs
@@ -1,6 +1,6 @@
-//! `deckwind template|account|target apply|list|show|retire`
+//! The subcommands `deckwind template|account|target apply|list|show|retire`.
 
-use super::{file_of, text_of};
+use super::{path_arg, string_arg};
 use crate::context::{Context, Exit};
 use crate::ops::{self, ApplyOptions, ObjectKind};
 use anyhow::Result;
@@ -11,38 +11,40 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Templates.
+/// Kind of templates.
 pub const TEMPLATE: ObjectKind = ObjectKind::Template;
-/// Client accounts.
+/// Kind of client accounts.
 pub const ACCOUNT: ObjectKind = ObjectKind::Account;
-/// Targets.
+/// Kind of targets.
 pub const TARGET: ObjectKind = ObjectKind::Target;
 
-/// The command of one kind of object.
+/// Returns the parser of the subcommand for one kind of object.
 pub fn cli(kind: ObjectKind) -> Command {
-    let word = kind.word();
+    let kind_name = kind.as_str();
     let name = Arg::new("name").required(true);
     let file = Arg::new("file")
         .required(true)
         .value_parser(value_parser!(PathBuf))
-        .help("JSON with comments; - for standard input");
-    Command::new(word)
-        .about(format!("Writes and reads {word}s"))
+        .help("File with the object as JSON, comments allowed; - for standard input");
+    Command::new(kind_name)
+        .about(format!("Manages {kind_name}s"))
         .subcommand_required(true)
         .subcommand(change_options(
             Command::new("apply")
-                .about(format!("Writes a {word}"))
+                .about(format!(
+                    "Creates or replaces the {kind_name} in the given file"
+                ))
                 .arg(file),
         ))
         .subcommand(change_options(
             Command::new("retire")
-                .about(format!("Takes a {word} out of use"))
+                .about(format!("Retires the {kind_name} with this name"))
                 .arg(name.clone()),
         ))
-        .subcommand(Command::new("list").about(format!("Lists the {word}s")))
+        .subcommand(Command::new("list").about(format!("Lists the {kind_name}s")))
         .subcommand(
             Command::new("show")
-                .about(format!("Shows a {word}"))
+                .about(format!("Shows the {kind_name} with this name"))
                 .arg(name),
         )
 }
@@ -54,13 +56,13 @@
                 .long("expect")
                 .value_name("REVISION")
                 .value_parser(value_parser!(u64))
-                .help("Revision of the object that the change builds on; 0 if it must be new"),
+                .help("Expected revision of the object; 0 if the object must be new"),
         )
         .arg(
             Arg::new("request-id")
                 .long("request-id")
                 .value_name("ID")
-                .help("The same on a resend; made up and printed if not given"),
+                .help("Id of the change, the same when it is sent again; random by default"),
         )
         .arg(
             Arg::new("wait")
@@ -68,11 +70,11 @@
                 .value_name("TIME")
                 .default_value("3s")
                 .value_parser(|t: &str| humantime::parse_duration(t).map_err(|e| e.to_string()))
-                .help("How long to wait for the change to be in force everywhere"),
+                .help("Maximum time to wait until the change is in force everywhere"),
         )
 }
 
-fn options_of(args: &ArgMatches) -> ApplyOptions {
+fn apply_options(args: &ArgMatches) -> ApplyOptions {
     let id = args.get_one::<String>("request-id").cloned();
     let wait = args.get_one::<Duration>("wait").copied();
     ApplyOptions {
@@ -82,16 +84,16 @@
     }
 }
 
-/// Runs it.
+/// Runs the subcommand for one kind of object.
 pub fn exec(cx: &Context, kind: ObjectKind, args: &ArgMatches) -> Result<Exit> {
     match args.subcommand() {
         Some(("apply", args)) => {
-            let change = ops::read_change(kind, &file_of(args, "file")?)?;
-            changed(cx, ops::apply(&cx.api()?, change, &options_of(args))?)
+            let change = ops::read_change(kind, &path_arg(args, "file")?)?;
+            print_applied(cx, ops::apply(&cx.api()?, change, &apply_options(args))?)
         }
         Some(("retire", args)) => {
-            let change = kind.retire(&text_of(args, "name")?);
-            changed(cx, ops::apply(&cx.api()?, change, &options_of(args))?)
+            let change = kind.retire(&string_arg(args, "name")?);
+            print_applied(cx, ops::apply(&cx.api()?, change, &apply_options(args))?)
         }
         Some(("list", _)) => {
             let rows = ops::list(&cx.api()?, kind)?;
@@ -99,7 +101,7 @@
             Ok(Exit::Ok)
         }
         Some(("show", args)) => {
-            let row = ops::show(&cx.api()?, kind, &text_of(args, "name")?)?;
+            let row = ops::show(&cx.api()?, kind, &string_arg(args, "name")?)?;
             println!("{}", serde_json::to_string_pretty(&row)?);
             Ok(Exit::Ok)
         }
@@ -107,7 +109,7 @@
     }
 }
 
-fn changed(cx: &Context, answer: AppliedAnswer) -> Result<Exit> {
+fn print_applied(cx: &Context, answer: AppliedAnswer) -> Result<Exit> {
     cx.print(&answer, |a| {
         let lagging: Vec<&str> = a.lagging.iter().map(|vm| vm.as_str()).collect();
         match (a.in_force, lagging.is_empty()) {
--- a/crates/deckwind/src/commands/quarantine.rs
+++ b/crates/deckwind/src/commands/quarantine.rs
@@ -1,6 +1,6 @@
-//! `deckwind quarantine`
+//! The subcommand `deckwind quarantine list|lift`.
 
-use super::text_of;
+use super::string_arg;
 use crate::context::{Context, Exit};
 use anyhow::Result;
 use clap::{Arg, ArgMatches, Command};
@@ -8,31 +8,31 @@
 use deckwind_core::control::QuarantinedView;
 use std::time::Duration;
 
-/// Argument that names a request.
+/// Argument with the digest of a request content.
 const CONTENT: &str = "CONTENT";
 
-/// The command.
+/// Returns the parser of the subcommand.
 pub fn cli() -> Command {
     let content = Arg::new(CONTENT)
         .required(true)
-        .help("Digest of the request, as `quarantine list` and the routers' logs print it");
+        .help("Digest of the request content, as in `quarantine list` and in the routers' logs");
     Command::new("quarantine")
-        .about("Requests that are sent to nobody, as targets have ended under them")
+        .about("Manages requests that are sent to no target, because targets crashed on them")
         .subcommand_required(true)
-        .subcommand(Command::new("list").about("Lists them"))
+        .subcommand(Command::new("list").about("Lists the quarantined requests"))
         .subcommand(
             Command::new("lift")
-                .about("Has one served again; the ends under it are forgotten")
+                .about("Lifts the quarantine of a request and forgets the crashes on it")
                 .arg(content),
         )
 }
 
-/// Lists them, or has one served again.
+/// Lists the quarantined requests, or lifts the quarantine of one.
 pub fn exec(cx: &Context, args: &ArgMatches) -> Result<Exit> {
     match args.subcommand() {
         Some(("list", _)) => {
             let status = cx.api_for_status()?.status()?;
-            cx.print(&status.quarantined, |all| table(all))?;
+            cx.print(&status.quarantined, |quarantined| table(quarantined))?;
             Ok(Exit::Ok)
         }
         Some(("lift", args)) => lift(cx, args),
@@ -41,10 +41,13 @@
 }
 
 fn lift(cx: &Context, args: &ArgMatches) -> Result<Exit> {
-    let content = text_of(args, CONTENT)?.parse()?;
+    let content = string_arg(args, CONTENT)?.parse()?;
     let answer = cx.api()?.lift(content)?;
     cx.print(&answer, |a| {
-        format!("{content} is served again as of revision {}", a.revision)
+        format!(
+            "quarantine of {content} lifted as of revision {}",
+            a.revision
+        )
     })?;
     Ok(match answer.in_force {
         true => Exit::Ok,
@@ -52,14 +55,14 @@
     })
 }
 
-/// Requests that are sent to nobody, for people.
-pub fn table(all: &[QuarantinedView]) -> String {
+/// Formats the quarantined requests as a text table.
+pub fn table(quarantined: &[QuarantinedView]) -> String {
     let mut table = Table::new();
-    table.set_header(["content", "ended", "served again in"]);
-    for view in all {
-        let left = Duration::from_secs(view.left_ms / 1_000);
-        let left = humantime::format_duration(left).to_string();
-        table.add_row([view.content.clone(), view.ended.join(", "), left]);
+    table.set_header(["content", "ended", "expires in"]);
+    for view in quarantined {
+        let remaining = Duration::from_secs(view.left_ms / 1_000);
+        let remaining = humantime::format_duration(remaining).to_string();
+        table.add_row([view.content.clone(), view.ended.join(", "), remaining]);
     }
     table.to_string()
 }
--- a/crates/deckwind/src/commands/report.rs
+++ b/crates/deckwind/src/commands/report.rs
@@ -1,4 +1,4 @@
-//! `deckwind report burn`
+//! The subcommand `deckwind report burn`.
 
 use crate::context::{Context, Exit};
 use crate::ops;
@@ -8,24 +8,24 @@
 use deckwind_core::burn::{BurnReport, BurnRow};
 use std::path::PathBuf;
 
-/// The command.
+/// Returns the parser of the subcommand.
 pub fn cli() -> Command {
     let html = Arg::new("html")
         .long("html")
         .value_name("FILE")
         .value_parser(value_parser!(PathBuf))
-        .help("Write a page with plots too");
+        .help("Also write the report as an HTML page with plots");
     Command::new("report")
         .about("Reports")
         .subcommand_required(true)
         .subcommand(
             Command::new("burn")
-                .about("How fast each template and account burns its error budget")
+                .about("Shows how fast each template and account spends its error budget")
                 .arg(html),
         )
 }
 
-/// Collects the routers' counts.
+/// Collects the routers' counts and prints the report.
 pub fn exec(cx: &Context, args: &ArgMatches) -> Result<Exit> {
     let Some((_, args)) = args.subcommand() else {
         return Ok(Exit::Failed);
@@ -34,16 +34,16 @@
     if let Some(file) = args.get_one::<PathBuf>("html") {
         let page = ops::burn_page(&collected.report)?;
         std::fs::write(file, page)
-            .with_context(|| format!("{} can't be written", file.display()))?;
+            .with_context(|| format!("failed to write {}", file.display()))?;
     }
     cx.print(&collected.report, table)?;
-    for router in &collected.silent {
-        eprintln!("warning: router {router} gave no counts; the report is partial");
+    for router in &collected.unanswered {
+        eprintln!("warning: router {router} did not answer; the report is incomplete");
     }
     Ok(Exit::Ok)
 }
 
-/// The report for people.
+/// Formats the report as a text table.
 pub fn table(report: &BurnReport) -> String {
     let mut table = Table::new();
     table.set_header([
--- a/crates/deckwind/src/commands/status.rs
+++ b/crates/deckwind/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `deckwind status`
+//! The subcommand `deckwind status`.
 
 use super::quarantine;
 use crate::context::{Context, Exit};
@@ -9,45 +9,45 @@
 use deckwind_core::state::{DataCentre, InstanceState};
 use std::collections::BTreeMap;
 
-/// Flag that lists every target.
+/// Flag to list every target.
 const ENGINES: &str = "engines";
 
-/// The command.
+/// Returns the parser of the subcommand.
 pub fn cli() -> Command {
     let engines = Arg::new(ENGINES)
         .long(ENGINES)
         .action(ArgAction::SetTrue)
-        .help("Lists every target that announces itself, not only their counts");
+        .help("Also list every target that announces itself");
     Command::new("status")
-        .about("Shows how the cluster is")
+        .about("Shows the status of the cluster")
         .arg(engines)
 }
 
-/// Asks the leader.
+/// Reads the status from the leader and prints it.
 pub fn exec(cx: &Context, args: &ArgMatches) -> Result<Exit> {
     let status = cx.api_for_status()?.status()?;
     cx.print(&status, |s| {
         let mut text = table(s);
         if args.get_flag(ENGINES) {
-            text = format!("{text}\n{}", engines(&s.engines));
+            text = format!("{text}\n{}", engine_table(&s.engines));
         }
         text
     })?;
     Ok(Exit::Ok)
 }
 
-/// The status for people.
+/// Formats the status as text.
 pub fn table(status: &ClusterStatus) -> String {
-    let mut lines = vec![head(status)];
+    let mut lines = vec![summary_line(status)];
     let mut replicas = Table::new();
     replicas.set_header(["replica", "votes", "leads"]);
     for r in &status.replicas {
         replicas.add_row([r.id.clone(), r.votes.to_string(), r.leads.to_string()]);
     }
     lines.push(replicas.to_string());
-    lines.push(routers(&status.routers));
+    lines.push(router_table(&status.routers));
     if !status.engines.is_empty() {
-        lines.push(pools(&status.engines));
+        lines.push(pool_table(&status.engines));
     }
     if !status.quarantined.is_empty() {
         lines.push(quarantine::table(&status.quarantined));
@@ -55,7 +55,7 @@
     lines.join("\n")
 }
 
-fn head(status: &ClusterStatus) -> String {
+fn summary_line(status: &ClusterStatus) -> String {
     format!(
         "leader slot {} term {} revision {} {} claims {} log entries {}",
         status.leader,
@@ -71,60 +71,60 @@
     )
 }
 
-/// What is not known, in a table.
+/// Table cell for an unknown value.
 const UNKNOWN: &str = "-";
 
-fn known<T: ToString>(value: Option<T>) -> String {
+fn or_unknown<T: ToString>(value: Option<T>) -> String {
     value.map_or_else(|| UNKNOWN.to_string(), |v| v.to_string())
 }
 
-fn routers(all: &[RouterView]) -> String {
+fn router_table(views: &[RouterView]) -> String {
     let mut table = Table::new();
     table.set_header([
         "router",
         "applied",
         "behind",
         "lease ms",
-        "held bytes",
-        "repeats",
-        "admin",
+        "buffered bytes",
+        "unused retries",
+        "admin address",
     ]);
-    for r in all {
+    for r in views {
         table.add_row([
             r.vm.to_string(),
             r.applied.to_string(),
             r.behind.to_string(),
             r.lease_ms.to_string(),
-            known(r.held_bytes),
-            known(r.repeats),
+            or_unknown(r.held_bytes),
+            or_unknown(r.repeats),
             r.admin.to_string(),
         ]);
     }
     table.to_string()
 }
 
-/// Targets of one pool in one data centre.
+/// Numbers of targets of one pool in one data centre.
 #[derive(Clone, Copy, Debug, Default)]
-struct Count {
+struct TargetCounts {
     ready: usize,
     draining: usize,
     silent: usize,
-    holding: usize,
-    ordered: usize,
+    with_layers: usize,
+    with_orders: usize,
     suspected: usize,
 }
 
-fn pools(all: &[EngineView]) -> String {
-    let mut counts: BTreeMap<(&str, &DataCentre), Count> = BTreeMap::new();
-    for e in all {
+fn pool_table(views: &[EngineView]) -> String {
+    let mut counts: BTreeMap<(&str, &DataCentre), TargetCounts> = BTreeMap::new();
+    for e in views {
         let count = counts.entry((&e.pool, &e.data_centre)).or_default();
         match e.state {
             InstanceState::Ready => count.ready += 1,
             InstanceState::Draining => count.draining += 1,
             InstanceState::Silent => count.silent += 1,
         }
-        count.holding += usize::from(!e.layers.is_empty());
-        count.ordered += usize::from(e.ordered.is_some());
+        count.with_layers += usize::from(!e.layers.is_empty());
+        count.with_orders += usize::from(e.ordered.is_some());
         count.suspected += usize::from(e.suspected);
     }
     let mut table = Table::new();
@@ -134,7 +134,7 @@
         "ready",
         "draining",
         "silent",
-        "hold layers",
+        "with layers",
         "ordered",
         "suspected",
     ]);
@@ -143,8 +143,8 @@
             c.ready,
             c.draining,
             c.silent,
-            c.holding,
-            c.ordered,
+            c.with_layers,
+            c.with_orders,
             c.suspected,
         ];
         let mut row = vec![pool.to_string(), dc.to_string()];
@@ -154,15 +154,15 @@
     table.to_string()
 }
 
-fn engines(all: &[EngineView]) -> String {
+fn engine_table(views: &[EngineView]) -> String {
     let mut table = Table::new();
     table.set_header([
         "target",
-        "born",
+        "started (Unix ms)",
         "address",
         "state",
-        "heard ms",
-        "kind",
+        "heard ms ago",
+        "accelerator",
         "layers",
         "ordered",
         "layer tokens",
@@ -170,19 +170,19 @@
         "suspected",
     ]);
     let range = |r: deckwind_core::state::LayerRange| format!("{}-{}", r.first, r.last);
-    for e in all {
+    for e in views {
         let pace = e.pace_per_mille.map(|p| f64::from(p) / 1_000.0);
         table.add_row([
             e.id.clone(),
-            known(e.born),
+            or_unknown(e.born),
             e.address.to_string(),
             format!("{:?}", e.state).to_lowercase(),
-            known(e.heard_ms),
-            known(e.accelerator.clone()),
+            or_unknown(e.heard_ms),
+            or_unknown(e.accelerator.clone()),
             range(e.layers),
-            known(e.ordered.map(range)),
-            known(e.layer_tokens),
-            known(pace),
+            or_unknown(e.ordered.map(range)),
+            or_unknown(e.layer_tokens),
+            or_unknown(pace),
             e.suspected.to_string(),
         ]);
     }
--- a/crates/deckwind/src/context.rs
+++ b/crates/deckwind/src/context.rs
@@ -1,4 +1,4 @@
-//! What every command is given, and how commands end.
+//! Context shared by all commands, and their exit codes.
 
 use crate::ops::ControlApi;
 use anyhow::{Context as _, Result, bail};
@@ -7,24 +7,25 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// How a command ends.
+/// Outcome of a command, which determines the exit code.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exit {
-    /// Done; a change is in force everywhere.
+    /// Success; a change is in force everywhere.
     Ok,
-    /// It failed; nothing was changed.
+    /// Failure; nothing was changed.
     Failed,
-    /// A change was rejected; nothing was changed.
+    /// Rejected change; nothing was changed.
     Rejected,
-    /// A change was accepted, and is not yet in force everywhere.
+    /// Accepted change that is not yet in force everywhere.
     NotYetInForce,
-    /// It is not known whether a change was accepted: send it again with the
-    /// same request id.
+    /// Change of which it is unknown whether it was accepted; it must be sent again with
+    /// the same request id.
     Unknown,
 }
 
 impl Exit {
-    /// The process's exit code. 2 is clap's, for a wrong command line.
+    /// Returns the exit code of the process. Code 2 is not used here, since clap exits with
+    /// it on an invalid command line.
     pub fn code(self) -> u8 {
         match self {
             Exit::Ok => 0,
@@ -36,44 +37,44 @@
     }
 }
 
-/// An error that has an exit code of its own.
+/// Error with an exit code of its own.
 #[derive(Debug, Error)]
 #[error("{message}")]
 pub struct ExitError {
-    /// The code.
+    /// Outcome that determines the exit code.
     pub exit: Exit,
-    /// What to tell.
+    /// Message for the operator.
     pub message: String,
 }
 
-/// The exit code of an error.
+/// Returns the outcome for an error: that of an [`ExitError`], else [`Exit::Failed`].
 pub fn exit_of(e: &anyhow::Error) -> Exit {
     e.downcast_ref::<ExitError>()
         .map_or(Exit::Failed, |e| e.exit)
 }
 
-/// How results are printed.
+/// Output format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// For people.
+    /// Text for people.
     Text,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
 
-/// Context of one command.
+/// Global options of a command.
 pub struct Context {
-    /// How to print.
+    /// Output format.
     pub format: Format,
-    /// Control replicas.
+    /// Addresses of the control replicas' operator interface.
     pub control: Vec<SocketAddr>,
-    /// File that holds the operators' token.
+    /// File with the operators' token.
     pub token_file: Option<PathBuf>,
 }
 
 impl Context {
-    /// Of the arguments that all commands share.
-    pub fn of(args: &ArgMatches) -> Self {
+    /// Reads the global options from the parsed arguments.
+    pub fn from_args(args: &ArgMatches) -> Self {
         let json = args
             .get_one::<String>("format")
             .is_some_and(|f| f == "json");
@@ -85,33 +86,41 @@
         }
     }
 
-    /// The control replicas' interface.
+    /// Returns a client of the control replicas.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no control replica or no token file was given, or if the file can't be read.
     pub fn api(&self) -> Result<ControlApi> {
         if self.control.is_empty() {
-            bail!("no control replica is named; give --control IP:PORT, once for each");
+            bail!("no control replica was given; pass --control IP:PORT for each of them");
         }
         if self.token_file.is_none() {
-            bail!("the operators' token is missing; give --token-file FILE");
+            bail!("the operators' token is missing; pass --token-file FILE");
         }
         self.api_for_status()
     }
 
-    /// The same to read the status, which needs no token where the settings hold
-    /// none.
+    /// Returns a client that can read the status. It needs no token if the settings of the
+    /// control replicas hold none.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no control replica was given, or if the token file can't be read.
     pub fn api_for_status(&self) -> Result<ControlApi> {
         if self.control.is_empty() {
-            bail!("no control replica is named; give --control IP:PORT, once for each");
+            bail!("no control replica was given; pass --control IP:PORT for each of them");
         }
         let read = |file: &PathBuf| {
             let token = std::fs::read_to_string(file)
-                .with_context(|| format!("the token file {} can't be read", file.display()))?;
+                .with_context(|| format!("failed to read the token file {}", file.display()))?;
             Ok::<String, anyhow::Error>(token.trim().to_string())
         };
         let token = self.token_file.as_ref().map(read).transpose()?;
         Ok(ControlApi::new(self.control.clone(), token))
     }
 
-    /// Prints a result: as JSON, or as `text` makes it.
+    /// Prints a result as JSON, or as the text that `text` returns.
     pub fn print<T: serde::Serialize>(
         &self,
         value: &T,
--- a/crates/deckwind/src/lib.rs
+++ b/crates/deckwind/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' command line as a library.
+//! Command line of deckwind for operators, as a library.
 //!
-//! For: the `deckwind` binary, and programs that drive deckwind as operators
-//! do ([`ops`]). Not for: the daemon.
+//! Used by the `deckwind` binary, and by programs that operate a cluster through [`ops`].
+//! The daemon does not use it.
 
 pub mod cli;
 pub mod commands;
--- a/crates/deckwind/src/ops/api.rs
+++ b/crates/deckwind/src/ops/api.rs
@@ -1,4 +1,5 @@
-//! The control replicas' interface: finds the leader by asking each.
+//! Client of the control replicas' operator interface. It finds the leader by sending a
+//! request to each replica in turn.
 
 use crate::context::{Exit, ExitError};
 use anyhow::{Context as _, Result, bail};
@@ -10,102 +11,114 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long a leader is looked for.
-const FIND_LEADER: Duration = Duration::from_secs(5);
+/// Time after which the search for a leader is given up.
+const FIND_LEADER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Pause between two rounds over all replicas.
-const PAUSE: Duration = Duration::from_millis(100);
+const ROUND_PAUSE: Duration = Duration::from_millis(100);
 
-/// Longest wait for one answer, besides the wait that was asked for.
-const ANSWER: Duration = Duration::from_secs(5);
+/// Timeout for one answer, in addition to the time that the request itself may wait.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Reads an answer: its status and body.
+/// Answer to an HTTP request.
 struct Answer {
     status: StatusCode,
     body: String,
 }
 
-/// The control replicas.
+/// Client of the control replicas.
 pub struct ControlApi {
     replicas: Vec<SocketAddr>,
     token: Option<String>,
 }
 
 impl ControlApi {
-    /// At these addresses, with the operators' token. Without one only the status
-    /// can be read, and only where the settings hold none.
+    /// Creates a client for the replicas at these addresses. Without the operators' token
+    /// it can only read the status, and only if the settings of the replicas hold none.
     pub fn new(replicas: Vec<SocketAddr>, token: Option<String>) -> Self {
         Self { replicas, token }
     }
 
-    /// How the cluster is.
+    /// Returns the status of the cluster.
     pub fn status(&self) -> Result<ClusterStatus> {
         self.get("/v1/status")
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     pub fn configuration(&self) -> Result<ConfigurationView> {
         self.get("/v1/configuration")
     }
 
-    /// Changes something, and waits for it to be in force.
+    /// Sends a change and waits for up to `wait` until it is in force.
+    ///
+    /// # Errors
+    ///
+    /// Fails with [`Exit::Rejected`] if the change was rejected, with [`Exit::Unknown`] if
+    /// the leader reported that the answer was lost, and with [`Exit::Failed`] or a plain
+    /// error otherwise.
     pub fn apply(&self, request: &ApplyRequest, wait: Duration) -> Result<AppliedAnswer> {
         let path = format!("/v1/apply?wait_ms={}", wait.as_millis());
         let body = serde_json::to_vec(request)?;
-        let answer = self.ask("POST", &path, &body, wait)?;
+        let answer = self.send_to_leader("POST", &path, &body, wait)?;
         match answer.status {
             StatusCode::OK => Ok(serde_json::from_str(&answer.body)?),
             StatusCode::CONFLICT => {
                 let rejected: RejectedAnswer = serde_json::from_str(&answer.body)?;
                 Err(exit_error(Exit::Rejected, rejected.message))
             }
-            StatusCode::GATEWAY_TIMEOUT => Err(lost(request)),
-            _ => Err(failed(&answer)),
+            StatusCode::GATEWAY_TIMEOUT => Err(answer_lost(request)),
+            _ => Err(answer_error(&answer)),
         }
         .with_context(|| format!("request id {}", request.request_id))
-        .map_err(keep_exit)
+        .map_err(preserve_exit)
     }
 
-    /// Has a quarantined request served again. Done twice it changes nothing.
+    /// Lifts the quarantine of a request content. Lifting it again has no further effect.
     pub fn lift(&self, content: ContentDigest) -> Result<AppliedAnswer> {
         let path = format!("/v1/quarantine/lift/{content}");
-        let answer = self.ask("POST", &path, &[], Duration::ZERO)?;
+        let answer = self.send_to_leader("POST", &path, &[], Duration::ZERO)?;
         match answer.status {
             StatusCode::OK => Ok(serde_json::from_str(&answer.body)?),
-            _ => Err(failed(&answer)),
+            _ => Err(answer_error(&answer)),
         }
     }
 
     fn get<T: serde::de::DeserializeOwned>(&self, path: &str) -> Result<T> {
-        let answer = self.ask("GET", path, &[], Duration::ZERO)?;
+        let answer = self.send_to_leader("GET", path, &[], Duration::ZERO)?;
         if answer.status != StatusCode::OK {
-            return Err(failed(&answer));
+            return Err(answer_error(&answer));
         }
-        serde_json::from_str(&answer.body).context("the answer can't be read")
+        serde_json::from_str(&answer.body).context("failed to parse the answer")
     }
 
-    /// Asks each replica in turn until one leads. Sending again is safe: a
-    /// change carries its request id.
-    fn ask(&self, method: &str, path: &str, body: &[u8], wait: Duration) -> Result<Answer> {
-        let until = Instant::now() + FIND_LEADER;
+    /// Sends a request to each replica in turn until the leader answers. Sending it again
+    /// is safe, since a change carries its request id.
+    fn send_to_leader(
+        &self,
+        method: &str,
+        path: &str,
+        body: &[u8],
+        wait: Duration,
+    ) -> Result<Answer> {
+        let deadline = Instant::now() + FIND_LEADER_TIMEOUT;
         let mut last = None;
-        while Instant::now() < until {
+        while Instant::now() < deadline {
             for replica in &self.replicas {
-                match self.ask_one(*replica, method, path, body, wait) {
+                match self.send_to_replica(*replica, method, path, body, wait) {
                     Ok(answer) if answer.status == StatusCode::MISDIRECTED_REQUEST => {}
                     Ok(answer) => return Ok(answer),
                     Err(e) => last = Some(e),
                 }
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(ROUND_PAUSE);
         }
         match last {
-            Some(e) => Err(e.context("no control replica answers as the leader")),
-            None => bail!("no control replica leads at the moment; try again"),
+            Some(e) => Err(e.context("no control replica answered as the leader")),
+            None => bail!("the control replicas have no leader at the moment; try again"),
         }
     }
 
-    fn ask_one(
+    fn send_to_replica(
         &self,
         replica: SocketAddr,
         method: &str,
@@ -120,19 +133,19 @@
             req = req.header("authorization", format!("Bearer {token}"));
         }
         let req = req.body(Body::from(body.to_vec()))?;
-        send(req, ANSWER + wait).with_context(|| format!("control replica {replica}"))
+        send(req, ANSWER_TIMEOUT + wait).with_context(|| format!("control replica {replica}"))
     }
 }
 
-fn send(req: Request<Body>, within: Duration) -> Result<Answer> {
-    let client = Client::new().with_global_timeout(within);
+fn send(req: Request<Body>, timeout: Duration) -> Result<Answer> {
+    let client = Client::new().with_global_timeout(timeout);
     let res = client.request(req)?;
     let status = res.status();
     let body = res.into_body().to_string()?;
     Ok(Answer { status, body })
 }
 
-/// Reads JSON from a router's operators' interface.
+/// Reads JSON from the operator interface of a router.
 pub(super) fn get_json<T: serde::de::DeserializeOwned>(
     address: SocketAddr,
     path: &str,
@@ -140,9 +153,9 @@
     let req = Request::builder()
         .uri(format!("http://{address}{path}"))
         .body(Body::default())?;
-    let answer = send(req, ANSWER)?;
+    let answer = send(req, ANSWER_TIMEOUT)?;
     if answer.status != StatusCode::OK {
-        return Err(failed(&answer));
+        return Err(answer_error(&answer));
     }
     Ok(serde_json::from_str(&answer.body)?)
 }
@@ -151,21 +164,21 @@
     ExitError { exit, message }.into()
 }
 
-fn lost(request: &ApplyRequest) -> anyhow::Error {
+fn answer_lost(request: &ApplyRequest) -> anyhow::Error {
     let message = format!(
-        "the answer was lost; send it again with --request-id {}",
+        "the answer was lost; send the change again with --request-id {}",
         request.request_id
     );
     exit_error(Exit::Unknown, message)
 }
 
-/// Keeps the exit code while context is added.
-fn keep_exit(e: anyhow::Error) -> anyhow::Error {
+/// Converts an error with its context into an [`ExitError`] with the same exit code.
+fn preserve_exit(e: anyhow::Error) -> anyhow::Error {
     let exit = crate::context::exit_of(&e);
     exit_error(exit, format!("{e:#}"))
 }
 
-fn failed(answer: &Answer) -> anyhow::Error {
+fn answer_error(answer: &Answer) -> anyhow::Error {
     let parsed: Result<ErrorAnswer, _> = serde_json::from_str(&answer.body);
     let text = parsed.map_or_else(|_| answer.body.clone(), |e| e.error);
     anyhow::anyhow!("{}: {text}", answer.status)
--- a/crates/deckwind/src/ops/burn_page.rs
+++ b/crates/deckwind/src/ops/burn_page.rs
@@ -1,4 +1,4 @@
-//! The burn report as one self-contained HTML page.
+//! Burn report as one self-contained HTML page.
 
 use anyhow::{Result, anyhow};
 use deckwind_core::burn::{Alert, BurnReport, BurnRow, Window};
@@ -13,7 +13,7 @@
     table{border-collapse:collapse}td,th{border:1px solid #bbb;padding:.3em .6em;text-align:left}\
     .page{background:#f8d0d0}.ticket{background:#f8ecc8}";
 
-/// The page.
+/// Renders the page: a table of all rows, and a plot per window.
 pub fn burn_page(report: &BurnReport) -> Result<String> {
     let mut plots = Vec::new();
     for window in Window::ALL {
@@ -30,8 +30,8 @@
             body {
                 h1 { "Service-level burn" }
                 p {
-                    "Burn 1 spends the error budget in exactly its period. A page: burn above 14.4 over 1h and 5m. "
-                    "A ticket: above 6 over 6h and 1h."
+                    "A burn rate of 1 spends the error budget in exactly its period. Page: burn rate above 14.4 over 1h and 5m. "
+                    "Ticket: burn rate above 6 over 6h and 1h."
                 }
                 table {
                     tr {
@@ -82,7 +82,7 @@
         .iter()
         .map(|r| format!("{} / {}", r.template, r.account))
         .collect();
-    let most = report
+    let max_burn = report
         .rows
         .iter()
         .map(|r| burn_of(r, window))
@@ -95,7 +95,7 @@
             .margin(10)
             .x_label_area_size(40)
             .y_label_area_size(260)
-            .build_cartesian_2d(0.0..most * 1.05, (0..rows as i32).into_segmented())
+            .build_cartesian_2d(0.0..max_burn * 1.05, (0..rows as i32).into_segmented())
             .map_err(|e| anyhow!("{e}"))?;
         chart
             .configure_mesh()
--- a/crates/deckwind/src/ops/mod.rs
+++ b/crates/deckwind/src/ops/mod.rs
@@ -1,4 +1,4 @@
-//! What the commands do, usable without the command line.
+//! Operations behind the commands, usable without the command line.
 
 mod api;
 mod burn;
--- a/crates/deckwind/src/ops/objects.rs
+++ b/crates/deckwind/src/ops/objects.rs
@@ -1,4 +1,4 @@
-//! Templates, client accounts and targets.
+//! Operations on templates, client accounts and targets.
 
 use super::api::ControlApi;
 use anyhow::{Context as _, Result, bail};
@@ -11,7 +11,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// A kind of object.
+/// Kind of an object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObjectKind {
     /// Template.
@@ -23,8 +23,8 @@
 }
 
 impl ObjectKind {
-    /// Its word on the command line.
-    pub fn word(self) -> &'static str {
+    /// Returns the name of the kind, which is also its subcommand.
+    pub fn as_str(self) -> &'static str {
         match self {
             ObjectKind::Template => "template",
             ObjectKind::Account => "account",
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The change that takes an object out of use.
+    /// Returns the change that retires an object.
     pub fn retire(self, name: &str) -> Change {
         match self {
             ObjectKind::Template => Change::RetireTemplate(name.into()),
@@ -57,36 +57,36 @@
     )?)
 }
 
-/// Reads an object's file, or standard input for `-`, as a change.
+/// Reads an object from a file, or from standard input for `-`, as a change.
 pub fn read_change(kind: ObjectKind, file: &Path) -> Result<Change> {
     let mut text = String::new();
     if file == Path::new("-") {
         std::io::stdin().read_to_string(&mut text)?;
     } else {
         text = std::fs::read_to_string(file)
-            .with_context(|| format!("{} can't be read", file.display()))?;
+            .with_context(|| format!("failed to read {}", file.display()))?;
     }
     kind.parse(&text)
-        .with_context(|| format!("{} holds no {}", file.display(), kind.word()))
+        .with_context(|| format!("{} holds no {}", file.display(), kind.as_str()))
 }
 
-/// How a change is sent.
+/// Options of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApplyOptions {
-    /// Revision that the change builds on.
+    /// Expected revision of the object; 0 if the object must be new.
     pub expected: Option<Revision>,
-    /// The same on a resend.
+    /// Id of the request, which stays the same when the change is sent again.
     pub request_id: String,
-    /// How long to wait for it to be in force.
+    /// Maximum time to wait until the change is in force.
     pub wait: Duration,
 }
 
-/// A request id that was not used before.
+/// Returns a new random request id.
 pub fn new_request_id() -> String {
     format!("cli-{:032x}", rand::random::<u128>())
 }
 
-/// Sends a change.
+/// Sends a change and waits until it is in force, see [`ControlApi::apply`].
 pub fn apply(api: &ControlApi, change: Change, options: &ApplyOptions) -> Result<AppliedAnswer> {
     let request = ApplyRequest {
         request_id: RequestId::from(options.request_id.as_str()),
@@ -96,20 +96,20 @@
     api.apply(&request, options.wait)
 }
 
-/// An object as listed.
+/// Object in a list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObjectRow {
-    /// Its name.
+    /// Name of the object.
     pub name: String,
-    /// Its revision.
+    /// Revision of the object.
     pub revision: Revision,
-    /// What it is, in a line.
+    /// Summary of the object in one line.
     pub summary: String,
-    /// All of it.
+    /// Complete object.
     pub object: serde_json::Value,
 }
 
-fn row<T: Serialize>(
+fn object_row<T: Serialize>(
     name: &str,
     revision: Revision,
     summary: String,
@@ -123,59 +123,63 @@
     })
 }
 
-/// All objects of a kind.
+/// Lists all objects of a kind.
 pub fn list(api: &ControlApi, kind: ObjectKind) -> Result<Vec<ObjectRow>> {
     let view = api.configuration()?;
     match kind {
         ObjectKind::Template => view
             .templates
             .iter()
-            .map(|(r, t)| row(t.name.as_str(), *r, template_line(t), t))
+            .map(|(r, t)| object_row(t.name.as_str(), *r, template_summary(t), t))
             .collect(),
         ObjectKind::Account => view
             .accounts
             .iter()
-            .map(|(r, a)| row(a.name.as_str(), *r, account_line(a), a))
+            .map(|(r, a)| object_row(a.name.as_str(), *r, account_summary(a), a))
             .collect(),
         ObjectKind::Target => view
             .targets
             .iter()
-            .map(|(r, t)| row(t.name.as_str(), *r, target_line(t), t))
+            .map(|(r, t)| object_row(t.name.as_str(), *r, target_summary(t), t))
             .collect(),
     }
 }
 
-/// One object.
+/// Returns one object.
+///
+/// # Errors
+///
+/// Fails if no object has this kind and name.
 pub fn show(api: &ControlApi, kind: ObjectKind, name: &str) -> Result<ObjectRow> {
     let rows = list(api, kind)?;
     match rows.into_iter().find(|r| r.name == name) {
         Some(row) => Ok(row),
         None => bail!(
             "there is no {} {name}; see `deckwind {} list`",
-            kind.word(),
-            kind.word()
+            kind.as_str(),
+            kind.as_str()
         ),
     }
 }
 
-fn template_line(t: &Template) -> String {
-    let what = match &t.workload {
+fn template_summary(t: &Template) -> String {
+    let description = match &t.workload {
         Workload::Chat { model, layers } => format!("chat {model} ({layers} layers)"),
         Workload::Service { timeout_ms } => format!("service ({timeout_ms}ms)"),
     };
     let repeatable = if t.repeatable { "" } else { ", not repeatable" };
-    format!("{what}{repeatable}")
+    format!("{description}{repeatable}")
 }
 
-fn account_line(a: &Account) -> String {
+fn account_summary(a: &Account) -> String {
     format!(
         "{} requests/s, weight {}",
         a.limits.requests_per_s, a.limits.weight
     )
 }
 
-fn target_line(t: &Target) -> String {
-    let what = match &t.kind {
+fn target_summary(t: &Target) -> String {
+    let description = match &t.kind {
         TargetKind::Engine {
             model,
             version,
@@ -187,7 +191,7 @@
         TargetKind::Service { template } => format!("service {template}"),
     };
     format!(
-        "{what} at {} in {} ({:?})",
+        "{description} at {} in {} ({:?})",
         t.address, t.data_centre, t.status
     )
 }
