--- a/crates/deckwindd/src/control/driver.rs
+++ b/crates/deckwindd/src/control/driver.rs
@@ -143,7 +143,9 @@
     }
 
     fn process_batch(&mut self, batch: Vec<Input>) -> Result<()> {
-        let events = batch.into_iter().flat_map(|input| self.to_events(input));
+        let events = batch
+            .into_iter()
+            .flat_map(|input| self.register_input(input));
         let events = events.collect();
         let now = Now {
             at: self.clock.now(),
@@ -161,16 +163,16 @@
         Ok(())
     }
 
-    /// Converts an input into events for the core, and stores where the replies go.
-    fn to_events(&mut self, input: Input) -> Vec<ControlEvent> {
+    /// Registers the receiver of the reply, if any, and returns the events for the core.
+    fn register_input(&mut self, input: Input) -> Vec<ControlEvent> {
         match input {
-            Input::PassedOn(forwarded) => self.forwarded_to_events(forwarded),
+            Input::PassedOn(forwarded) => self.register_forwarded(forwarded),
             Input::Answers(answers) if answers.life != self.process_id => Vec::new(),
-            other => vec![self.to_event(other)],
+            other => vec![self.register_single_input(other)],
         }
     }
 
-    fn forwarded_to_events(&mut self, forwarded: RelayedRequests) -> Vec<ControlEvent> {
+    fn register_forwarded(&mut self, forwarded: RelayedRequests) -> Vec<ControlEvent> {
         let RelayedRequests {
             slot,
             life,
@@ -195,7 +197,7 @@
         token
     }
 
-    fn to_event(&mut self, input: Input) -> ControlEvent {
+    fn register_single_input(&mut self, input: Input) -> ControlEvent {
         let token = self.new_token();
         match input {
             Input::Replication(message) => ControlEvent::Replica(Event::Receive(message)),
