--- a/crates/deckwind-net/src/edge.rs
+++ b/crates/deckwind-net/src/edge.rs
@@ -1,8 +1,8 @@
-//! How callers, targets and operators of one site speak.
+//! Traits for the wire formats of callers, targets and operators at one site.
 //!
-//! Routes, announcements and releases are the product's; which header or field
-//! carries what is a matter of the site. An adapter implements these traits and
-//! translates, nothing more.
+//! Routes, announcements and releases are deckwind's own concepts. Which header or
+//! field carries each value depends on the site. An adapter implements these traits;
+//! it only translates and makes no decisions.
 
 use bytes::Bytes;
 use deckwind_core::control::{AnnouncementFault, GiveUp};
@@ -15,181 +15,193 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// What a caller's head says, besides method, path and host.
+/// Fields decoded from the head of a caller's request, besides method, path and host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallerHead {
-    /// The caller's name for this try.
+    /// Request id that the caller assigned to this attempt.
     pub id: String,
-    /// How long the caller will wait.
+    /// Time that the caller waits for the answer.
     pub patience: Option<Duration>,
-    /// Digest of the key that it shows.
+    /// Digest of the API key that the request carries.
     pub key: Option<KeyDigest>,
-    /// What a generation needs; nothing for other requests.
+    /// Size of the generation; `None` for other requests.
     pub generation: Option<Generation>,
-    /// The last event that the caller has.
+    /// Number of the last event that the caller has received.
     pub last_event: Option<u64>,
 }
 
-/// Size of a generation.
+/// Size of a generation request, in tokens.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Generation {
-    /// Tokens of the prompt.
+    /// Number of prompt tokens.
     pub prompt: u64,
-    /// Tokens of the answer at most.
+    /// Maximum number of answer tokens.
     pub most: u64,
-    /// Tokens of the answer as the caller estimates them.
+    /// Number of answer tokens that the caller estimates.
     pub likely: Option<u64>,
 }
 
-/// What a target is told besides what the caller sent.
+/// Fields added to a request for a target, besides those that the caller sent.
 #[derive(Clone, Debug)]
 pub struct TargetHead<'a> {
-    /// The only life of the target that may run it.
+    /// Incarnation of the target that may run the request; any other must refuse it.
     pub instance: &'a str,
-    /// Account that asks.
+    /// Client account that sends the request.
     pub account: Option<&'a str>,
-    /// How long the caller still waits.
+    /// Time for which the caller still waits.
     pub left: Option<Duration>,
-    /// Path that it takes, for engines that hold layers.
+    /// Path of the request, for engines that hold layers.
     pub path: Option<&'a [Stage]>,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the most urgent.
     pub rank: u8,
-    /// Go on after this event.
+    /// Event after which the target resumes the stream.
     pub last_event: Option<u64>,
 }
 
-/// What a target's head says, besides its status.
+/// Fields decoded from the head of a target's answer, besides the status.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TargetAnswer {
-    /// Request that it answers.
+    /// Id of the request that is answered.
     pub id: Option<String>,
-    /// Whether it carries the target's signature.
+    /// Whether the answer carries the target's signature.
     pub signed: bool,
-    /// Whether the target says that it has not run the request.
+    /// Whether the target states that it has not run the request.
     pub not_run: bool,
-    /// The stage at fault, if it is another one.
+    /// Address of the failed stage, if that is not the answering target.
     pub at_fault: Option<SocketAddr>,
-    /// Whether the body was encoded on the way: then it isn't the target's.
+    /// Whether the body has a content encoding. An intermediary must have applied it, so
+    /// the body is not the target's own.
     pub encoded: bool,
 }
 
-/// Callers and the targets behind routes.
+/// Wire format of callers and of the targets behind routes.
 pub trait CallerDialect: Send + Sync {
-    /// Reads a caller's head.
+    /// Decodes the head of a caller's request.
+    ///
+    /// # Errors
+    /// If a field is missing or cannot be parsed.
     fn read_head(&self, head: &Parts) -> Result<CallerHead, BadInput>;
-    /// Makes a caller's headers those of the request to a target.
+    /// Converts the headers of a caller's request to those of the request to a target.
     fn to_target(&self, headers: &mut HeaderMap, head: &TargetHead);
-    /// Reads the head of a target's answer.
+    /// Decodes the head of a target's answer.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> TargetAnswer;
-    /// What a target says of itself in the head of any answer: to a request, a report
-    /// that it was asked for, or an order.
+    /// Decodes what a target states about itself in the head of any answer: to a
+    /// request, to a call for its report, or to an order.
     fn read_notice(&self, status: StatusCode, headers: &HeaderMap) -> TargetNotice;
-    /// Path at which readiness is asked for.
+    /// Returns the path of readiness checks.
     fn ready_path(&self) -> &str;
 }
 
-/// How an engine is.
+/// Status report of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineReport {
-    /// Whether an order is being carried out.
+    /// Whether the engine is executing an order.
     pub busy: bool,
-    /// Orders taken since its start.
+    /// Number of orders accepted since the engine started.
     pub orders: u64,
-    /// Layers that it holds; nothing where the report doesn't tell.
+    /// Layers that the engine holds; `None` if the report does not include them.
     pub layers: Option<LayerRange>,
-    /// Requests that stand still, and the stage that they wait for.
+    /// Ids of stalled requests, each with the address of the stage that it waits for.
     pub stalled: Vec<(String, SocketAddr)>,
-    /// When its life started, Unix milliseconds by its own clock; nothing where
-    /// it doesn't say.
+    /// Start time of the engine's incarnation, Unix milliseconds by its own clock;
+    /// `None` if the report does not include it.
     pub born: Option<u64>,
-    /// Time that its work takes, in hundredths of the usual one; nothing where the
-    /// report doesn't tell.
+    /// Duration of the engine's work in percent of the usual duration; `None` if the
+    /// report does not include it.
     pub pace_percent: Option<u32>,
 }
 
 impl EngineReport {
-    /// Whether it is of another life than the one that started at `born`.
+    /// Returns whether the report comes from an incarnation other than the one started
+    /// at `born`. Returns `false` if either start time is unknown.
     pub fn is_of_another_life(&self, born: Option<u64>) -> bool {
         matches!((self.born, born), (Some(said), Some(known)) if said != known)
     }
 }
 
-/// A request to a target's own interface.
+/// An HTTP request to a target's own API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetCall {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path.
+    /// Request path.
     pub path: String,
     /// JSON body; empty for none.
     pub body: Vec<u8>,
 }
 
-/// Orders to engines, and their reports.
+/// Wire format of orders to engines and of their reports.
 pub trait EngineDialect: Send + Sync {
-    /// Asks for a report.
+    /// Returns the call that requests a report.
     fn report(&self) -> TargetCall;
-    /// Reads a report.
+    /// Decodes a report.
+    ///
+    /// # Errors
+    /// If the body is not a valid report.
     fn read_report(&self, body: &[u8]) -> Result<EngineReport, BadInput>;
-    /// Has a request that runs go on over another path with the same first
-    /// stage.
+    /// Returns the call that moves a running request to another path with the same
+    /// first stage.
     fn change_path(&self, request: &str, path: &[Stage]) -> TargetCall;
-    /// The engine at fault, where a change of path was refused and the answer names
-    /// it.
+    /// Returns the engine that refused a change of path, if the answer names it.
     fn path_refused_by(&self, status: StatusCode, body: &[u8]) -> Option<SocketAddr>;
-    /// Has an engine that has taken `orders` orders hold these layers; one that
-    /// has taken more must refuse.
+    /// Returns the call that orders an engine to hold these layers. `orders` is the
+    /// number of orders that the engine has accepted so far; it must refuse if it has
+    /// accepted more.
     fn place(&self, layers: LayerRange, give_up: GiveUp, orders: u64) -> TargetCall;
 }
 
-/// A call to a control replica.
+/// A decoded call to a control replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlCall {
-    /// Publish a release.
+    /// Publishes a release.
     Publish(Box<Published>),
-    /// Read the document of the release that holds.
+    /// Reads the document of the release in force.
     Document,
-    /// A target says how it is.
+    /// Announces a target's current state.
     Announce(Box<Instance>),
-    /// A target has left; the life that is known where it doesn't tell its start.
+    /// Reports that a target has left. Without a start time, this applies to the
+    /// incarnation that is known at that moment.
     Leave(Life),
 }
 
-/// Operators and targets that call control replicas.
+/// Wire format of calls from operators and targets to control replicas.
 pub trait ControlDialect: Send + Sync {
-    /// Reads a call.
+    /// Decodes a call.
+    ///
+    /// # Errors
+    /// If there is no such call, or its body is not valid.
     fn read_call(&self, method: &Method, path: &str, body: Bytes) -> Result<ControlCall, BadInput>;
-    /// The answer to a target that was heard, and may go on telling the replica
-    /// that takes calls at `here`.
+    /// Returns the answer to an accepted announcement. It names `here`, the address at
+    /// which a replica accepts further announcements.
     fn heard_at(&self, here: SocketAddr) -> Bytes;
 }
 
-/// All dialects of a site.
+/// The wire formats of a site.
 #[derive(Clone)]
 pub struct Dialects {
-    /// Callers.
+    /// Wire format of callers and targets.
     pub callers: Arc<dyn CallerDialect>,
-    /// Engines.
+    /// Wire format of engines.
     pub engines: Arc<dyn EngineDialect>,
-    /// Operators and announcements.
+    /// Wire format of operators and announcements.
     pub control: Arc<dyn ControlDialect>,
 }
 
-/// What came from outside can't be taken.
+/// Error for external input that is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum BadInput {
-    /// There is no such call.
+    /// The call does not exist.
     #[error("there is no {0} here")]
     NoSuchCall(String),
-    /// It can't be read.
+    /// The input cannot be decoded.
     #[error("{0}")]
     Unreadable(String),
-    /// What a target says of itself can't be taken.
+    /// The announcement of a target is not valid.
     #[error("{fault}: {why}")]
     Announcement {
-        /// What is wrong.
+        /// Category of the fault.
         fault: AnnouncementFault,
-        /// More of it.
+        /// Details for logs and for the answer.
         why: String,
     },
 }
--- a/crates/deckwind-net/src/keys.rs
+++ b/crates/deckwind-net/src/keys.rs
@@ -1,8 +1,8 @@
-//! Certificates of our own processes: one CA, one certificate a VM.
+//! Certificates of deckwind processes: one CA, and one certificate per VM.
 //!
-//! Both sides of each QUIC connection show theirs (mutual TLS, RFC 8446), and
-//! each must be signed by the CA of the settings. Peers are reached by IP, so
-//! the IP is what a certificate names (RFC 5280, subjectAltName iPAddress).
+//! Both sides of a QUIC connection present a certificate (mutual TLS, RFC 8446) that
+//! must be signed by the configured CA. Peers connect by IP address, so a certificate
+//! is issued for the IP address (RFC 5280, subjectAltName iPAddress).
 
 use anyhow::{Context, Result};
 use rcgen::{
@@ -14,23 +14,23 @@
 use std::net::IpAddr;
 use std::path::{Path, PathBuf};
 
-/// Where a process finds its keys.
+/// Paths of the key files of a process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyFiles {
-    /// The CA's certificate.
+    /// Path of the CA certificate.
     pub ca: PathBuf,
-    /// This VM's certificate.
+    /// Path of this VM's certificate.
     pub certificate: PathBuf,
-    /// This VM's private key.
+    /// Path of this VM's private key.
     pub key: PathBuf,
 }
 
 /// A certificate and its key, as PEM text.
 #[derive(Clone, Debug)]
 pub struct PemPair {
-    /// Certificate.
+    /// Certificate in PEM.
     pub certificate: String,
-    /// Private key.
+    /// Private key in PEM.
     pub key: String,
 }
 
@@ -44,7 +44,7 @@
     Ok(params)
 }
 
-/// Makes a CA.
+/// Generates a CA key and a self-signed CA certificate.
 pub fn new_ca() -> Result<PemPair> {
     let key = KeyPair::generate()?;
     let certificate = ca_params()?.self_signed(&key)?;
@@ -54,9 +54,13 @@
     })
 }
 
-/// Makes a certificate for a VM, signed by the CA whose private key is `ca_key`.
+/// Generates a key and a certificate for a VM, signed with the CA's private key `ca_key`
+/// (PEM).
+///
+/// # Errors
+/// If `ca_key` cannot be parsed or the certificate cannot be generated.
 pub fn new_vm_certificate(ca_key: &str, name: &str, ip: IpAddr) -> Result<PemPair> {
-    let ca_key = KeyPair::from_pem(ca_key).context("the CA's private key can't be read")?;
+    let ca_key = KeyPair::from_pem(ca_key).context("cannot read the CA's private key")?;
     let issuer = Issuer::new(ca_params()?, ca_key);
     let key = KeyPair::generate()?;
     let mut params = CertificateParams::new(Vec::<String>::new())?;
@@ -73,33 +77,36 @@
     })
 }
 
-/// What TLS needs, read from files.
+/// Certificates and private key for TLS, loaded from files.
 pub struct LoadedKeys {
-    /// Certificates that sign peers'.
+    /// CA certificates that peers' certificates are verified against.
     pub roots: rustls::RootCertStore,
-    /// This VM's chain.
+    /// Certificate chain of this VM.
     pub chain: Vec<CertificateDer<'static>>,
-    /// Its private key.
+    /// Private key of this VM.
     pub key: PrivateKeyDer<'static>,
 }
 
-/// Reads the keys; errors name the file.
+/// Loads the key files.
+///
+/// # Errors
+/// If a file cannot be read or parsed; the error names the file.
 pub fn load(files: &KeyFiles) -> Result<LoadedKeys> {
     let mut roots = rustls::RootCertStore::empty();
     for cert in read_certificates(&files.ca)? {
-        let place = || format!("{} is no CA certificate", files.ca.display());
-        roots.add(cert).with_context(place)?;
+        let context = || format!("{} is not a CA certificate", files.ca.display());
+        roots.add(cert).with_context(context)?;
     }
     let chain = read_certificates(&files.certificate)?;
     let key = PrivateKeyDer::from_pem_file(&files.key)
-        .with_context(|| format!("{} holds no private key in PEM", files.key.display()))?;
+        .with_context(|| format!("no PEM private key in {}", files.key.display()))?;
     Ok(LoadedKeys { roots, chain, key })
 }
 
 fn read_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>> {
-    let place = || format!("{} holds no certificate in PEM", path.display());
+    let context = || format!("no PEM certificate in {}", path.display());
     CertificateDer::pem_file_iter(path)
-        .with_context(place)?
+        .with_context(context)?
         .collect::<Result<_, _>>()
-        .with_context(place)
+        .with_context(context)
 }
--- a/crates/deckwind-net/src/lib.rs
+++ b/crates/deckwind-net/src/lib.rs
@@ -1,17 +1,18 @@
-//! The borders: QUIC between deckwind's processes, HTTP towards targets.
+//! Network I/O: QUIC between deckwind processes, and HTTP clients for targets.
 //!
-//! For: sockets, certificates, and the traits that stand for outside systems
-//! ([`targets`]). Not for: decisions; those are `deckwind-core`'s.
+//! This crate owns sockets and certificates, and defines the traits for external
+//! systems ([`targets`]) and for their wire formats ([`edge`]). Decision logic belongs
+//! in `deckwind-core`.
 
 pub mod clock;
 pub mod edge;
 pub mod keys;
-mod open_peers;
 pub mod quic;
 pub mod targets;
+mod unauthenticated;
 
 use std::future::Future;
 use std::pin::Pin;
 
-/// A future behind a trait object.
+/// A boxed future, as returned by the methods of object-safe traits.
 pub type BoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + Send + 'a>>;
--- a/crates/deckwind-net/src/quic.rs
+++ b/crates/deckwind-net/src/quic.rs
@@ -1,16 +1,16 @@
-//! One QUIC endpoint a process: requests with an answer, and one-way messages.
+//! QUIC endpoint of a process, for requests with an answer and for one-way messages.
 //!
 //! ```text
-//!  request   a bidirectional stream each: bytes, end, bytes, end
-//!  one-way   a unidirectional stream each: bytes, end
+//!  request   one bidirectional stream each: request, FIN, answer, FIN
+//!  one-way   one unidirectional stream each: message, FIN
 //! ```
 //!
-//! Streams of one connection do not hold each other up (RFC 9000), so a large
-//! snapshot does not delay a heartbeat. A connection that broke is made anew at
-//! the next use; nothing is sent twice from here.
+//! Streams of one connection do not block each other (RFC 9000), so a large snapshot
+//! does not delay a heartbeat. A broken connection is replaced at the next use. This
+//! module never retries a message.
 
 use crate::keys::{KeyFiles, LoadedKeys, load};
-use crate::open_peers;
+use crate::unauthenticated;
 use anyhow::{Context, Result, anyhow};
 use quinn::crypto::rustls::{QuicClientConfig, QuicServerConfig};
 use quinn::{
@@ -23,53 +23,55 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Without a packet for this long a connection is dead: half of a lease, so that
-/// a new one still renews it. A path may fall silent while new ones work.
-const IDLE: Duration = Duration::from_millis(1_400);
+/// Time without a packet after which a connection is closed: half of the deployed
+/// lease (2.8 s), so that a new connection can still renew the lease. A network path may
+/// stop delivering packets while new connections work.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_400);
 
-/// Between two packets that keep a connection alive: three of them may be lost.
-const KEEP_ALIVE: Duration = Duration::from_millis(400);
+/// Interval between keep-alive packets. Three of them may be lost before the connection
+/// is closed.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Round trip that is reckoned with before one is measured. The first packet of
-/// a connection is sent again after three of them: RFC 9002 names 333 ms for the
-/// whole internet, and then a peer that starts a moment later is reached after a
-/// second. Between our regions a round trip takes 16 ms.
+/// Round-trip time assumed before one is measured. The first packet of a connection is
+/// retransmitted after three times this value. With the 333 ms that RFC 9002 recommends
+/// for the internet, a peer that starts slightly later is only reached after a second.
+/// A round trip between regions takes 16 ms.
 const INITIAL_RTT: Duration = Duration::from_millis(30);
 
-/// Longest wait for a connection.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Maximum time to establish a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest wait for peers to hear of the close.
-const CLOSE: Duration = Duration::from_millis(100);
+/// Maximum time to wait until peers have received the close.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Streams that a peer may have open at once.
-const MAX_STREAMS: u32 = 1_024;
+/// Maximum number of streams of each type that a peer may have open at the same time.
+const MAX_CONCURRENT_STREAMS: u32 = 1_024;
 
-/// Bytes that may be on their way to one peer: 16 times what a second of a
-/// 1 Mbit/s link carries, and little beside the memory of a small VM.
+/// Maximum number of unacknowledged bytes sent to one peer: 16 times what a 1 Mbit/s
+/// link carries in a second, and small compared to the memory of a small VM.
 const SEND_WINDOW: u64 = 2 << 20;
 
-/// Bytes that may have arrived and not been read: the first packets, 1,200 bytes
-/// each, of 800 peers. The system's usual 208 KiB hold those of 177, and what is
-/// lost comes again after 90, 270 and 630 ms.
+/// Size of the socket's receive buffer, bytes: enough for the first packets of 800
+/// peers, 1,200 bytes each. The system default of 208 KiB holds those of 177 peers, and
+/// lost packets are only retransmitted after 90, 270 and 630 ms.
 const RECEIVE_BUFFER: usize = 1 << 20;
 
-/// Names the protocol in the handshake (RFC 7301).
+/// ALPN protocol id of the handshake (RFC 7301).
 const ALPN: &[u8] = b"deckwind/1";
 
-/// What came in.
+/// A received message.
 pub enum Incoming {
-    /// A message that wants no answer.
+    /// A message without an answer.
     OneWay(Vec<u8>),
-    /// A request, and where its answer goes.
+    /// A request, and the responder for its answer.
     Request(Vec<u8>, Responder),
 }
 
-/// Where an answer goes.
+/// Sends the answer to a request.
 pub struct Responder(quinn::SendStream);
 
 impl Responder {
-    /// Sends the answer. A requester that is gone is no error here.
+    /// Sends the answer. It is not an error if the requester has disconnected.
     pub async fn respond(mut self, answer: Vec<u8>) {
         if self.0.write_all(&answer).await.is_ok() {
             let _ = self.0.finish();
@@ -78,54 +80,61 @@
     }
 }
 
-/// An endpoint, and the connections it has made.
+/// A QUIC endpoint and its outgoing connections.
 #[derive(Clone)]
 pub struct QuicPeer {
     endpoint: Endpoint,
     max_message: usize,
     connections: Arc<Mutex<HashMap<SocketAddr, Connection>>>,
-    connecting: Arc<Mutex<HashMap<SocketAddr, watch::Receiver<Option<Made>>>>>,
+    pending: Arc<Mutex<HashMap<SocketAddr, watch::Receiver<Option<ConnectResult>>>>>,
 }
 
-/// What came of making a connection, or why nothing did.
-type Made = Result<Connection, String>;
+/// Result of a connection attempt; the error is a message, so that all waiting tasks can
+/// have a copy.
+type ConnectResult = Result<Connection, String>;
 
 impl QuicPeer {
-    /// Binds `address`, with mutual TLS by the files. Without files it encrypts
-    /// with a certificate made now and takes any peer: for networks that only
-    /// our own VMs reach.
+    /// Binds `address`. With `files`, peers authenticate each other by mutual TLS.
+    /// Without, connections are encrypted with a newly generated certificate and any
+    /// peer is accepted, which is only safe on networks that no other party can reach.
+    ///
+    /// # Errors
+    /// If the key files cannot be loaded or the address cannot be bound.
     pub fn bind(address: SocketAddr, files: Option<&KeyFiles>, max_message: usize) -> Result<Self> {
         let (server, client) = match files {
             Some(files) => {
                 let keys = load(files)?;
                 (server_config(&keys)?, client_config(keys)?)
             }
-            None => open_peers::configs(address.ip(), ALPN)?,
+            None => unauthenticated::endpoint_configs(address.ip(), ALPN)?,
         };
-        let (server, client) = (with_transport(server)?, client_transport(client)?);
-        let socket =
-            UdpSocket::bind(address).with_context(|| format!("UDP {address} can't be bound"))?;
-        widen(&socket);
-        let runtime = quinn::default_runtime().context("no runtime of tokio's")?;
+        let (server, client) = (
+            server_with_transport(server)?,
+            client_with_transport(client)?,
+        );
+        let socket = UdpSocket::bind(address)
+            .with_context(|| format!("cannot bind UDP address {address}"))?;
+        widen_receive_buffer(&socket);
+        let runtime = quinn::default_runtime().context("not running inside a tokio runtime")?;
         let mut endpoint = Endpoint::new(EndpointConfig::default(), Some(server), socket, runtime)?;
         endpoint.set_default_client_config(client);
         Ok(Self {
             endpoint,
             max_message,
             connections: Arc::default(),
-            connecting: Arc::default(),
+            pending: Arc::default(),
         })
     }
 
-    /// The address that it is bound to.
+    /// Returns the address that the endpoint is bound to.
     pub fn local_addr(&self) -> Result<SocketAddr> {
         Ok(self.endpoint.local_addr()?)
     }
 
-    /// Sends a message that wants no answer.
+    /// Sends a message without an answer.
     pub async fn send(&self, to: SocketAddr, message: &[u8]) -> Result<()> {
         let connection = self.connection(to).await?;
-        let mut stream = self.kept(to, connection.open_uni().await)?;
+        let mut stream = self.evict_on_error(to, connection.open_uni().await)?;
         stream.write_all(message).await?;
         stream.finish()?;
         Ok(())
@@ -134,18 +143,18 @@
     /// Sends a request and waits for its answer.
     pub async fn request(&self, to: SocketAddr, message: &[u8]) -> Result<Vec<u8>> {
         let connection = self.connection(to).await?;
-        let (mut tx, mut rx) = self.kept(to, connection.open_bi().await)?;
+        let (mut tx, mut rx) = self.evict_on_error(to, connection.open_bi().await)?;
         tx.write_all(message).await?;
         tx.finish()?;
         let answer = rx.read_to_end(self.max_message).await?;
         if answer.is_empty() {
-            return Err(anyhow!("{to} gave no answer"));
+            return Err(anyhow!("{to} sent no answer"));
         }
         Ok(answer)
     }
 
-    /// Drops the connection with which something just went wrong.
-    fn kept<T, E>(&self, to: SocketAddr, result: Result<T, E>) -> Result<T>
+    /// Removes the cached connection to `to` if `result` is an error.
+    fn evict_on_error<T, E>(&self, to: SocketAddr, result: Result<T, E>) -> Result<T>
     where
         E: std::error::Error + Send + Sync + 'static,
     {
@@ -158,45 +167,46 @@
         })
     }
 
-    /// The connection to a peer. While one is being made everybody waits for it;
-    /// it goes on when they stop waiting, so that a peer under load is not asked
-    /// to begin anew again and again.
+    /// Returns the connection to a peer, establishing it if necessary. Concurrent
+    /// callers share one connection attempt. The attempt continues when they stop
+    /// waiting, so that a loaded peer does not have to start handshakes over and over.
     async fn connection(&self, to: SocketAddr) -> Result<Connection> {
-        if let Some(connection) = self.known(to) {
+        if let Some(connection) = self.existing_connection(to) {
             return Ok(connection);
         }
-        let mut made = self.connecting(to);
-        let made = made.wait_for(Option::is_some).await;
-        let made = made.map(|m| m.clone().expect("waited for"));
-        match made {
+        let mut attempt = self.start_connecting(to);
+        let result = attempt.wait_for(Option::is_some).await;
+        let result = result.map(|r| r.clone().expect("waited for"));
+        match result {
             Ok(Ok(connection)) => Ok(connection),
-            Ok(Err(why)) => Err(anyhow!("{to} can't be reached: {why}")),
-            Err(_) => Err(anyhow!("{to} can't be reached: the endpoint stops")),
+            Ok(Err(reason)) => Err(anyhow!("cannot connect to {to}: {reason}")),
+            Err(_) => Err(anyhow!("cannot connect to {to}: the endpoint is closing")),
         }
     }
 
-    fn known(&self, to: SocketAddr) -> Option<Connection> {
+    fn existing_connection(&self, to: SocketAddr) -> Option<Connection> {
         let connections = self.connections.lock().expect("no holder panics");
-        let known = connections.get(&to).cloned();
-        known.filter(|c| c.close_reason().is_none())
+        let connection = connections.get(&to).cloned();
+        connection.filter(|c| c.close_reason().is_none())
     }
 
-    /// What comes of the connection that is being made, begun now if none is.
-    fn connecting(&self, to: SocketAddr) -> watch::Receiver<Option<Made>> {
-        let mut connecting = self.connecting.lock().expect("no holder panics");
-        if let Some(made) = connecting.get(&to) {
-            return made.clone();
+    /// Returns a receiver for the result of the connection attempt in progress, starting
+    /// one if there is none.
+    fn start_connecting(&self, to: SocketAddr) -> watch::Receiver<Option<ConnectResult>> {
+        let mut pending = self.pending.lock().expect("no holder panics");
+        if let Some(attempt) = pending.get(&to) {
+            return attempt.clone();
         }
         let (tx, rx) = watch::channel(None);
-        connecting.insert(to, rx.clone());
-        drop(connecting);
+        pending.insert(to, rx.clone());
+        drop(pending);
         let peer = self.clone();
         tokio::spawn(async move {
-            let made = peer.connect(to).await.map_err(|e| format!("{e:#}"));
-            let mut connecting = peer.connecting.lock().expect("no holder panics");
-            connecting.remove(&to);
-            drop(connecting);
-            tx.send_replace(Some(made));
+            let result = peer.connect(to).await.map_err(|e| format!("{e:#}"));
+            let mut pending = peer.pending.lock().expect("no holder panics");
+            pending.remove(&to);
+            drop(pending);
+            tx.send_replace(Some(result));
         });
         rx
     }
@@ -204,23 +214,23 @@
     async fn connect(&self, to: SocketAddr) -> Result<Connection> {
         let name = to.ip().to_string();
         let connecting = self.endpoint.connect(to, &name)?;
-        let made = tokio::time::timeout(CONNECT, connecting).await;
-        let connection = made.context("no answer to the handshake")??;
+        let result = tokio::time::timeout(CONNECT_TIMEOUT, connecting).await;
+        let connection = result.context("handshake timed out")??;
         let mut connections = self.connections.lock().expect("no holder panics");
         connections.insert(to, connection.clone());
         Ok(connection)
     }
 
-    /// Closes the connections that this endpoint has made to anybody else: each of
-    /// them costs both sides a packet every 400 ms.
+    /// Closes this endpoint's outgoing connections to all peers except `to`. Each open
+    /// connection costs both sides a packet every 400 ms.
     pub fn keep_only(&self, to: SocketAddr) {
         let mut connections = self.connections.lock().expect("no holder panics");
         let others = connections.extract_if(|address, _| *address != to);
         others.for_each(|(_, connection)| connection.close(0u32.into(), b"not used"));
     }
 
-    /// Takes connections until the endpoint is closed; `handle` gets whatever
-    /// comes in.
+    /// Accepts connections until the endpoint is closed, and passes every received
+    /// message to `handle`.
     pub async fn serve(self, handle: impl Fn(IpAddr, Incoming) + Clone + Send + Sync + 'static) {
         while let Some(incoming) = self.endpoint.accept().await {
             let handle = handle.clone();
@@ -233,18 +243,19 @@
         }
     }
 
-    /// Closes all connections.
+    /// Closes the endpoint and all connections.
     pub async fn close(self) {
         self.endpoint.close(0u32.into(), b"closed");
-        let gone = tokio::time::timeout(CLOSE, self.endpoint.wait_idle()).await;
-        if gone.is_err() {
+        let closed = tokio::time::timeout(CLOSE_TIMEOUT, self.endpoint.wait_idle()).await;
+        if closed.is_err() {
             log::debug!("event=peers_not_told_of_close");
         }
     }
 }
 
-/// Makes room for the first packets of many peers that start at once.
-fn widen(socket: &UdpSocket) {
+/// Enlarges the receive buffer for the first packets of many peers that start at the
+/// same time.
+fn widen_receive_buffer(socket: &UdpSocket) {
     if let Err(e) = SockRef::from(socket).set_recv_buffer_size(RECEIVE_BUFFER) {
         log::warn!("event=receive_buffer_not_widened error={:?}", e.to_string());
     }
@@ -279,14 +290,14 @@
     }
 }
 
-/// What keeps a connection alive is sent by the side that made it.
+/// Returns the transport parameters. Only the connecting side sends keep-alive packets.
 fn transport(keep_alive: Option<Duration>) -> Result<Arc<TransportConfig>> {
     let mut transport = TransportConfig::default();
-    transport.max_idle_timeout(Some(IdleTimeout::try_from(IDLE)?));
+    transport.max_idle_timeout(Some(IdleTimeout::try_from(IDLE_TIMEOUT)?));
     transport.keep_alive_interval(keep_alive);
     transport.initial_rtt(INITIAL_RTT);
-    transport.max_concurrent_bidi_streams(MAX_STREAMS.into());
-    transport.max_concurrent_uni_streams(MAX_STREAMS.into());
+    transport.max_concurrent_bidi_streams(MAX_CONCURRENT_STREAMS.into());
+    transport.max_concurrent_uni_streams(MAX_CONCURRENT_STREAMS.into());
     transport.send_window(SEND_WINDOW);
     Ok(Arc::new(transport))
 }
@@ -309,13 +320,13 @@
     )))
 }
 
-fn with_transport(mut cfg: ServerConfig) -> Result<ServerConfig> {
+fn server_with_transport(mut cfg: ServerConfig) -> Result<ServerConfig> {
     cfg.transport_config(transport(None)?);
     Ok(cfg)
 }
 
-fn client_transport(mut cfg: ClientConfig) -> Result<ClientConfig> {
-    cfg.transport_config(transport(Some(KEEP_ALIVE))?);
+fn client_with_transport(mut cfg: ClientConfig) -> Result<ClientConfig> {
+    cfg.transport_config(transport(Some(KEEP_ALIVE_INTERVAL))?);
     Ok(cfg)
 }
 
--- /dev/null
+++ b/crates/deckwind-net/src/targets/connection_pool.rs
@@ -0,0 +1,290 @@
+//! Pool of persistent HTTP/1.1 connections to targets.
+//!
+//! Each connection carries one request at a time. A target states how long it keeps an
+//! idle connection open (`Keep-Alive`), or that it closes it (`Connection: close`). A
+//! connection that has been idle for almost that long is not reused, so that a request
+//! rarely coincides with the target's close. Data that was not requested closes the
+//! connection.
+
+use super::traits::TargetError;
+use crate::clock::Clock;
+use crate::edge::TargetCall;
+use bytes::Bytes;
+use deckwind_core::time::Instant;
+use http::{HeaderMap, Request, Response, StatusCode, header};
+use http_body_util::{BodyExt, Full, Limited};
+use hyper::body::Incoming;
+use hyper::client::conn::http1::{Builder, SendRequest};
+use hyper_util::rt::TokioIo;
+use socket2::{SockRef, TcpKeepalive};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+use std::sync::Mutex;
+use std::time::Duration;
+use tokio::net::TcpStream;
+
+/// Maximum time to establish a connection inside a region: a hundred round trips, and
+/// less than the second after which a lost SYN is retransmitted.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// Time without an acknowledgement after which the kernel closes a connection
+/// (`TCP_USER_TIMEOUT`).
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(2_000);
+
+/// Idle time after which a connection is not reused if the target does not state one:
+/// less than the 5 s that servers commonly allow.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+
+/// Time by which reuse of an idle connection ends before the target's stated timeout.
+const IDLE_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
+
+/// Maximum number of idle connections per target.
+const MAX_IDLE_CONNECTIONS: usize = 48;
+
+/// Maximum time until a connection that was just returned to the pool is ready.
+const READY_TIMEOUT: Duration = Duration::from_millis(20);
+
+/// Maximum size of the head of a target's answer, bytes.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+
+type RequestSender = SendRequest<Full<Bytes>>;
+
+struct IdleConnection {
+    tx: RequestSender,
+    idle_since: Instant,
+    idle_timeout: Duration,
+}
+
+/// A connection taken from the pool for one request.
+pub struct TargetConnection {
+    address: SocketAddr,
+    tx: RequestSender,
+    /// Whether the connection has served requests before.
+    pub reused: bool,
+}
+
+/// Pool of idle connections by target address. Idle time includes time for which this VM
+/// was suspended, because the target may have closed the connection meanwhile, and a
+/// request that must not be retried would be lost on it.
+pub struct KeptConnections {
+    clock: Clock,
+    idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
+}
+
+impl KeptConnections {
+    /// Creates an empty pool.
+    pub fn new(clock: Clock) -> Self {
+        Self {
+            clock,
+            idle: Mutex::default(),
+        }
+    }
+
+    /// Returns a connection to `address`: the most recently used one if it has been
+    /// idle for less than `max_idle_time`, otherwise a new one.
+    ///
+    /// # Errors
+    /// If no connection can be established; nothing was sent in that case.
+    pub async fn get(
+        &self,
+        address: SocketAddr,
+        max_idle_time: Duration,
+    ) -> Result<TargetConnection, TargetError> {
+        while let Some(idle) = self.take_idle(address, max_idle_time) {
+            let mut tx = idle.tx;
+            let ready = tokio::time::timeout(READY_TIMEOUT, tx.ready()).await;
+            if matches!(ready, Ok(Ok(()))) {
+                return Ok(TargetConnection {
+                    address,
+                    tx,
+                    reused: true,
+                });
+            }
+        }
+        let tx = connect(address).await?;
+        Ok(TargetConnection {
+            address,
+            tx,
+            reused: false,
+        })
+    }
+
+    fn take_idle(&self, address: SocketAddr, max_idle_time: Duration) -> Option<IdleConnection> {
+        let mut all = self.idle.lock().expect("no holder panics");
+        let list = all.get_mut(&address)?;
+        let now = self.clock.now();
+        list.retain(|i| !i.tx.is_closed() && now.since(i.idle_since) < i.idle_timeout);
+        let last = list.last()?;
+        if now.since(last.idle_since) >= max_idle_time {
+            return None;
+        }
+        list.pop()
+    }
+
+    /// Returns a connection to the pool after its answer was read completely. `headers`
+    /// are those of the answer. The connection is closed if `max_idle` connections are
+    /// idle already, because a target resets connections beyond its limit on those of
+    /// all its callers together.
+    pub fn give_back(&self, connection: TargetConnection, headers: &HeaderMap, max_idle: usize) {
+        let Some(idle_timeout) = idle_timeout(headers) else {
+            return;
+        };
+        let mut all = self.idle.lock().expect("no holder panics");
+        let list = all.entry(connection.address).or_default();
+        if list.len() < max_idle.min(MAX_IDLE_CONNECTIONS) && !connection.tx.is_closed() {
+            list.push(IdleConnection {
+                tx: connection.tx,
+                idle_since: self.clock.now(),
+                idle_timeout,
+            });
+        }
+    }
+
+    /// Closes the idle connections to an address, for use when another process has taken
+    /// over the address.
+    pub fn forget(&self, address: SocketAddr) {
+        self.idle.lock().expect("no holder panics").remove(&address);
+    }
+
+    /// Closes the idle connections to addresses for which `keep` returns `false`.
+    pub fn retain(&self, keep: impl Fn(&SocketAddr) -> bool) {
+        let mut all = self.idle.lock().expect("no holder panics");
+        all.retain(|a, _| keep(a));
+    }
+}
+
+impl TargetConnection {
+    /// Sends a request and waits for the head of its answer.
+    ///
+    /// # Errors
+    /// [`TargetError::NotSent`] if the target cannot have received the request,
+    /// [`TargetError::Broken`] if the connection broke after it was sent.
+    pub async fn send(
+        &mut self,
+        req: Request<Full<Bytes>>,
+    ) -> Result<Response<Incoming>, TargetError> {
+        self.tx.try_send_request(req).await.map_err(|mut e| {
+            let is_unsent = e.take_message().is_some();
+            let reason = e.into_error().to_string();
+            match is_unsent {
+                true => TargetError::NotSent(reason),
+                false => TargetError::Broken(reason),
+            }
+        })
+    }
+}
+
+/// Returns how long a connection may stay idle after an answer with these headers, or
+/// `None` if it must be closed.
+fn idle_timeout(headers: &HeaderMap) -> Option<Duration> {
+    let value = |name| headers.get(name).and_then(|v| v.to_str().ok());
+    let closes = |v: &str| v.to_ascii_lowercase().contains("close");
+    if value(header::CONNECTION).is_some_and(closes) {
+        return None;
+    }
+    let stated = value(header::HeaderName::from_static("keep-alive")).and_then(|v| {
+        let timeout = v.split(',').find_map(|p| p.trim().strip_prefix("timeout="));
+        timeout?.trim().parse::<u64>().ok()
+    });
+    match stated {
+        None => Some(DEFAULT_IDLE_TIMEOUT),
+        Some(s) => Duration::from_secs(s).checked_sub(IDLE_TIMEOUT_MARGIN),
+    }
+}
+
+async fn connect(address: SocketAddr) -> Result<RequestSender, TargetError> {
+    let not_sent = |e: &dyn std::fmt::Display| TargetError::NotSent(format!("{address}: {e}"));
+    let connecting = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(address));
+    let stream = match connecting.await {
+        Ok(Ok(stream)) => stream,
+        Ok(Err(e)) => return Err(not_sent(&e)),
+        Err(_) => return Err(not_sent(&format!("no connection within {CONNECT_TIMEOUT:?}"))),
+    };
+    watch_over(&stream);
+    let handshake = Builder::new()
+        .max_buf_size(MAX_HEAD_BYTES)
+        .handshake(TokioIo::new(stream));
+    let (tx, connection) = handshake.await.map_err(|e| not_sent(&e))?;
+    tokio::spawn(async move {
+        if let Err(e) = connection.await {
+            log::debug!("event=target_connection_ended target={address} error={e:?}");
+        }
+    });
+    Ok(tx)
+}
+
+/// Sets socket options by which the kernel detects a peer that disappeared without
+/// closing the connection: `TCP_NODELAY`, `TCP_USER_TIMEOUT` and keep-alive probes. An
+/// option that the kernel refuses is only logged.
+pub fn watch_over(stream: &TcpStream) {
+    watch_over_for(stream, TCP_USER_TIMEOUT);
+}
+
+/// Like [`watch_over`], with another time after which a connection without an
+/// acknowledgement, or with a full window, is closed.
+pub fn watch_over_for(stream: &TcpStream, timeout: Duration) {
+    let socket = SockRef::from(stream);
+    let probes = TcpKeepalive::new()
+        .with_time(Duration::from_secs(2))
+        .with_interval(Duration::from_secs(1))
+        .with_retries(2);
+    let set = stream
+        .set_nodelay(true)
+        .and_then(|()| socket.set_tcp_user_timeout(Some(timeout)))
+        .and_then(|()| socket.set_tcp_keepalive(&probes));
+    if let Err(e) = set {
+        log::debug!("event=socket_option_refused error={e:?}");
+    }
+}
+
+/// Maximum size of an answer from a target's own API, bytes.
+const MAX_ANSWER_BYTES: usize = 1 << 20;
+
+/// Answer to a call to a target's own API.
+#[derive(Clone, Debug)]
+pub struct TargetReply {
+    /// HTTP status.
+    pub status: StatusCode,
+    /// Headers of the answer.
+    pub headers: HeaderMap,
+    /// Body of the answer.
+    pub body: Bytes,
+}
+
+/// Calls a target's own API and reads the complete answer.
+///
+/// # Errors
+/// [`TargetError::Late`] if the answer is not complete after `within`; otherwise as for
+/// [`TargetConnection::send`].
+pub async fn call_target(
+    connections: &KeptConnections,
+    address: SocketAddr,
+    call: &TargetCall,
+    within: Duration,
+) -> Result<TargetReply, TargetError> {
+    let calling = async {
+        let mut connection = connections.get(address, DEFAULT_IDLE_TIMEOUT).await?;
+        let req = Request::builder()
+            .method(call.method.clone())
+            .uri(&call.path)
+            .header(header::HOST, address.to_string())
+            .header(header::CONTENT_TYPE, "application/json")
+            .body(Full::new(Bytes::from(call.body.clone())))
+            .map_err(|e| TargetError::NotSent(e.to_string()))?;
+        let res = connection.send(req).await?;
+        let (head, body) = res.into_parts();
+        let limited = Limited::new(body, MAX_ANSWER_BYTES);
+        let collected = limited.collect().await;
+        let body = collected.map_err(|e| TargetError::Broken(e.to_string()))?;
+        connections.give_back(connection, &head.headers, MAX_IDLE_CONNECTIONS);
+        Ok(TargetReply {
+            status: head.status,
+            headers: head.headers,
+            body: body.to_bytes(),
+        })
+    };
+    match tokio::time::timeout(within, calling).await {
+        Ok(result) => result,
+        Err(_) => Err(TargetError::Late(within)),
+    }
+}
--- a/crates/deckwind-net/src/targets/http_client.rs
+++ b/crates/deckwind-net/src/targets/http_client.rs
@@ -1,4 +1,4 @@
-//! One HTTP/2 connection to a target, kept and made anew when it breaks.
+//! HTTP/2 client for one target. It keeps one connection and reconnects when that breaks.
 
 use super::traits::TargetError;
 use bytes::Bytes;
@@ -14,28 +14,28 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// A request's body: whole, or a stream.
+/// Body of a request: complete bytes or a stream.
 pub type Body = BoxBody<Bytes, Infallible>;
 
-/// Longest wait for a connection.
-const CONNECT: Duration = Duration::from_millis(500);
+/// Maximum time to establish a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest wait for a short answer.
-const SHORT: Duration = Duration::from_secs(2);
+/// Maximum time for a JSON call, including its answer.
+const JSON_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Between two pings on a connection with open streams; one that is not
-/// answered in the same time breaks the connection.
-const PING: Duration = Duration::from_secs(1);
+/// Interval between pings on a connection with open streams. A ping that is not answered
+/// within the same time closes the connection.
+const PING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A target's address and the connection to it. Prior knowledge of HTTP/2
-/// (RFC 9113, section 3.3): targets stand on the inside.
+/// HTTP/2 client for a target at a fixed address. It uses HTTP/2 with prior knowledge
+/// (RFC 9113, section 3.3), because targets are on the internal network.
 pub struct HttpTarget {
     address: SocketAddr,
     connection: Mutex<Option<SendRequest<Body>>>,
 }
 
 impl HttpTarget {
-    /// No connection is made before the first use.
+    /// Creates a client; it connects at the first request.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -43,52 +43,56 @@
         }
     }
 
-    /// A whole body.
-    pub fn full(bytes: impl Into<Bytes>) -> Body {
+    /// Creates a body from complete bytes.
+    pub fn full_body(bytes: impl Into<Bytes>) -> Body {
         Full::new(bytes.into()).boxed()
     }
 
-    /// The URI of a path here.
+    /// Returns the URI of a path at this target.
     pub fn uri(&self, path: &str) -> String {
         format!("http://{}{path}", self.address)
     }
 
     /// Sends a request and waits for the head of its answer.
+    ///
+    /// # Errors
+    /// [`TargetError::NotSent`] if the target cannot have received the request,
+    /// [`TargetError::Broken`] if the connection broke after it was sent.
     pub async fn send(&self, req: Request<Body>) -> Result<Response<Incoming>, TargetError> {
         let mut tx = self.connect().await?;
         if let Err(e) = tx.ready().await {
-            self.forget();
+            self.discard_connection();
             return Err(TargetError::NotSent(e.to_string()));
         }
         match tx.try_send_request(req).await {
             Ok(res) => Ok(res),
             Err(mut e) => {
-                self.forget();
-                let never_sent = e.take_message().is_some();
-                let why = e.into_error().to_string();
-                if never_sent {
-                    return Err(TargetError::NotSent(why));
+                self.discard_connection();
+                let is_unsent = e.take_message().is_some();
+                let reason = e.into_error().to_string();
+                if is_unsent {
+                    return Err(TargetError::NotSent(reason));
                 }
-                Err(TargetError::Broken(why))
+                Err(TargetError::Broken(reason))
             }
         }
     }
 
     async fn connect(&self) -> Result<SendRequest<Body>, TargetError> {
-        let known = self.connection.lock().expect("no holder panics").clone();
-        if let Some(tx) = known.filter(|tx| !tx.is_closed()) {
+        let cached = self.connection.lock().expect("no holder panics").clone();
+        if let Some(tx) = cached.filter(|tx| !tx.is_closed()) {
             return Ok(tx);
         }
         let not_sent = |e: &dyn std::fmt::Display| TargetError::NotSent(e.to_string());
-        let stream = tokio::time::timeout(CONNECT, TcpStream::connect(self.address))
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address))
             .await
             .map_err(|e| not_sent(&e))?
             .map_err(|e| not_sent(&e))?;
         stream.set_nodelay(true).map_err(|e| not_sent(&e))?;
         let (tx, connection) = hyper::client::conn::http2::Builder::new(TokioExecutor::new())
             .timer(hyper_util::rt::TokioTimer::new())
-            .keep_alive_interval(PING)
-            .keep_alive_timeout(PING)
+            .keep_alive_interval(PING_INTERVAL)
+            .keep_alive_timeout(PING_INTERVAL)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(|e| not_sent(&e))?;
@@ -97,12 +101,12 @@
         Ok(tx)
     }
 
-    fn forget(&self) {
+    fn discard_connection(&self) {
         *self.connection.lock().expect("no holder panics") = None;
     }
 
-    /// Sends a JSON body, takes a JSON answer.
-    pub async fn json<Q: Serialize, A: DeserializeOwned>(
+    /// Posts a JSON body and parses the JSON answer.
+    pub async fn post_json<Q: Serialize, A: DeserializeOwned>(
         &self,
         path: &str,
         body: &Q,
@@ -110,17 +114,17 @@
         let body = serde_json::to_vec(body).map_err(|e| TargetError::NotSent(e.to_string()))?;
         let req = Request::post(self.uri(path))
             .header(http::header::CONTENT_TYPE, "application/json")
-            .body(Self::full(body))
+            .body(Self::full_body(body))
             .map_err(|e| TargetError::NotSent(e.to_string()))?;
-        let answer = tokio::time::timeout(SHORT, self.whole(req))
+        let answer = tokio::time::timeout(JSON_TIMEOUT, self.send_and_collect(req))
             .await
-            .map_err(|_| TargetError::Late(SHORT))??;
+            .map_err(|_| TargetError::Late(JSON_TIMEOUT))??;
         serde_json::from_slice(&answer.into_body()).map_err(|e| TargetError::Broken(e.to_string()))
     }
 
-    /// Sends a request and reads the whole answer; anything but success is a
-    /// refusal.
-    async fn whole(&self, req: Request<Body>) -> Result<Response<Bytes>, TargetError> {
+    /// Sends a request and reads the complete answer. Any status other than success
+    /// is returned as [`TargetError::Refused`].
+    async fn send_and_collect(&self, req: Request<Body>) -> Result<Response<Bytes>, TargetError> {
         let res = self.send(req).await?;
         let (head, body) = res.into_parts();
         let bytes = body
--- a/crates/deckwind-net/src/targets/http_engine.rs
+++ b/crates/deckwind-net/src/targets/http_engine.rs
@@ -1,8 +1,8 @@
-//! An engine over HTTP/2: a stage is one request whose body and answer are both
-//! streams of JSON lines, an order a line, an output a line.
+//! HTTP/2 client for engines. A stage is one request whose body and answer are streams
+//! of JSON lines: one step order per line, one step output per line.
 
 use super::http_client::HttpTarget;
-use super::rest::refusal;
+use super::retry_after::refusal_error;
 use super::traits::{
     CacheEvents, Engine, EngineLoad, KvExport, OpenStage, StageStream, TargetError,
 };
@@ -19,17 +19,17 @@
 use tokio::sync::mpsc;
 use tokio_stream::wrappers::ReceiverStream;
 
-/// Path of each call.
+/// Paths of the engine API.
 pub mod paths {
-    /// Opens a stage.
+    /// Opening a stage.
     pub const STAGE: &str = "/v1/stage";
     /// Load report.
     pub const LOAD: &str = "/v1/load";
     /// Cache events.
     pub const EVENTS: &str = "/v1/cache-events";
-    /// KV cache out.
+    /// Export of a KV cache.
     pub const EXPORT: &str = "/v1/kv/export";
-    /// KV cache in.
+    /// Import of a KV cache.
     pub const IMPORT: &str = "/v1/kv/import";
     /// Fenced orders.
     pub const ORDER: &str = "/v1/order";
@@ -38,12 +38,12 @@
 /// Header that carries an [`OpenStage`] as JSON.
 pub const OPEN_HEADER: &str = "deckwind-stage";
 
-/// An engine at an address.
+/// HTTP/2 client for an engine.
 #[derive(Clone)]
 pub struct HttpEngine(Arc<HttpTarget>);
 
 impl HttpEngine {
-    /// No connection is made before the first use.
+    /// Creates a client; it connects at the first request.
     pub fn new(address: SocketAddr) -> Self {
         Self(Arc::new(HttpTarget::new(address)))
     }
@@ -58,7 +58,7 @@
             .map_err(|e| TargetError::NotSent(e.to_string()))?;
         let res = self.0.send(req).await?;
         if !res.status().is_success() {
-            return Err(refusal(res.status(), res.headers()));
+            return Err(refusal_error(res.status(), res.headers()));
         }
         Ok(Box::new(HttpStage {
             tx,
@@ -74,23 +74,23 @@
     }
 
     fn load(&self) -> BoxFuture<'_, Result<EngineLoad, TargetError>> {
-        Box::pin(async move { self.0.json(paths::LOAD, &()).await })
+        Box::pin(async move { self.0.post_json(paths::LOAD, &()).await })
     }
 
     fn cache_events(&self, from: u64) -> BoxFuture<'_, Result<CacheEvents, TargetError>> {
-        Box::pin(async move { self.0.json(paths::EVENTS, &from).await })
+        Box::pin(async move { self.0.post_json(paths::EVENTS, &from).await })
     }
 
     fn export_kv(&self, session: String) -> BoxFuture<'_, Result<KvExport, TargetError>> {
-        Box::pin(async move { self.0.json(paths::EXPORT, &session).await })
+        Box::pin(async move { self.0.post_json(paths::EXPORT, &session).await })
     }
 
     fn import_kv(&self, kv: KvExport) -> BoxFuture<'_, Result<(), TargetError>> {
-        Box::pin(async move { self.0.json(paths::IMPORT, &kv).await })
+        Box::pin(async move { self.0.post_json(paths::IMPORT, &kv).await })
     }
 
     fn order(&self, order: TargetOrder) -> BoxFuture<'_, Result<(), TargetError>> {
-        Box::pin(async move { self.0.json(paths::ORDER, &order).await })
+        Box::pin(async move { self.0.post_json(paths::ORDER, &order).await })
     }
 }
 
@@ -102,18 +102,18 @@
     buf: BytesMut,
 }
 
-fn broken(e: impl std::fmt::Display) -> TargetError {
+fn broken_error(e: impl std::fmt::Display) -> TargetError {
     TargetError::Broken(e.to_string())
 }
 
 impl HttpStage {
-    async fn run(&mut self, order: StepOrder) -> Result<StepOutput, TargetError> {
-        let mut line = serde_json::to_vec(&order).map_err(broken)?;
+    async fn run_step(&mut self, order: StepOrder) -> Result<StepOutput, TargetError> {
+        let mut line = serde_json::to_vec(&order).map_err(broken_error)?;
         line.push(b'\n');
         let frame = Frame::data(Bytes::from(line));
-        self.tx.send(Ok(frame)).await.map_err(broken)?;
+        self.tx.send(Ok(frame)).await.map_err(broken_error)?;
         let line = self.read_line().await?;
-        serde_json::from_slice(&line).map_err(broken)
+        serde_json::from_slice(&line).map_err(broken_error)
     }
 
     async fn read_line(&mut self) -> Result<BytesMut, TargetError> {
@@ -122,8 +122,8 @@
                 return Ok(self.buf.split_to(end + 1));
             }
             let frame = self.rx.frame().await;
-            let frame = frame.ok_or_else(|| broken("the engine ended the stage"))?;
-            if let Ok(data) = frame.map_err(broken)?.into_data() {
+            let frame = frame.ok_or_else(|| broken_error("the engine closed the stage"))?;
+            if let Ok(data) = frame.map_err(broken_error)?.into_data() {
                 self.buf.extend_from_slice(&data);
             }
         }
@@ -132,7 +132,7 @@
 
 impl StageStream for HttpStage {
     fn step(&mut self, order: StepOrder) -> BoxFuture<'_, Result<StepOutput, TargetError>> {
-        Box::pin(self.run(order))
+        Box::pin(self.run_step(order))
     }
 
     fn close(self: Box<Self>) -> BoxFuture<'static, ()> {
--- a/crates/deckwind-net/src/targets/http_platform.rs
+++ b/crates/deckwind-net/src/targets/http_platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list over HTTP/2.
+//! HTTP/2 client for the platform's list of VMs.
 
 use super::http_client::HttpTarget;
 use super::traits::{PlatformList, PlatformSnapshot, TargetError};
@@ -6,15 +6,15 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Path of the list.
+/// Path of the VM list.
 pub const VMS_PATH: &str = "/v1/vms";
 
-/// The list at an address.
+/// HTTP/2 client for the platform's list of VMs.
 #[derive(Clone)]
 pub struct HttpPlatformList(Arc<HttpTarget>);
 
 impl HttpPlatformList {
-    /// No connection is made before the first use.
+    /// Creates a client; it connects at the first request.
     pub fn new(address: SocketAddr) -> Self {
         Self(Arc::new(HttpTarget::new(address)))
     }
@@ -22,6 +22,6 @@
 
 impl PlatformList for HttpPlatformList {
     fn list(&self) -> BoxFuture<'_, Result<PlatformSnapshot, TargetError>> {
-        Box::pin(async move { self.0.json(VMS_PATH, &()).await })
+        Box::pin(async move { self.0.post_json(VMS_PATH, &()).await })
     }
 }
--- a/crates/deckwind-net/src/targets/http_service.rs
+++ b/crates/deckwind-net/src/targets/http_service.rs
@@ -1,7 +1,7 @@
-//! A plain service over HTTP/2.
+//! HTTP/2 client for plain services.
 
 use super::http_client::HttpTarget;
-use super::rest::refusal;
+use super::retry_after::refusal_error;
 use super::traits::{PlainService, ServiceAnswer, ServiceCall, TargetError};
 use crate::BoxFuture;
 use http::{Request, StatusCode, header};
@@ -9,15 +9,15 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Carries the idempotency key (draft-ietf-httpapi-idempotency-key-header).
+/// Header with the idempotency key (draft-ietf-httpapi-idempotency-key-header).
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// A plain service at an address.
+/// HTTP/2 client for a plain service.
 #[derive(Clone)]
 pub struct HttpService(Arc<HttpTarget>);
 
 impl HttpService {
-    /// No connection is made before the first use.
+    /// Creates a client; it connects at the first request.
     pub fn new(address: SocketAddr) -> Self {
         Self(Arc::new(HttpTarget::new(address)))
     }
@@ -29,12 +29,12 @@
             req = req.header(IDEMPOTENCY_KEY, key);
         }
         let req = req
-            .body(HttpTarget::full(call.body))
+            .body(HttpTarget::full_body(call.body))
             .map_err(|e| TargetError::NotSent(e.to_string()))?;
         let res = self.0.send(req).await?;
         let status = res.status();
         if status == StatusCode::SERVICE_UNAVAILABLE {
-            return Err(refusal(status, res.headers()));
+            return Err(refusal_error(status, res.headers()));
         }
         let content_type = res
             .headers()
--- a/crates/deckwind-net/src/targets/http_weights.rs
+++ b/crates/deckwind-net/src/targets/http_weights.rs
@@ -1,4 +1,4 @@
-//! The weight store over HTTP/2, by range requests (RFC 9110, section 14).
+//! HTTP/2 client for the weight store, using range requests (RFC 9110, section 14).
 
 use super::http_client::HttpTarget;
 use super::traits::{TargetError, WeightChunk, WeightStore};
@@ -8,17 +8,17 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A weight store at an address.
+/// HTTP/2 client for a weight store.
 #[derive(Clone)]
 pub struct HttpWeightStore(Arc<HttpTarget>);
 
 impl HttpWeightStore {
-    /// No connection is made before the first use.
+    /// Creates a client; it connects at the first request.
     pub fn new(address: SocketAddr) -> Self {
         Self(Arc::new(HttpTarget::new(address)))
     }
 
-    async fn read_part(
+    async fn read_chunk(
         &self,
         path: String,
         offset: u64,
@@ -26,20 +26,21 @@
     ) -> Result<WeightChunk, TargetError> {
         if len == 0 {
             return Err(TargetError::NotSent(
-                "a part needs at least one byte".to_string(),
+                "a chunk must have at least one byte".to_string(),
             ));
         }
         let range = format!("bytes={offset}-{}", offset + len - 1);
         let req = Request::get(self.0.uri(&path))
             .header(header::RANGE, range)
-            .body(HttpTarget::full(Vec::new()))
+            .body(HttpTarget::full_body(Vec::new()))
             .map_err(|e| TargetError::NotSent(e.to_string()))?;
         let res = self.0.send(req).await?;
         if !res.status().is_success() {
             return Err(TargetError::Refused(res.status().to_string()));
         }
-        let total = total_of(res.headers())
-            .ok_or_else(|| TargetError::Broken("no content-range in the answer".to_string()))?;
+        let total = total_size(res.headers()).ok_or_else(|| {
+            TargetError::Broken("the answer has no valid Content-Range".to_string())
+        })?;
         let body = res.into_body().collect().await;
         let bytes = body
             .map_err(|e| TargetError::Broken(e.to_string()))?
@@ -51,7 +52,7 @@
     }
 }
 
-fn total_of(headers: &http::HeaderMap) -> Option<u64> {
+fn total_size(headers: &http::HeaderMap) -> Option<u64> {
     let range = headers.get(header::CONTENT_RANGE)?.to_str().ok()?;
     range.rsplit('/').next()?.parse().ok()
 }
@@ -65,6 +66,6 @@
         len: u64,
     ) -> BoxFuture<'_, Result<WeightChunk, TargetError>> {
         let path = format!("/v1/weights/{model}/{version}");
-        Box::pin(self.read_part(path, offset, len))
+        Box::pin(self.read_chunk(path, offset, len))
     }
 }
--- a/crates/deckwind-net/src/targets/traits.rs
+++ b/crates/deckwind-net/src/targets/traits.rs
@@ -1,4 +1,4 @@
-//! The traits, and what goes through them.
+//! Traits for external systems, and the data types of their methods.
 
 use crate::BoxFuture;
 use deckwind_core::control::TargetOrder;
@@ -10,28 +10,29 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// What went wrong with a target, told apart by what may have run.
+/// Error of a call to a target. The variants differ in whether the request may have run.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum TargetError {
-    /// No byte can have been taken: certainly not run.
+    /// The target cannot have received the request, so it did not run.
     #[error("not sent: {0}")]
     NotSent(String),
-    /// The target itself says that it did not run it.
+    /// The target refused the request and states that it did not run it.
     #[error("refused by the target: {0}")]
     Refused(String),
-    /// The same, and it wants to be left alone for so long.
+    /// The target refused the request, as for [`TargetError::Refused`], and requests a
+    /// rest period of this length.
     #[error("refused by the target, which rests for {0:?}")]
     Rests(Duration),
-    /// It may have run.
+    /// The connection broke after the request was sent; it may have run.
     #[error("the connection broke: {0}")]
     Broken(String),
-    /// It may still run.
+    /// No answer arrived in time; the request may have run or still be running.
     #[error("no answer within {0:?}")]
     Late(Duration),
 }
 
 impl TargetError {
-    /// Whether the request certainly did not run.
+    /// Returns whether the request certainly did not run.
     pub fn certainly_not_run(&self) -> bool {
         match self {
             TargetError::NotSent(_) | TargetError::Refused(_) | TargetError::Rests(_) => true,
@@ -40,82 +41,82 @@
     }
 }
 
-/// A stage to open at an engine.
+/// Request to open a stage at an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenStage {
-    /// Session, unique over all routers.
+    /// Session id, unique over all routers.
     pub session: String,
     /// Layers to run.
     pub layers: LayerRange,
-    /// Adapter to run them with.
+    /// Adapter to run the layers with.
     pub adapter: Option<String>,
-    /// Order of service.
+    /// Priority of the session.
     pub priority: Priority,
-    /// Prompt prefixes that it may have cached, as hashes, shortest first.
+    /// Hashes of prompt prefixes that the engine may have cached, shortest first.
     pub prefixes: Vec<u64>,
 }
 
-/// A stage that is open: one session at one engine.
+/// An open stage: one session at one engine.
 pub trait StageStream: Send {
-    /// Runs a step. Steps of one stage are ordered one at a time.
+    /// Runs a step. Only one step of a stage may be in progress at a time.
     fn step(&mut self, order: StepOrder) -> BoxFuture<'_, Result<StepOutput, TargetError>>;
 
-    /// Ends the session there and frees its cache. Dropping a stream without
-    /// this cancels the session too.
+    /// Ends the session at the engine and frees its cache. Dropping the stream without
+    /// calling this also cancels the session.
     fn close(self: Box<Self>) -> BoxFuture<'static, ()>;
 }
 
-/// What an engine says of its load.
+/// Load report of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
-    /// Layers of all open stages, added up.
+    /// Total number of layers of all open stages.
     pub load: u32,
-    /// Open stages.
+    /// Number of open stages.
     pub sessions: u32,
-    /// How long ago this was true, milliseconds.
+    /// Age of the report, milliseconds.
     pub age_ms: u64,
 }
 
-/// What happened to a cached prefix.
+/// Type of a cache event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum CacheEventKind {
-    /// It was put in.
+    /// The prefix was added to the cache.
     Stored,
-    /// It was dropped.
+    /// The prefix was removed from the cache.
     Removed,
 }
 
-/// A cache event. Events come late, and some never come.
+/// A change to an engine's prefix cache. Events arrive late, and some are lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Number of the event; a gap means that some were lost.
+    /// Sequence number; a gap means that events were lost.
     pub sequence: u64,
-    /// What happened.
+    /// Type of the event.
     pub kind: CacheEventKind,
-    /// To which prefix.
+    /// Hash of the prefix.
     pub prefix: u64,
 }
 
-/// Events after a number.
+/// Cache events from a sequence number on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvents {
-    /// The events, in order; the first number may be above the one asked for.
+    /// Events in order. The first number may be above the requested one.
     pub events: Vec<CacheEvent>,
-    /// Number to ask for next.
+    /// Sequence number to request next.
     pub next: u64,
 }
 
-/// A session's KV cache of one stage.
+/// Exported KV cache of one stage of a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvExport {
-    /// Session.
+    /// Session id.
     pub session: String,
-    /// Layers that it covers.
+    /// Layers that the cache covers.
     pub layers: LayerRange,
-    /// Positions that it holds.
+    /// Number of token positions in the cache.
     pub positions: u32,
-    /// The cache; only engines read it.
+    /// Content of the cache, which only engines interpret.
     pub data: Activation,
 }
 
@@ -123,62 +124,62 @@
 pub trait Engine: Send + Sync {
     /// Opens a stage.
     fn open(&self, open: OpenStage) -> BoxFuture<'_, Result<Box<dyn StageStream>, TargetError>>;
-    /// Its load, with a lag.
+    /// Returns the engine's load; the report may be outdated.
     fn load(&self) -> BoxFuture<'_, Result<EngineLoad, TargetError>>;
-    /// Cache events from a number on.
+    /// Returns cache events from a sequence number on.
     fn cache_events(&self, from: u64) -> BoxFuture<'_, Result<CacheEvents, TargetError>>;
-    /// The KV cache of an open stage.
+    /// Exports the KV cache of an open stage.
     fn export_kv(&self, session: String) -> BoxFuture<'_, Result<KvExport, TargetError>>;
-    /// Takes a KV cache in, for a stage to be opened with the same session.
+    /// Imports a KV cache, for a stage to be opened with the same session id.
     fn import_kv(&self, kv: KvExport) -> BoxFuture<'_, Result<(), TargetError>>;
-    /// Takes an order; refuses one with an old fence if it checks them.
+    /// Sends an order. Engines that check fences refuse an order with an old fence.
     fn order(&self, order: TargetOrder) -> BoxFuture<'_, Result<(), TargetError>>;
 }
 
 /// A call to a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceCall {
-    /// Path below the template's.
+    /// Path relative to the path of the template.
     pub path: String,
-    /// Body.
+    /// Body of the request.
     pub body: Vec<u8>,
     /// Content type of the body.
     pub content_type: String,
-    /// Idempotency key, passed on.
+    /// Idempotency key to forward to the service.
     pub idempotency_key: Option<String>,
-    /// When to give up.
+    /// Maximum time to wait for the answer.
     pub timeout: Duration,
 }
 
-/// A plain service's answer.
+/// Answer of a plain service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceAnswer {
     /// HTTP status.
     pub status: u16,
     /// Content type of the body.
     pub content_type: String,
-    /// Body.
+    /// Body of the answer.
     pub body: Vec<u8>,
 }
 
-/// A plain service.
+/// A plain service: a target that answers single HTTP requests.
 pub trait PlainService: Send + Sync {
-    /// Calls it once.
+    /// Calls the service once, without retries.
     fn call(&self, call: ServiceCall) -> BoxFuture<'_, Result<ServiceAnswer, TargetError>>;
 }
 
-/// A part of a model's weights.
+/// Part of a model's weights.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightChunk {
-    /// Bytes from the offset asked for.
+    /// Bytes from the requested offset on.
     pub bytes: Vec<u8>,
-    /// Size of the whole.
+    /// Size of the complete weights, bytes.
     pub total: u64,
 }
 
 /// The rate-limited store for model weights.
 pub trait WeightStore: Send + Sync {
-    /// Reads a part. A store that is at its rate refuses.
+    /// Reads a part. The store refuses reads above its rate limit.
     fn read(
         &self,
         model: String,
@@ -188,17 +189,17 @@
     ) -> BoxFuture<'_, Result<WeightChunk, TargetError>>;
 }
 
-/// The platform's list as of a moment; it lags.
+/// The platform's list of VMs at one point in time; it lags behind the actual state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformSnapshot {
-    /// Goes up with each list.
+    /// Sequence number; increases with each list.
     pub sequence: u64,
-    /// VMs by IP.
+    /// IP address and status of each VM.
     pub vms: Vec<(IpAddr, PlatformStatus)>,
 }
 
-/// The platform's lagging list of VMs.
+/// Source of the platform's list of VMs, which lags behind the actual state.
 pub trait PlatformList: Send + Sync {
-    /// The latest list.
+    /// Returns the latest list.
     fn list(&self) -> BoxFuture<'_, Result<PlatformSnapshot, TargetError>>;
 }
--- a/crates/deckwind-net/src/open_peers.rs
+++ b/crates/deckwind-net/src/unauthenticated.rs
@@ -1,8 +1,8 @@
-//! QUIC between peers that have no keys in common.
+//! QUIC without peer authentication, for processes without configured keys.
 //!
-//! Each process makes a certificate at its start; nobody checks it. The
-//! connection is encrypted, but a peer is trusted because it can reach the
-//! address, so this is only for networks that nobody else reaches.
+//! Each process generates a certificate when it starts, and peers do not verify it. The
+//! connection is encrypted, but any peer that can reach the address is trusted, so this
+//! is only safe on networks that no other party can reach.
 
 use crate::keys;
 use anyhow::Result;
@@ -16,11 +16,12 @@
 use std::net::IpAddr;
 use std::sync::Arc;
 
-/// Takes whichever certificate the peer shows; the peer must hold its key.
+/// Certificate verifier that accepts any certificate. It still verifies that the peer
+/// holds the certificate's private key.
 #[derive(Debug)]
-struct AnyPeer(Arc<CryptoProvider>);
+struct AcceptAnyCertificate(Arc<CryptoProvider>);
 
-impl ServerCertVerifier for AnyPeer {
+impl ServerCertVerifier for AcceptAnyCertificate {
     fn verify_server_cert(
         &self,
         _: &CertificateDer<'_>,
@@ -38,7 +39,7 @@
         _: &CertificateDer<'_>,
         _: &DigitallySignedStruct,
     ) -> Result<HandshakeSignatureValid, rustls::Error> {
-        Err(rustls::Error::General("QUIC has TLS 1.3 only".to_string()))
+        Err(rustls::Error::General("QUIC requires TLS 1.3".to_string()))
     }
 
     fn verify_tls13_signature(
@@ -56,8 +57,8 @@
     }
 }
 
-/// Both sides' settings, with a certificate for `ip` that is made now.
-pub fn configs(ip: IpAddr, alpn: &[u8]) -> Result<(ServerConfig, ClientConfig)> {
+/// Returns server and client configuration with a newly generated certificate for `ip`.
+pub fn endpoint_configs(ip: IpAddr, alpn: &[u8]) -> Result<(ServerConfig, ClientConfig)> {
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let ca = keys::new_ca()?;
     let pair = keys::new_vm_certificate(&ca.key, "deckwind", ip)?;
@@ -72,7 +73,7 @@
     let mut client = rustls::ClientConfig::builder_with_provider(provider.clone())
         .with_protocol_versions(&versions)?
         .dangerous()
-        .with_custom_certificate_verifier(Arc::new(AnyPeer(provider)))
+        .with_custom_certificate_verifier(Arc::new(AcceptAnyCertificate(provider)))
         .with_no_client_auth();
     client.alpn_protocols = vec![alpn.to_vec()];
     Ok((
