--- a/crates/deckwind-config/src/check.rs
+++ b/crates/deckwind-config/src/check.rs
@@ -1,7 +1,7 @@
-//! Reads a settings file and checks it as a whole.
+//! Loading of a settings file, and checks across its keys.
 
+use crate::collector::Collector;
 use crate::finding::{Finding, Findings};
-use crate::place::Collector;
 use crate::schema::{SETTINGS, check_object};
 use crate::settings::{ControlSettings, RouterSettings, SeedSettings, Settings};
 use jsonc_parser::ast::Value;
@@ -11,31 +11,34 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Reads `file` and answers with the settings or with all that is wrong.
-/// Relative paths in it count from the file's folder.
+/// Loads the settings from `file`. Relative paths in it are resolved against the folder
+/// of the file.
+///
+/// # Errors
+/// All problems found in the file.
 pub fn load(file: &Path) -> Result<Settings, Findings> {
-    let text = std::fs::read_to_string(file).map_err(|e| unreadable(file, &e))?;
+    let text = std::fs::read_to_string(file).map_err(|e| unreadable_file(file, &e))?;
     let mut out = Collector::new(file, &text);
     let settings = parse(&text, &mut out).map(|mut s| {
         let folder = file.parent().unwrap_or(Path::new("."));
-        make_absolute(&mut s, folder);
-        name_slot(&mut s);
-        check(&s, &mut out);
+        resolve_paths(&mut s, folder);
+        derive_slot(&mut s);
+        check_settings(&s, &mut out);
         s
     });
     match settings {
         Some(s) if out.is_clean() => Ok(s),
-        _ => Err(Findings(out.finish())),
+        _ => Err(Findings(out.into_findings())),
     }
 }
 
-fn unreadable(file: &Path, e: &std::io::Error) -> Findings {
+fn unreadable_file(file: &Path, e: &std::io::Error) -> Findings {
     Findings(vec![Finding {
         file: file.to_path_buf(),
         line: 1,
         column: 1,
         key: String::new(),
-        message: format!("can't be read: {e}; name a settings file with --settings"),
+        message: format!("cannot be read: {e}; give the path of a settings file with --settings"),
     }])
 }
 
@@ -59,57 +62,57 @@
     if !out.is_clean() {
         return None;
     }
-    match to_settings(text) {
+    match deserialize_settings(text) {
         Ok(settings) => Some(settings),
         Err(e) => {
-            out.add(0, "", format!("can't be taken in: {e:#}"));
+            out.add(0, "", format!("cannot be deserialized: {e:#}"));
             None
         }
     }
 }
 
-fn to_settings(text: &str) -> anyhow::Result<Settings> {
+fn deserialize_settings(text: &str) -> anyhow::Result<Settings> {
     let mut value = parse_to_serde_value::<serde_json::Value>(text, &ParseOptions::default())?;
-    drop_empty(&mut value);
+    remove_empty_values(&mut value);
     Ok(serde_json::from_value(value)?)
 }
 
-/// Drops keys that a template left empty; the schema has refused those that
-/// must not be.
-fn drop_empty(value: &mut serde_json::Value) {
+/// Removes keys that a template left empty. The schema has already rejected required
+/// keys with an empty value.
+fn remove_empty_values(value: &mut serde_json::Value) {
     match value {
         serde_json::Value::Object(map) => {
             map.retain(|_, v| v.as_str() != Some(""));
-            map.values_mut().for_each(drop_empty);
+            map.values_mut().for_each(remove_empty_values);
         }
-        serde_json::Value::Array(list) => list.iter_mut().for_each(drop_empty),
+        serde_json::Value::Array(list) => list.iter_mut().for_each(remove_empty_values),
         _ => {}
     }
 }
 
-fn make_absolute(s: &mut Settings, folder: &Path) {
-    let fix = |p: &mut PathBuf| *p = folder.join(&*p);
+fn resolve_paths(s: &mut Settings, folder: &Path) {
+    let resolve = |p: &mut PathBuf| *p = folder.join(&*p);
     if let Some(keys) = &mut s.keys {
-        fix(&mut keys.ca);
-        fix(&mut keys.certificate);
-        fix(&mut keys.key);
+        resolve(&mut keys.ca);
+        resolve(&mut keys.certificate);
+        resolve(&mut keys.key);
     }
     if let Some(c) = &mut s.control {
-        fix(&mut c.data_folder);
+        resolve(&mut c.data_folder);
     }
     if let Some(f) = &mut s.log.folder {
-        fix(f);
+        resolve(f);
     }
 }
 
-/// With seeds a replica's slot is its address.
-fn name_slot(s: &mut Settings) {
+/// With seeds, sets the slot of the control replica to the VM's IP address as a number.
+fn derive_slot(s: &mut Settings) {
     if let (Some(seeds), Some(control)) = (&s.seeds, &mut s.control) {
         control.slot = u32::from(seeds.ip);
     }
 }
 
-fn check(s: &Settings, out: &mut Collector) {
+fn check_settings(s: &Settings, out: &mut Collector) {
     if s.router.is_none() && s.control.is_none() {
         out.add(
             0,
@@ -117,8 +120,8 @@
             "has neither a router nor a control part; write at least one",
         );
     }
-    check_what_seeds_replace(s, out);
-    check_files(s, out);
+    check_required_without_seeds(s, out);
+    check_key_files(s, out);
     check_control_vms(s, out);
     if let Some(c) = &s.control {
         check_control(s, c, out);
@@ -126,11 +129,11 @@
     if let Some(r) = &s.router {
         check_router(s, r, out);
     }
-    check_clashes(s, out);
+    check_address_conflicts(s, out);
 }
 
-/// What may only be left out where replicas are found by seeds.
-fn check_what_seeds_replace(s: &Settings, out: &mut Collector) {
+/// Checks keys that may only be omitted if replicas are discovered through seeds.
+fn check_required_without_seeds(s: &Settings, out: &mut Collector) {
     if s.seeds.is_some() {
         return;
     }
@@ -149,7 +152,7 @@
     }
 }
 
-fn check_files(s: &Settings, out: &mut Collector) {
+fn check_key_files(s: &Settings, out: &mut Collector) {
     let Some(keys) = &s.keys else {
         return;
     };
@@ -181,9 +184,9 @@
     }
     let mut slots = BTreeMap::new();
     for (i, vm) in s.control_vms.iter().enumerate() {
-        if let Some(first) = slots.insert(vm.slot, i) {
+        if let Some(conflict) = slots.insert(vm.slot, i) {
             let message = format!(
-                "slot {} is control_vms[{first}]'s too; give each its own",
+                "slot {} is control_vms[{conflict}]'s too; give each its own",
                 vm.slot
             );
             out.add_at_key(&format!("control_vms[{i}].slot"), message);
@@ -191,8 +194,8 @@
     }
 }
 
-fn check_seeds(seeds: &SeedSettings, listed: usize, out: &mut Collector) {
-    if listed > 0 {
+fn check_seeds(seeds: &SeedSettings, is_listed: usize, out: &mut Collector) {
+    if is_listed > 0 {
         let message = "stands beside control_vms; write one of the two";
         out.add_at_key("seeds", message);
     }
@@ -203,8 +206,8 @@
 }
 
 fn check_control(s: &Settings, c: &ControlSettings, out: &mut Collector) {
-    let listed = s.control_vms.iter().any(|vm| vm.slot == c.slot);
-    if s.seeds.is_none() && !listed {
+    let is_listed = s.control_vms.iter().any(|vm| vm.slot == c.slot);
+    if s.seeds.is_none() && !is_listed {
         let message = format!("slot {} is not in control_vms; add it there", c.slot);
         out.add_at_key("control.slot", message);
     }
@@ -241,7 +244,7 @@
     }
 }
 
-fn check_clashes(s: &Settings, out: &mut Collector) {
+fn check_address_conflicts(s: &Settings, out: &mut Collector) {
     let mut tcp: Vec<(&str, SocketAddr)> = Vec::new();
     if let Some(r) = &s.router {
         let optional = [
@@ -257,8 +260,8 @@
         tcp.extend(c.calls.map(|a| ("control.calls", a)));
     }
     for (i, (key, address)) in tcp.iter().enumerate() {
-        let first = tcp[..i].iter().find(|(_, a)| a == address && a.port() != 0);
-        if let Some((other, _)) = first {
+        let conflict = tcp[..i].iter().find(|(_, a)| a == address && a.port() != 0);
+        if let Some((other, _)) = conflict {
             out.add_at_key(
                 key,
                 format!("{address} is {other}'s too; give each its own port"),
--- a/crates/deckwind-config/src/place.rs
+++ b/crates/deckwind-config/src/collector.rs
@@ -1,15 +1,15 @@
-//! Byte offsets to lines and columns, and the collection of findings.
+//! Collection of findings, and conversion of byte offsets to lines and columns.
 
 use crate::finding::Finding;
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Collects findings of one file.
+/// Collects the findings of one file.
 pub struct Collector<'a> {
     file: &'a Path,
     text: &'a str,
-    /// Offset of each key's value, by its path.
-    places: BTreeMap<String, usize>,
+    /// Byte offset of each key's value, by the path of the key.
+    value_offsets: BTreeMap<String, usize>,
     findings: Vec<Finding>,
 }
 
@@ -18,17 +18,17 @@
         Self {
             file,
             text,
-            places: BTreeMap::new(),
+            value_offsets: BTreeMap::new(),
             findings: Vec::new(),
         }
     }
 
-    /// Remembers where the value of a key stands.
-    pub fn place(&mut self, key: &str, offset: usize) {
-        self.places.insert(key.to_string(), offset);
+    /// Records the byte offset of a key's value.
+    pub fn record_offset(&mut self, key: &str, offset: usize) {
+        self.value_offsets.insert(key.to_string(), offset);
     }
 
-    /// Adds a finding at an offset.
+    /// Adds a finding at a byte offset.
     pub fn add(&mut self, offset: usize, key: &str, message: impl Into<String>) {
         let before = &self.text[..offset.min(self.text.len())];
         let line_start = before.rfind('\n').map_or(0, |i| i + 1);
@@ -43,17 +43,17 @@
 
     /// Adds a finding at the value of a key.
     pub fn add_at_key(&mut self, key: &str, message: impl Into<String>) {
-        let offset = self.places.get(key).copied().unwrap_or(0);
+        let offset = self.value_offsets.get(key).copied().unwrap_or(0);
         self.add(offset, key, message);
     }
 
-    /// Whether nothing was found so far.
+    /// Returns whether there are no findings so far.
     pub fn is_clean(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// The findings, in the order of the file.
-    pub fn finish(mut self) -> Vec<Finding> {
+    /// Returns the findings, in the order of the file.
+    pub fn into_findings(mut self) -> Vec<Finding> {
         self.findings.sort_by_key(|f| (f.line, f.column));
         self.findings
     }
--- a/crates/deckwind-config/src/duration.rs
+++ b/crates/deckwind-config/src/duration.rs
@@ -1,8 +1,8 @@
-//! Times as they stand in settings.
+//! Parsing of durations in settings.
 
 use std::time::Duration;
 
-/// Units of a time that is one number with a fraction, and their seconds.
+/// Units of a duration written as one decimal number, each with its length in seconds.
 const UNITS: [(&str, f64); 5] = [
     ("us", 1e-6),
     ("ms", 1e-3),
@@ -11,15 +11,15 @@
     ("h", 3_600.0),
 ];
 
-/// A time with its unit, such as "250us", "100ms", "2.5s" or "1h 30m"; nothing
-/// if it is none.
+/// Parses a duration with its unit, such as "250us", "100ms", "2.5s" or "1h 30m".
+/// Returns `None` if the text is not a duration.
 pub fn parse_duration(text: &str) -> Option<Duration> {
     humantime::parse_duration(text)
         .ok()
-        .or_else(|| with_fraction(text))
+        .or_else(|| parse_decimal_duration(text))
 }
 
-fn with_fraction(text: &str) -> Option<Duration> {
+fn parse_decimal_duration(text: &str) -> Option<Duration> {
     let text = text.trim();
     let unit_at = text.find(|c: char| c.is_ascii_alphabetic())?;
     let (number, unit) = text.split_at(unit_at);
--- a/crates/deckwind-config/src/finding.rs
+++ b/crates/deckwind-config/src/finding.rs
@@ -1,21 +1,21 @@
-//! What is wrong, where, and what to write instead.
+//! Problems found in a settings file, with their location and a suggested correction.
 
 use std::fmt;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// One thing that is wrong.
+/// One problem in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// The file.
+    /// The settings file.
     pub file: PathBuf,
-    /// Line, from 1.
+    /// Line, starting at 1.
     pub line: usize,
-    /// Column, from 1, in characters.
+    /// Column in characters, starting at 1.
     pub column: usize,
-    /// Key, as a path with dots; empty for the file itself.
+    /// Path of the key, separated by dots; empty for the file itself.
     pub key: String,
-    /// What is wrong and what to write instead.
+    /// Description of the problem and a suggested correction.
     pub message: String,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// All that is wrong with a file; at least one.
+/// All problems found in a file; at least one.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct Findings(pub Vec<Finding>);
 
--- a/crates/deckwind-config/src/lib.rs
+++ b/crates/deckwind-config/src/lib.rs
@@ -1,18 +1,18 @@
-//! Settings of a process: JSON with comments.
+//! Settings files of a process: JSON with comments.
 //!
-//! For: reading one file, and telling everything that is wrong with it in one
-//! run, each finding with file, line and column and with what to write instead.
-//! Not for: templates, client accounts and targets; those are agreed state.
+//! This crate loads one file and reports all problems in it at once, each with file,
+//! line, column and a suggested correction. Templates, client accounts and targets are
+//! not settings; they belong to the replicated state.
 //!
 //! ```text
-//!  text ─► syntax tree ─► schema (keys, types, units) ─► serde ─► checks (clashes, files)
-//!              └──────────── findings, with their place ──────────────┘
+//!  text ─► syntax tree ─► schema (keys, types, units) ─► serde ─► checks (conflicts, files)
+//!              └──────────── findings, with their location ───────────┘
 //! ```
 
 mod check;
+mod collector;
 mod duration;
 mod finding;
-mod place;
 mod schema;
 mod settings;
 
--- a/crates/deckwind-config/src/schema.rs
+++ b/crates/deckwind-config/src/schema.rs
@@ -1,38 +1,38 @@
-//! Which keys there are and what they hold.
+//! Schema of the settings file: its keys and the types of their values.
 
+use crate::collector::Collector;
 use crate::duration::parse_duration;
-use crate::place::Collector;
 use jsonc_parser::ast::{Object, Value};
 use jsonc_parser::common::Ranged;
 use std::net::SocketAddr;
 
-/// What a value must be.
-pub enum Kind {
-    /// Any text that is not empty.
+/// Type of a value.
+pub enum ValueKind {
+    /// A text that is not empty.
     Text,
-    /// IP and port.
+    /// An IP address and port.
     Address,
-    /// A time with its unit.
+    /// A duration with its unit.
     Duration,
-    /// A whole number in a range.
+    /// An integer in a range.
     Integer { min: u64, max: u64 },
-    /// One of some words.
+    /// One of a list of words.
     Choice(&'static [&'static str]),
-    /// 64 hexadecimal digits.
+    /// A SHA-256 digest, as 64 hexadecimal digits.
     Sha256,
-    /// A number, 0 or more.
+    /// A number that is 0 or more, as a number or as text.
     Number,
-    /// A whole number up to `max`, as a number or as text.
+    /// An integer from 0 to `max`, as a number or as text.
     Count { max: u64 },
     /// `true` or `false`.
     Flag,
     /// A list of addresses.
     Addresses,
-    /// Any keys, each with such a value.
-    Map(&'static Kind),
-    /// A list of objects.
+    /// An object with any keys, each with a value of this type.
+    Map(&'static ValueKind),
+    /// A list of objects with these keys.
     List(&'static [Field]),
-    /// An object.
+    /// An object with these keys.
     Object(&'static [Field]),
 }
 
@@ -40,10 +40,10 @@
 pub struct Field {
     pub name: &'static str,
     pub required: bool,
-    pub kind: Kind,
+    pub kind: ValueKind,
 }
 
-const fn must(name: &'static str, kind: Kind) -> Field {
+const fn required_key(name: &'static str, kind: ValueKind) -> Field {
     Field {
         name,
         required: true,
@@ -51,7 +51,7 @@
     }
 }
 
-const fn may(name: &'static str, kind: Kind) -> Field {
+const fn optional_key(name: &'static str, kind: ValueKind) -> Field {
     Field {
         name,
         required: false,
@@ -59,109 +59,121 @@
     }
 }
 
-/// Most control VMs that may be lost at once: a quorum over more than 31 would
-/// cost a leader more messages than any deployment needs.
-const MOST_LOST: u64 = 15;
+/// Maximum for `seeds.lost_at_once`. Losing more VMs at once requires more than 31
+/// replicas, and a quorum of that size costs a leader more messages than any deployment
+/// needs.
+const MAX_LOST_AT_ONCE: u64 = 15;
 
 /// Keys of a settings file.
 pub static SETTINGS: &[Field] = &[
-    must("vm", Kind::Text),
-    must("data_centre", Kind::Text),
-    may(
+    required_key("vm", ValueKind::Text),
+    required_key("data_centre", ValueKind::Text),
+    optional_key(
         "keys",
-        Kind::Object(&[
-            must("ca", Kind::Text),
-            must("certificate", Kind::Text),
-            must("key", Kind::Text),
+        ValueKind::Object(&[
+            required_key("ca", ValueKind::Text),
+            required_key("certificate", ValueKind::Text),
+            required_key("key", ValueKind::Text),
         ]),
     ),
-    may(
+    optional_key(
         "control_vms",
-        Kind::List(&[
-            must("slot", Kind::Integer { min: 0, max: 6 }),
-            must("address", Kind::Address),
+        ValueKind::List(&[
+            required_key("slot", ValueKind::Integer { min: 0, max: 6 }),
+            required_key("address", ValueKind::Address),
         ]),
     ),
-    may(
+    optional_key(
         "seeds",
-        Kind::Object(&[
-            must("ip", Kind::Text),
-            must(
+        ValueKind::Object(&[
+            required_key("ip", ValueKind::Text),
+            required_key(
                 "peer_port",
-                Kind::Integer {
+                ValueKind::Integer {
                     min: 1,
                     max: 65_535,
                 },
             ),
-            must("control", Kind::Addresses),
-            may("first_start", Kind::Flag),
-            may("lost_at_once", Kind::Count { max: MOST_LOST }),
+            required_key("control", ValueKind::Addresses),
+            optional_key("first_start", ValueKind::Flag),
+            optional_key(
+                "lost_at_once",
+                ValueKind::Count {
+                    max: MAX_LOST_AT_ONCE,
+                },
+            ),
         ]),
     ),
-    may(
+    optional_key(
         "log",
-        Kind::Object(&[
-            may("level", Kind::Choice(&["error", "warn", "info", "debug"])),
-            may("folder", Kind::Text),
+        ValueKind::Object(&[
+            optional_key(
+                "level",
+                ValueKind::Choice(&["error", "warn", "info", "debug"]),
+            ),
+            optional_key("folder", ValueKind::Text),
         ]),
     ),
-    may(
+    optional_key(
         "platform",
-        Kind::Object(&[must("list", Kind::Address), may("every", Kind::Duration)]),
+        ValueKind::Object(&[
+            required_key("list", ValueKind::Address),
+            optional_key("every", ValueKind::Duration),
+        ]),
     ),
-    may(
+    optional_key(
         "router",
-        Kind::Object(&[
-            may("callers", Kind::Address),
-            may("routes", Kind::Address),
-            may("ready", Kind::Address),
-            may("killed_after", Kind::Duration),
-            may("memory", Kind::Number),
-            may(
+        ValueKind::Object(&[
+            optional_key("callers", ValueKind::Address),
+            optional_key("routes", ValueKind::Address),
+            optional_key("ready", ValueKind::Address),
+            optional_key("killed_after", ValueKind::Duration),
+            optional_key("memory", ValueKind::Number),
+            optional_key(
                 "repeats",
-                Kind::Object(&[
-                    may("share", Kind::Number),
-                    may("beyond", Kind::Number),
-                    may("window", Kind::Duration),
+                ValueKind::Object(&[
+                    optional_key("share", ValueKind::Number),
+                    optional_key("beyond", ValueKind::Number),
+                    optional_key("window", ValueKind::Duration),
                 ]),
             ),
-            must("peers", Kind::Address),
-            must("admin", Kind::Address),
-            may("lease", Kind::Duration),
-            may("announce_every", Kind::Duration),
-            may("drain", Kind::Duration),
-            may(
+            required_key("peers", ValueKind::Address),
+            required_key("admin", ValueKind::Address),
+            optional_key("lease", ValueKind::Duration),
+            optional_key("announce_every", ValueKind::Duration),
+            optional_key("drain", ValueKind::Duration),
+            optional_key(
                 "max_body_bytes",
-                Kind::Integer {
+                ValueKind::Integer {
                     min: 1,
                     max: 1 << 30,
                 },
             ),
-            may(
+            optional_key(
                 "max_queued",
-                Kind::Integer {
+                ValueKind::Integer {
                     min: 1,
                     max: 1 << 20,
                 },
             ),
-            may("accelerators", Kind::Map(&Kind::Duration)),
-            may("links", Kind::Map(&Kind::Duration)),
+            optional_key("accelerators", ValueKind::Map(&ValueKind::Duration)),
+            optional_key("links", ValueKind::Map(&ValueKind::Duration)),
         ]),
     ),
-    may(
+    optional_key(
         "control",
-        Kind::Object(&[
-            may("slot", Kind::Integer { min: 0, max: 6 }),
-            must("data_folder", Kind::Text),
-            may("calls", Kind::Address),
-            must("admin", Kind::Address),
-            may("operator_token_sha256", Kind::Sha256),
-            may("lease", Kind::Duration),
-            may("announce_every", Kind::Duration),
-            may("link_mbps", Kind::Number),
-            may("heartbeat", Kind::Duration),
-            may("election_min", Kind::Duration),
-            may("election_max", Kind::Duration),
+        ValueKind::Object(&[
+            optional_key("slot", ValueKind::Integer { min: 0, max: 6 }),
+            required_key("data_folder", ValueKind::Text),
+            optional_key("calls", ValueKind::Address),
+            required_key("admin", ValueKind::Address),
+            optional_key("operator_token_sha256", ValueKind::Sha256),
+            optional_key("lease", ValueKind::Duration),
+            optional_key("announce_every", ValueKind::Duration),
+            optional_key("link_mbps", ValueKind::Number),
+            optional_key("heartbeat", ValueKind::Duration),
+            optional_key("election_min", ValueKind::Duration),
+            optional_key("election_max", ValueKind::Duration),
         ]),
     ),
 ];
@@ -171,11 +183,11 @@
     for prop in &object.properties {
         let name = prop.name.as_str();
         let key = join(path, name);
-        out.place(&key, prop.value.start());
+        out.record_offset(&key, prop.value.start());
         match fields.iter().find(|f| f.name == name) {
             Some(field) if !field.required && is_left_empty(&prop.value) => {}
             Some(field) => check_value(&prop.value, &field.kind, &key, out),
-            None => out.add(prop.name.start(), &key, unknown(name, fields)),
+            None => out.add(prop.name.start(), &key, unknown_key_message(name, fields)),
         }
         let first = object.properties.iter().find(|p| p.name.as_str() == name);
         if first.is_some_and(|p| p.start() != prop.start()) {
@@ -183,19 +195,19 @@
         }
     }
     for field in fields.iter().filter(|f| f.required) {
-        let there = object
+        let is_present = object
             .properties
             .iter()
             .any(|p| p.name.as_str() == field.name);
-        if !there {
-            let message = format!("is missing; write {}", example(&field.kind));
+        if !is_present {
+            let message = format!("is missing; write {}", expected_value(&field.kind));
             out.add(object.start(), &join(path, field.name), message);
         }
     }
 }
 
-/// Whether a template left this gap empty. An optional key that is empty counts
-/// as not given, so that its default holds.
+/// Returns whether a template left this value empty. An optional key with an empty value
+/// counts as not given, so that its default applies.
 fn is_left_empty(value: &Value) -> bool {
     matches!(value, Value::StringLit(s) if s.value.is_empty())
 }
@@ -208,105 +220,114 @@
     }
 }
 
-fn unknown(name: &str, fields: &[Field]) -> String {
+fn unknown_key_message(name: &str, fields: &[Field]) -> String {
     let known: Vec<&str> = fields.iter().map(|f| f.name).collect();
-    let close = known.iter().find(|k| distance(k, name) <= 2);
-    match close {
+    let closest = known.iter().find(|k| edit_distance(k, name) <= 2);
+    match closest {
         Some(k) => format!("is no known key; did you mean {k:?}?"),
         None => format!("is no known key; known here: {}", known.join(", ")),
     }
 }
 
-/// Edits between two words (Levenshtein 1966).
-fn distance(a: &str, b: &str) -> usize {
+/// Returns the edit distance between two words (Levenshtein 1966).
+fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, ca) in a.chars().enumerate() {
         let mut diagonal = row[0];
         row[0] = i + 1;
         for (j, cb) in b.iter().enumerate() {
-            let change = diagonal + usize::from(ca != *cb);
+            let substitution = diagonal + usize::from(ca != *cb);
             diagonal = row[j + 1];
-            row[j + 1] = change.min(row[j] + 1).min(diagonal + 1);
+            row[j + 1] = substitution.min(row[j] + 1).min(diagonal + 1);
         }
     }
     row[b.len()]
 }
 
-fn example(kind: &Kind) -> String {
+fn expected_value(kind: &ValueKind) -> String {
     match kind {
-        Kind::Text => "a text in quotes".to_string(),
-        Kind::Address => "an IP and port such as \"127.0.0.1:7000\"".to_string(),
-        Kind::Duration => "a time with its unit such as \"250us\", \"100ms\" or \"2s\"".to_string(),
-        Kind::Integer { min, max } => format!("a whole number from {min} to {max}"),
-        Kind::Choice(words) => format!("one of \"{}\"", words.join("\", \"")),
-        Kind::Sha256 => "64 hexadecimal digits, as `deckwind keys token` prints them".to_string(),
-        Kind::Number => "a number, 0 or more".to_string(),
-        Kind::Count { max } => format!("a whole number from 0 to {max}"),
-        Kind::Flag => "true or false".to_string(),
-        Kind::Addresses => "a list of IPs and ports".to_string(),
-        Kind::Map(_) | Kind::Object(_) => "an object { … }".to_string(),
-        Kind::List(_) => "a list [ … ] of objects".to_string(),
+        ValueKind::Text => "a text in quotes".to_string(),
+        ValueKind::Address => "an IP and port such as \"127.0.0.1:7000\"".to_string(),
+        ValueKind::Duration => {
+            "a time with its unit such as \"250us\", \"100ms\" or \"2s\"".to_string()
+        }
+        ValueKind::Integer { min, max } => format!("a whole number from {min} to {max}"),
+        ValueKind::Choice(words) => format!("one of \"{}\"", words.join("\", \"")),
+        ValueKind::Sha256 => {
+            "64 hexadecimal digits, as `deckwind keys token` prints them".to_string()
+        }
+        ValueKind::Number => "a number, 0 or more".to_string(),
+        ValueKind::Count { max } => format!("a whole number from 0 to {max}"),
+        ValueKind::Flag => "true or false".to_string(),
+        ValueKind::Addresses => "a list of IPs and ports".to_string(),
+        ValueKind::Map(_) | ValueKind::Object(_) => "an object { … }".to_string(),
+        ValueKind::List(_) => "a list [ … ] of objects".to_string(),
     }
 }
 
-fn check_value(value: &Value, kind: &Kind, key: &str, out: &mut Collector) {
+fn check_value(value: &Value, kind: &ValueKind, key: &str, out: &mut Collector) {
     match (kind, value) {
-        (Kind::Object(fields), Value::Object(o)) => check_object(o, fields, key, out),
-        (Kind::Map(inner), Value::Object(o)) => {
+        (ValueKind::Object(fields), Value::Object(o)) => check_object(o, fields, key, out),
+        (ValueKind::Map(inner), Value::Object(o)) => {
             for prop in &o.properties {
                 let key = join(key, prop.name.as_str());
-                out.place(&key, prop.value.start());
+                out.record_offset(&key, prop.value.start());
                 check_value(&prop.value, inner, &key, out);
             }
         }
-        (Kind::List(fields), Value::Array(list)) => {
+        (ValueKind::List(fields), Value::Array(list)) => {
             for (i, element) in list.elements.iter().enumerate() {
                 let key = format!("{key}[{i}]");
-                out.place(&key, element.start());
-                check_value(element, &Kind::Object(fields), &key, out);
+                out.record_offset(&key, element.start());
+                check_value(element, &ValueKind::Object(fields), &key, out);
             }
         }
-        (kind, value) if fits(value, kind) => {}
-        (kind, value) => out.add(value.start(), key, format!("must be {}", example(kind))),
+        (kind, value) if matches_kind(value, kind) => {}
+        (kind, value) => out.add(
+            value.start(),
+            key,
+            format!("must be {}", expected_value(kind)),
+        ),
     }
 }
 
-fn fits(value: &Value, kind: &Kind) -> bool {
+fn matches_kind(value: &Value, kind: &ValueKind) -> bool {
     match (kind, value) {
-        (Kind::Integer { min, max }, Value::NumberLit(n)) => n
+        (ValueKind::Integer { min, max }, Value::NumberLit(n)) => n
             .value
             .parse::<u64>()
             .is_ok_and(|v| (*min..=*max).contains(&v)),
-        (Kind::Number, Value::NumberLit(n)) => is_number(n.value),
-        (Kind::Count { max }, Value::NumberLit(n)) => is_count(n.value, *max),
-        (Kind::Flag, Value::BooleanLit(_)) => true,
-        (Kind::Addresses, Value::Array(list)) => {
-            list.elements.iter().all(|e| fits(e, &Kind::Address))
-        }
-        (kind, Value::StringLit(s)) => text_fits(&s.value, kind),
+        (ValueKind::Number, Value::NumberLit(n)) => is_non_negative_number(n.value),
+        (ValueKind::Count { max }, Value::NumberLit(n)) => is_integer_up_to(n.value, *max),
+        (ValueKind::Flag, Value::BooleanLit(_)) => true,
+        (ValueKind::Addresses, Value::Array(list)) => list
+            .elements
+            .iter()
+            .all(|e| matches_kind(e, &ValueKind::Address)),
+        (kind, Value::StringLit(s)) => text_matches_kind(&s.value, kind),
         _ => false,
     }
 }
 
-fn is_number(text: &str) -> bool {
+fn is_non_negative_number(text: &str) -> bool {
     let number = text.parse::<f64>();
     number.is_ok_and(|v| v >= 0.0 && v.is_finite())
 }
 
-fn is_count(text: &str, max: u64) -> bool {
+fn is_integer_up_to(text: &str, max: u64) -> bool {
     text.parse::<u64>().is_ok_and(|v| v <= max)
 }
 
-fn text_fits(text: &str, kind: &Kind) -> bool {
+fn text_matches_kind(text: &str, kind: &ValueKind) -> bool {
     match kind {
-        Kind::Text => !text.is_empty(),
-        Kind::Number => is_number(text),
-        Kind::Count { max } => is_count(text, *max),
-        Kind::Address => text.parse::<SocketAddr>().is_ok(),
-        Kind::Duration => parse_duration(text).is_some(),
-        Kind::Choice(words) => words.contains(&text),
-        Kind::Sha256 => text.len() == 64 && text.bytes().all(|b| b.is_ascii_hexdigit()),
+        ValueKind::Text => !text.is_empty(),
+        ValueKind::Number => is_non_negative_number(text),
+        ValueKind::Count { max } => is_integer_up_to(text, *max),
+        ValueKind::Address => text.parse::<SocketAddr>().is_ok(),
+        ValueKind::Duration => parse_duration(text).is_some(),
+        ValueKind::Choice(words) => words.contains(&text),
+        ValueKind::Sha256 => text.len() == 64 && text.bytes().all(|b| b.is_ascii_hexdigit()),
         _ => false,
     }
 }
--- a/crates/deckwind-config/src/settings.rs
+++ b/crates/deckwind-config/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings as types.
+//! Types of the settings.
 
 use crate::duration::parse_duration;
 use deckwind_core::state::{DataCentre, VmName};
@@ -13,71 +13,71 @@
 pub struct Settings {
     /// Name of the VM.
     pub vm: VmName,
-    /// Data centre that it stands in.
+    /// Data centre of the VM.
     pub data_centre: DataCentre,
-    /// Certificates; without them any peer that reaches an address is trusted.
+    /// Certificates. Without them, any peer that can reach an address is trusted.
     pub keys: Option<KeySettings>,
-    /// All control VMs; empty where `seeds` are given instead.
+    /// All control VMs; empty if `seeds` are given instead.
     #[serde(default)]
     pub control_vms: Vec<ControlVm>,
-    /// How control replicas are found where there is no list of them.
+    /// Discovery of control replicas, for settings without `control_vms`.
     pub seeds: Option<SeedSettings>,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogSettings,
-    /// The platform's list.
+    /// The platform's list of VMs.
     pub platform: Option<PlatformSettings>,
-    /// The router's role, if this process has it.
+    /// Settings of the router, if this process runs one.
     pub router: Option<RouterSettings>,
-    /// The control replica's role, if this process has it.
+    /// Settings of the control replica, if this process runs one.
     pub control: Option<ControlSettings>,
 }
 
-/// Where the certificates are; relative to the settings file.
+/// Paths of the certificates, relative to the settings file.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct KeySettings {
-    /// The CA's certificate.
+    /// Path of the CA certificate.
     pub ca: PathBuf,
-    /// This VM's certificate.
+    /// Path of this VM's certificate.
     pub certificate: PathBuf,
-    /// This VM's private key.
+    /// Path of this VM's private key.
     pub key: PathBuf,
 }
 
-/// A control VM.
+/// Entry of a VM in the list of control VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct ControlVm {
-    /// Its slot.
+    /// Slot of the control replica.
     pub slot: u32,
-    /// Its UDP address.
+    /// UDP address of the control replica.
     pub address: SocketAddr,
 }
 
-/// Control replicas find each other by a few addresses.
+/// Discovery of control replicas through a few known addresses.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct SeedSettings {
-    /// This VM's address.
+    /// IP address of this VM.
     pub ip: Ipv4Addr,
     /// UDP port of control replicas; the same on every VM.
     pub peer_port: u16,
-    /// Where some control replicas take calls. Only their IPs matter here.
+    /// Addresses at which some control replicas accept calls. Only the IPs are used.
     pub control: Vec<SocketAddrV4>,
-    /// Whether the whole system starts for the first time: only then is a
-    /// cluster formed.
+    /// Whether the whole system starts for the first time; a new cluster is only formed
+    /// then.
     #[serde(default)]
     pub first_start: bool,
-    /// Control VMs that may be lost at once.
+    /// Number of control VMs that may be lost at the same time.
     #[serde(default = "one_lost", deserialize_with = "count")]
     pub lost_at_once: u8,
 }
 
-/// Logs.
+/// Logging.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct LogSettings {
-    /// Least severe level that is written.
+    /// Least severe log level that is written.
     pub level: String,
-    /// Folder for log files; standard output if there is none.
+    /// Folder for log files; `None` for standard output.
     pub folder: Option<PathBuf>,
 }
 
@@ -90,81 +90,84 @@
     }
 }
 
-/// The platform's list of VMs.
+/// Settings for the platform's list of VMs.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct PlatformSettings {
-    /// Its TCP address.
+    /// TCP address of the list.
     pub list: SocketAddr,
-    /// How often it is read.
+    /// Interval at which the list is read.
     #[serde(default = "one_second", deserialize_with = "duration")]
     pub every: Duration,
 }
 
-/// The router's role.
+/// Settings of the router.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct RouterSettings {
     /// TCP address for callers of templates.
     pub callers: Option<SocketAddr>,
     /// TCP address for callers of published routes.
     pub routes: Option<SocketAddr>,
-    /// TCP address at which a balancer asks whether it is ready.
+    /// TCP address for readiness checks of a load balancer.
     pub ready: Option<SocketAddr>,
-    /// How long after SIGTERM the process is killed: requests in progress end
-    /// before.
+    /// Time from SIGTERM until the process is killed. Requests in progress end before
+    /// that.
     #[serde(default, deserialize_with = "maybe_duration")]
     pub killed_after: Option<Duration>,
-    /// Memory of this VM, MB: a part of it is held for slow callers at most.
+    /// Memory of this VM, MB. At most a part of it is used to buffer data for slow
+    /// callers.
     #[serde(default, deserialize_with = "maybe_number")]
     pub memory: Option<f64>,
-    /// Bound on what is sent again, over all routers.
+    /// Retry budget over all routers.
     #[serde(default)]
     pub repeats: RepeatSettings,
-    /// How often targets announce themselves; what can't be meant counts as not said.
+    /// Interval at which targets announce themselves. A value outside the usable range
+    /// is ignored.
     #[serde(default, deserialize_with = "maybe_duration")]
     pub announce_every: Option<Duration>,
-    /// UDP address towards the control replicas.
+    /// UDP address for communication with control replicas.
     pub peers: SocketAddr,
     /// TCP address for health, metrics and reports.
     pub admin: SocketAddr,
     /// Length of a lease; the same on every VM.
     #[serde(default = "two_seconds", deserialize_with = "duration")]
     pub lease: Duration,
-    /// Longest wait for requests in progress at a planned stop.
+    /// Maximum time to wait for requests in progress at a graceful shutdown.
     #[serde(default = "one_hour", deserialize_with = "duration")]
     pub drain: Duration,
-    /// Longest body of a request.
+    /// Maximum size of a request body, bytes.
     #[serde(default = "one_mebibyte")]
     pub max_body_bytes: usize,
-    /// Most requests that wait for one pool of targets.
+    /// Maximum number of requests queued for one pool of targets.
     #[serde(default = "two_thousand")]
     pub max_queued: usize,
-    /// Time of one layer of one token, by accelerator kind.
+    /// Time to compute one layer for one token, by accelerator kind.
     #[serde(default, deserialize_with = "durations")]
     pub accelerators: BTreeMap<String, Duration>,
-    /// One-way time to each data centre.
+    /// One-way network latency to each data centre.
     #[serde(default, deserialize_with = "durations")]
     pub links: BTreeMap<String, Duration>,
 }
 
-/// Bound on what is sent again, over all routers together: within any window at
-/// most a share of the requests, and some more.
+/// Retry budget over all routers together. Within any window, the number of retries is at
+/// most a share of the requests plus a constant.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct RepeatSettings {
-    /// Share of the requests.
+    /// Retries as a share of the requests.
     #[serde(deserialize_with = "number")]
     pub share: f64,
-    /// Repeats beyond the share.
+    /// Number of retries in addition to the share.
     #[serde(deserialize_with = "number")]
     pub beyond: f64,
-    /// The window.
+    /// Length of the window.
     #[serde(deserialize_with = "duration")]
     pub window: Duration,
 }
 
 impl Default for RepeatSettings {
-    /// A fifth, as usual for retry budgets; a hundred over all routers so that
-    /// the loss of one chain under little load is still repaired.
+    /// Returns a budget of a fifth of the requests, which is usual for retry budgets,
+    /// plus 100 retries over all routers, so that requests survive the loss of one
+    /// chain of engines at low load.
     fn default() -> Self {
         Self {
             share: 0.2,
@@ -174,41 +177,44 @@
     }
 }
 
-/// The control replica's role.
+/// Settings of the control replica.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 pub struct ControlSettings {
-    /// Its slot in `control_vms`; with `seeds` its address.
+    /// Slot of the replica in `control_vms`; with `seeds`, its IP address as a number.
     #[serde(default)]
     pub slot: u32,
-    /// Folder that it has for itself.
+    /// Data folder, used by this replica only.
     pub data_folder: PathBuf,
     /// TCP address for operators.
     pub admin: SocketAddr,
-    /// SHA-256 of the operators' token; without it no operator is let in there.
+    /// SHA-256 of the operators' token. Without it, `admin` refuses all operators.
     pub operator_token_sha256: Option<String>,
     /// TCP address for published releases and announcements of targets.
     pub calls: Option<SocketAddr>,
     /// Length of a router's lease; the same on every VM.
     #[serde(default = "two_seconds", deserialize_with = "duration")]
     pub lease: Duration,
-    /// How often targets announce themselves; what can't be meant counts as not said.
+    /// Interval at which targets announce themselves. A value outside the usable range
+    /// is ignored.
     #[serde(default, deserialize_with = "maybe_duration")]
     pub announce_every: Option<Duration>,
-    /// This VM's link, Mbit/s: bounds how fast a leader hands out state.
+    /// Bandwidth of this VM's network link, Mbit/s. Limits the rate at which a leader
+    /// sends state to routers.
     #[serde(default, deserialize_with = "maybe_number")]
     pub link_mbps: Option<f64>,
-    /// Between two heartbeats of the leader.
+    /// Interval between heartbeats of the leader.
     #[serde(default = "heartbeat", deserialize_with = "duration")]
     pub heartbeat: Duration,
-    /// Shortest wait before an election.
+    /// Minimum election timeout.
     #[serde(default = "election_min", deserialize_with = "duration")]
     pub election_min: Duration,
-    /// Longest wait before an election.
+    /// Maximum election timeout.
     #[serde(default = "election_max", deserialize_with = "duration")]
     pub election_max: Duration,
 }
 
-/// The fewest that agreement over several VMs is good for.
+/// Default for `lost_at_once`: the smallest value for which a quorum of several VMs is
+/// useful.
 fn one_lost() -> u8 {
     1
 }
@@ -247,14 +253,14 @@
 
 fn duration<'de, D: Deserializer<'de>>(d: D) -> Result<Duration, D::Error> {
     let text = String::deserialize(d)?;
-    duration_of(&text)
+    duration_from_text(&text)
 }
 
-fn duration_of<E: serde::de::Error>(text: &str) -> Result<Duration, E> {
-    parse_duration(text).ok_or_else(|| E::custom(format!("{text:?} is no time")))
+fn duration_from_text<E: serde::de::Error>(text: &str) -> Result<Duration, E> {
+    parse_duration(text).ok_or_else(|| E::custom(format!("{text:?} is not a duration")))
 }
 
-/// A number as such or as text: templates fill gaps inside quotes.
+/// A number, or a number as text: templates insert values inside quotes.
 #[derive(Deserialize)]
 #[serde(untagged)]
 enum NumberOrText {
@@ -274,7 +280,7 @@
 }
 
 fn count<'de, D: Deserializer<'de>>(d: D) -> Result<u8, D::Error> {
-    // The schema has checked that it is whole and small.
+    // The schema has checked that the value is a small integer.
     number(d).map(|v| v as u8)
 }
 
@@ -286,6 +292,6 @@
     let texts = BTreeMap::<String, String>::deserialize(d)?;
     texts
         .into_iter()
-        .map(|(k, v)| Ok((k, duration_of(&v)?)))
+        .map(|(k, v)| Ok((k, duration_from_text(&v)?)))
         .collect()
 }
--- a/crates/deckwind-net/src/targets/connection_pool.rs
+++ b/crates/deckwind-net/src/targets/connection_pool.rs
@@ -198,7 +198,11 @@
     let stream = match connecting.await {
         Ok(Ok(stream)) => stream,
         Ok(Err(e)) => return Err(not_sent(&e)),
-        Err(_) => return Err(not_sent(&format!("no connection within {CONNECT_TIMEOUT:?}"))),
+        Err(_) => {
+            return Err(not_sent(&format!(
+                "no connection within {CONNECT_TIMEOUT:?}"
+            )));
+        }
     };
     watch_over(&stream);
     let handshake = Builder::new()
