--- a/crates/deckwind-config/src/settings.rs
+++ b/crates/deckwind-config/src/settings.rs
@@ -199,7 +199,7 @@
     #[serde(default, deserialize_with = "maybe_duration")]
     pub announce_every: Option<Duration>,
     /// Bandwidth of this VM's network link, Mbit/s. Limits the rate at which a leader
-    /// sends state to routers.
+    /// sends state.
     #[serde(default, deserialize_with = "maybe_number")]
     pub link_mbps: Option<f64>,
     /// Interval between heartbeats of the leader.
