--- a/crates/deckwind-config/src/check.rs
+++ b/crates/deckwind-config/src/check.rs
@@ -194,8 +194,8 @@
     }
 }
 
-fn check_seeds(seeds: &SeedSettings, is_listed: usize, out: &mut Collector) {
-    if is_listed > 0 {
+fn check_seeds(seeds: &SeedSettings, listed_count: usize, out: &mut Collector) {
+    if listed_count > 0 {
         let message = "stands beside control_vms; write one of the two";
         out.add_at_key("seeds", message);
     }
--- a/crates/deckwind-config/src/lib.rs
+++ b/crates/deckwind-config/src/lib.rs
@@ -19,6 +19,6 @@
 pub use check::load;
 pub use finding::{Finding, Findings};
 pub use settings::{
-    ControlSettings, ControlVm, KeySettings, LogSettings, PlatformSettings, RepeatSettings,
+    ControlSettings, ControlVm, KeySettings, LogSettings, PlatformSettings, RetryBudgetSettings,
     RouterSettings, SeedSettings, Settings,
 };
--- a/crates/deckwind-config/src/schema.rs
+++ b/crates/deckwind-config/src/schema.rs
@@ -59,8 +59,8 @@
     }
 }
 
-/// Maximum for `seeds.lost_at_once`. Losing more VMs at once requires more than 31
-/// replicas, and a quorum of that size costs a leader more messages than any deployment
+/// Maximum for `seeds.lost_at_once`. Tolerating the loss of more VMs requires more
+/// than 31 replicas, and a quorum of that size costs a leader more messages than any deployment
 /// needs.
 const MAX_LOST_AT_ONCE: u64 = 15;
 
@@ -222,8 +222,8 @@
 
 fn unknown_key_message(name: &str, fields: &[Field]) -> String {
     let known: Vec<&str> = fields.iter().map(|f| f.name).collect();
-    let closest = known.iter().find(|k| edit_distance(k, name) <= 2);
-    match closest {
+    let similar = known.iter().find(|k| edit_distance(k, name) <= 2);
+    match similar {
         Some(k) => format!("is no known key; did you mean {k:?}?"),
         None => format!("is no known key; known here: {}", known.join(", ")),
     }
--- a/crates/deckwind-config/src/settings.rs
+++ b/crates/deckwind-config/src/settings.rs
@@ -119,7 +119,7 @@
     pub memory: Option<f64>,
     /// Retry budget over all routers.
     #[serde(default)]
-    pub repeats: RepeatSettings,
+    pub repeats: RetryBudgetSettings,
     /// Interval at which targets announce themselves. A value outside the usable range
     /// is ignored.
     #[serde(default, deserialize_with = "maybe_duration")]
@@ -152,7 +152,7 @@
 /// most a share of the requests plus a constant.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(default)]
-pub struct RepeatSettings {
+pub struct RetryBudgetSettings {
     /// Retries as a share of the requests.
     #[serde(deserialize_with = "number")]
     pub share: f64,
@@ -164,7 +164,7 @@
     pub window: Duration,
 }
 
-impl Default for RepeatSettings {
+impl Default for RetryBudgetSettings {
     /// Returns a budget of a fifth of the requests, which is usual for retry budgets,
     /// plus 100 retries over all routers, so that requests survive the loss of one
     /// chain of engines at low load.
