--- a/crates/deckwind-core/benches/decisions.rs
+++ b/crates/deckwind-core/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! Cost of each decision by size of the fleet.
+//! Time per decision of the router and leader, by size of the fleet.
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use deckwind_core::admission::{Admission, AdmissionConfig, Offer, Ticket, TicketId};
@@ -17,7 +17,8 @@
 use std::time::Duration;
 
 const LAYERS: u32 = 32;
-const SIZES: [u32; 3] = [40, 400, 3_300];
+/// Numbers of runners for which decisions are measured.
+const FLEET_SIZES: [u32; 3] = [40, 400, 3_300];
 
 fn target(i: u32) -> Target {
     let first = i % 4 * 8;
@@ -73,9 +74,10 @@
     }
 }
 
-fn choices(c: &mut Criterion) {
+/// Measures the choice of a chain, by number of runners.
+fn choose_chain(c: &mut Criterion) {
     let mut group = c.benchmark_group("choose a chain");
-    for runners in SIZES {
+    for runners in FLEET_SIZES {
         let mut fleet = Fleet::new(BTreeMap::new(), BTreeMap::new());
         fleet.apply(machine(runners).configuration());
         let mut policy = Estimated::new(1);
@@ -92,7 +94,8 @@
     group.finish();
 }
 
-fn admissions(c: &mut Criterion) {
+/// Measures admission of a request, by number of requests in the queue.
+fn admit(c: &mut Criterion) {
     let mut group = c.benchmark_group("admit, by requests that wait");
     for waiting in [0u64, 100, 1_000] {
         let mut pool = Admission::new(AdmissionConfig::default(), 0);
@@ -120,9 +123,10 @@
     group.finish();
 }
 
-fn changes(c: &mut Criterion) {
+/// Measures application of a change at the leader and at a router, by number of targets.
+fn apply_change(c: &mut Criterion) {
     let mut group = c.benchmark_group("apply a change, by targets");
-    for runners in SIZES {
+    for runners in FLEET_SIZES {
         let mut machine = machine(runners);
         let mut next = 0u64;
         let template = Template {
@@ -155,31 +159,31 @@
     group.finish();
 }
 
-/// A leader that is asked for permits by many routers, by limited targets.
-fn permits(c: &mut Criterion) {
+/// Measures permit requests to a leader, by number of limited targets.
+fn issue_permits(c: &mut Criterion) {
     let mut group = c.benchmark_group("permits, by limited targets");
     for targets in [1u32, 100, 1_000] {
         let now = Instant::from_millis(1_000);
-        let mut desk = LimitDesk::new(Term(1));
-        let asks: Vec<PermitAsk> = (0..targets).map(permit_ask).collect();
-        for ask in &asks {
-            desk.heard(now, &ask.heard);
+        let mut limiter = LimitDesk::new(Term(1));
+        let requests: Vec<PermitAsk> = (0..targets).map(permit_request).collect();
+        for request in &requests {
+            limiter.heard(now, &request.heard);
         }
-        let mut turn = 0usize;
+        let mut iteration = 0usize;
         group.bench_with_input(BenchmarkId::new("leader", targets), &targets, |b, _| {
             b.iter(|| {
-                turn += 1;
-                let now = now + Duration::from_millis(turn as u64);
-                let ask = &asks[turn % asks.len()];
-                desk.heard(now, &ask.heard);
-                desk.permit(now, ask)
+                iteration += 1;
+                let now = now + Duration::from_millis(iteration as u64);
+                let request = &requests[iteration % requests.len()];
+                limiter.heard(now, &request.heard);
+                limiter.permit(now, request)
             });
         });
     }
     group.finish();
 }
 
-fn permit_ask(i: u32) -> PermitAsk {
+fn permit_request(i: u32) -> PermitAsk {
     let address = SocketAddr::from(([10, 0, (i >> 8) as u8, i as u8], 80));
     PermitAsk {
         heard: LimitHeard {
@@ -196,5 +200,5 @@
     }
 }
 
-criterion_group!(benches, choices, admissions, changes, permits);
+criterion_group!(benches, choose_chain, admit, apply_change, issue_permits);
 criterion_main!(benches);
--- a/crates/deckwind-core/examples/policies/events.rs
+++ b/crates/deckwind-core/examples/policies/events.rs
@@ -1,15 +1,16 @@
-//! A queue of events in virtual time.
+//! Event queue in virtual time.
 
 use deckwind_core::time::Instant;
 use std::collections::BTreeMap;
 
-/// Events by time, then by the order in which they were put in.
-pub struct Events<E> {
+/// Queue of events, ordered by time and then by the order of insertion.
+pub struct EventQueue<E> {
     queue: BTreeMap<(Instant, u64), E>,
     sequence: u64,
 }
 
-impl<E> Events<E> {
+impl<E> EventQueue<E> {
+    /// Returns an empty queue.
     pub fn new() -> Self {
         Self {
             queue: BTreeMap::new(),
@@ -17,12 +18,14 @@
         }
     }
 
-    pub fn put(&mut self, at: Instant, event: E) {
+    /// Schedules an event.
+    pub fn push(&mut self, at: Instant, event: E) {
         self.sequence += 1;
         self.queue.insert((at, self.sequence), event);
     }
 
-    pub fn next(&mut self) -> Option<(Instant, E)> {
+    /// Removes and returns the earliest event with its time.
+    pub fn pop(&mut self) -> Option<(Instant, E)> {
         let ((at, _), event) = self.queue.pop_first()?;
         Some((at, event))
     }
--- a/crates/deckwind-core/examples/policies/fleet.rs
+++ b/crates/deckwind-core/examples/policies/fleet.rs
@@ -1,4 +1,4 @@
-//! Fake targets: a queue each, a rate by accelerator kind, a prefix cache.
+//! Fake targets, each with a queue, a speed by accelerator kind and a prefix cache.
 
 use deckwind_core::routing::{BoundTarget, PREFILL_COST, PrefixHash};
 use deckwind_core::state::{
@@ -9,46 +9,50 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Layers of the model.
+/// Number of layers of the model.
 pub const LAYERS: u32 = 32;
 
-/// Microseconds a layer, by accelerator kind.
+/// Accelerator kinds with their time per layer, in microseconds.
 pub const KINDS: [(&str, f64); 4] = [("k1", 25.0), ("k2", 50.0), ("k3", 100.0), ("k4", 200.0)];
 
-/// Data centres, with the one-way time from the first, microseconds.
+/// Names of the data centres.
 pub const DATA_CENTRES: [&str; 3] = ["recife-a", "recife-b", "fortaleza"];
 
-/// One way between two data centres.
-pub const BETWEEN_US: f64 = 250.0;
+/// One-way latency between two data centres, in microseconds.
+pub const INTER_DC_US: f64 = 250.0;
 
-/// One way inside a data centre.
-pub const WITHIN_US: f64 = 50.0;
+/// One-way latency inside a data centre, in microseconds.
+pub const INTRA_DC_US: f64 = 50.0;
 
-/// Prefix blocks that a target's cache keeps.
-const CACHE_BLOCKS: usize = 512;
+/// Maximum number of prefix blocks in a target's cache.
+const MAX_CACHE_BLOCKS: usize = 512;
 
-/// A fake target.
+/// Fake target with its simulated state.
 pub struct FakeTarget {
     pub target: Target,
+    /// Time per layer and token, in microseconds.
     pub layer_us: f64,
-    /// Its steps take this many times longer.
-    pub slow: f64,
+    /// Factor by which its steps take longer than normal.
+    pub slowdown: f64,
+    /// Whether its process does not run.
     pub dead: bool,
+    /// Whether it answers no steps although its process runs.
     pub frozen: bool,
-    /// Added to its link, one way, microseconds.
-    pub link_us: f64,
+    /// One-way latency of its link, in microseconds.
+    pub link_latency_us: f64,
     busy_until: Instant,
-    /// Time that it has worked, microseconds.
+    /// Total time spent on steps, in microseconds.
     pub busy_us: f64,
     cached: VecDeque<PrefixHash>,
-    /// Load by its own count: layers of open stages.
+    /// Load by its own count: total number of layers of its open stages.
     pub load: u32,
-    /// Its load as last published.
-    pub published: u32,
+    /// Load as last published to the routers.
+    pub published_load: u32,
 }
 
 impl FakeTarget {
-    /// When the answer to a step is back; nothing if it never comes.
+    /// Runs a step and returns the time at which its answer arrives, or `None` if the
+    /// target is dead or frozen.
     pub fn step(&mut self, now: Instant, layers: u32, positions: f64) -> Option<Instant> {
         if self.dead || self.frozen {
             return None;
@@ -58,35 +62,37 @@
         } else {
             1.0
         };
-        let work = batch * f64::from(layers) * self.layer_us * self.slow;
+        let work = batch * f64::from(layers) * self.layer_us * self.slowdown;
         self.busy_us += work;
-        let there = now + micros(self.link_us);
-        let start = self.busy_until.max(there);
+        let arrival = now + micros(self.link_latency_us);
+        let start = self.busy_until.max(arrival);
         self.busy_until = start + micros(work);
-        Some(self.busy_until + micros(self.link_us))
+        Some(self.busy_until + micros(self.link_latency_us))
     }
 
-    /// Prompt positions that the cache does not hold; it holds them from now on.
+    /// Returns the number of prompt positions that are not cached, at least 1, and adds
+    /// the prompt's blocks to the cache.
     pub fn uncached(&mut self, prefixes: &[PrefixHash], prompt: u32) -> u32 {
-        let hit = prefixes.iter().rposition(|p| self.cached.contains(p));
+        let last_hit = prefixes.iter().rposition(|p| self.cached.contains(p));
         let blocks = prefixes.len().max(1) as u32;
-        let cached = hit.map_or(0, |i| i as u32 + 1) * prompt / blocks;
+        let cached = last_hit.map_or(0, |i| i as u32 + 1) * prompt / blocks;
         for p in prefixes {
             self.cached.retain(|c| c != p);
             self.cached.push_back(*p);
         }
-        while self.cached.len() > CACHE_BLOCKS {
+        while self.cached.len() > MAX_CACHE_BLOCKS {
             self.cached.pop_front();
         }
         (prompt - cached).max(1)
     }
 }
 
+/// Returns a duration of the given number of microseconds.
 pub fn micros(us: f64) -> Duration {
     Duration::from_nanos((us * 1_000.0) as u64)
 }
 
-/// The chat template of all loads.
+/// Returns a chat template for the model of the fake targets.
 pub fn template(name: &str, priority: deckwind_core::state::Priority) -> Template {
     Template {
         name: name.into(),
@@ -106,8 +112,9 @@
     }
 }
 
-/// Runner `i` of a fleet: mixed kinds, mixed ranges (halves, quarters and some
-/// that straddle), spread over the data centres.
+/// Returns runner `i` of a fleet. Runners have mixed accelerator kinds and layer ranges
+/// (quarters, halves and the middle half, which overlaps both halves), and are spread
+/// over the data centres.
 pub fn runner(i: u32, slots: u32) -> FakeTarget {
     const RANGES: [(u32, u32); 7] = [
         (0, 8),
@@ -140,34 +147,36 @@
     FakeTarget {
         target,
         layer_us,
-        slow: 1.0,
+        slowdown: 1.0,
         dead: false,
         frozen: false,
-        link_us: BETWEEN_US,
+        link_latency_us: INTER_DC_US,
         busy_until: Instant::ZERO,
         busy_us: 0.0,
         cached: VecDeque::new(),
         load: 0,
-        published: 0,
+        published_load: 0,
     }
 }
 
-/// Most tokens a second that the living targets can make.
-pub fn bound<'a>(targets: impl Iterator<Item = &'a FakeTarget>) -> f64 {
-    let living = targets.filter(|t| !t.dead && !t.frozen);
-    let bound: Vec<BoundTarget> = living
+/// Returns the maximum throughput of the targets that are neither dead nor frozen, in
+/// tokens per second.
+pub fn max_throughput<'a>(targets: impl Iterator<Item = &'a FakeTarget>) -> f64 {
+    let serving = targets.filter(|t| !t.dead && !t.frozen);
+    let engines: Vec<BoundTarget> = serving
         .filter_map(|t| match t.target.kind {
             TargetKind::Engine { layers, .. } => Some(BoundTarget {
                 layers,
-                layer_us: t.layer_us * t.slow,
+                layer_us: t.layer_us * t.slowdown,
             }),
             TargetKind::Service { .. } => None,
         })
         .collect();
-    deckwind_core::routing::hardware_bound(&bound, LAYERS)
+    deckwind_core::routing::hardware_bound(&engines, LAYERS)
 }
 
-/// Costs by accelerator kind, as a router's settings have them.
-pub fn costs() -> BTreeMap<String, f64> {
+/// Returns the time per layer by accelerator kind, in microseconds, as in a router's
+/// configuration.
+pub fn layer_costs() -> BTreeMap<String, f64> {
     KINDS.iter().map(|(k, us)| (k.to_string(), *us)).collect()
 }
--- a/crates/deckwind-core/examples/policies/load.rs
+++ b/crates/deckwind-core/examples/policies/load.rs
@@ -1,59 +1,50 @@
-//! Loads and faults of the brief.
+//! Scenarios: loads combined with faults.
 
 use deckwind_core::state::Priority;
 
-/// A fault, and when it happens, seconds.
+/// Fault and the time at which it happens, in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
+    /// No fault.
     None,
-    /// A quarter of the stages die.
-    Dies {
-        at_s: f64,
-    },
-    /// They freeze, but report their load.
-    Freezes {
-        at_s: f64,
-    },
-    /// They slow down to a tenth.
-    Slows {
-        at_s: f64,
-    },
-    /// The links of a data centre get a hundred times slower.
-    LinkDegrades {
-        at_s: f64,
-    },
-    /// A quarter of the VMs join only now.
-    Join {
-        at_s: f64,
-    },
-    /// Half of the targets die.
-    HalfDie {
-        at_s: f64,
-    },
+    /// A quarter of the targets crash.
+    Crash { at_s: f64 },
+    /// A quarter of the targets freeze, but still report their load.
+    Freeze { at_s: f64 },
+    /// A quarter of the targets slow down to a tenth of their speed.
+    SlowDown { at_s: f64 },
+    /// The latency of the links to one data centre rises a hundredfold.
+    DegradeLink { at_s: f64 },
+    /// A quarter of the targets are absent until this time.
+    Join { at_s: f64 },
+    /// Half of the targets crash.
+    CrashHalf { at_s: f64 },
 }
 
-/// A class of requests.
+/// Class of requests with the same template, account and size.
 #[derive(Clone, Copy, Debug)]
 pub struct Class {
     pub template: &'static str,
     pub account: &'static str,
     pub priority: Priority,
-    /// Share of the bound that it asks for.
+    /// Offered load as a share of the fleet's maximum throughput in good health.
     pub share: f64,
+    /// Length of a prompt, in tokens.
     pub prompt: u32,
+    /// Length of an answer, in tokens.
     pub answer: u32,
-    /// Conversations that its requests belong to; a conversation shares all but
-    /// the last block of its prompt.
+    /// Number of conversations to which its requests belong. Requests of a
+    /// conversation share all but the last block of the prompt.
     pub conversations: u32,
 }
 
-/// A load with a fault.
+/// Load with a fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Scenario {
     pub name: &'static str,
     pub classes: &'static [Class],
     pub fault: Fault,
-    /// How long requests come, seconds.
+    /// Time for which requests arrive, in seconds.
     pub seconds: f64,
 }
 
@@ -105,7 +96,8 @@
     ..ROSTERS
 };
 
-const fn times(class: Class, factor: f64) -> Class {
+/// Returns a class with its load multiplied by a factor.
+const fn scaled(class: Class, factor: f64) -> Class {
     Class {
         share: class.share * factor,
         ..class
@@ -113,7 +105,7 @@
 }
 
 impl Scenario {
-    /// All scenarios.
+    /// Returns all scenarios.
     pub fn all() -> Vec<Scenario> {
         const fn scenario(name: &'static str, classes: &'static [Class], fault: Fault) -> Scenario {
             Scenario {
@@ -124,11 +116,11 @@
             }
         }
         const DAWN: &[Class] = &[ROSTERS, SUMMARIES];
-        const GATE_LOAD: &[Class] = &[GATES, times(DRAFTS, 1.25)];
-        const TWICE: &[Class] = &[GATES, times(ROSTERS, 1.6), times(SUMMARIES, 1.6)];
-        const FIVE_TIMES: &[Class] = &[GATES, times(ROSTERS, 4.0), times(SUMMARIES, 4.2)];
+        const GATE_LOAD: &[Class] = &[GATES, scaled(DRAFTS, 1.25)];
+        const TWICE: &[Class] = &[GATES, scaled(ROSTERS, 1.6), scaled(SUMMARIES, 1.6)];
+        const FIVE_TIMES: &[Class] = &[GATES, scaled(ROSTERS, 4.0), scaled(SUMMARIES, 4.2)];
         const HUGE_LOAD: &[Class] = &[HUGE, SMALL];
-        const STEADY: &[Class] = &[times(ROSTERS, 0.7)];
+        const STEADY: &[Class] = &[scaled(ROSTERS, 0.7)];
         vec![
             scenario("steady", STEADY, Fault::None),
             scenario("dawn-burst", DAWN, Fault::None),
@@ -136,11 +128,11 @@
             scenario("overload-2x", TWICE, Fault::None),
             scenario("overload-5x", FIVE_TIMES, Fault::None),
             scenario("huge-account", HUGE_LOAD, Fault::None),
-            scenario("stages-die", STEADY, Fault::Dies { at_s: 8.0 }),
-            scenario("stages-freeze", STEADY, Fault::Freezes { at_s: 8.0 }),
-            scenario("stages-slow", STEADY, Fault::Slows { at_s: 8.0 }),
-            scenario("half-die", STEADY, Fault::HalfDie { at_s: 8.0 }),
-            scenario("link-degrades", STEADY, Fault::LinkDegrades { at_s: 8.0 }),
+            scenario("stages-die", STEADY, Fault::Crash { at_s: 8.0 }),
+            scenario("stages-freeze", STEADY, Fault::Freeze { at_s: 8.0 }),
+            scenario("stages-slow", STEADY, Fault::SlowDown { at_s: 8.0 }),
+            scenario("half-die", STEADY, Fault::CrashHalf { at_s: 8.0 }),
+            scenario("link-degrades", STEADY, Fault::DegradeLink { at_s: 8.0 }),
             scenario("vms-join", DAWN, Fault::Join { at_s: 8.0 }),
         ]
     }
--- a/crates/deckwind-core/examples/policies/main.rs
+++ b/crates/deckwind-core/examples/policies/main.rs
@@ -1,6 +1,5 @@
-//! Measures the decisions: drives the real router core in virtual time against
-//! small fake targets, under the loads and faults of the brief, and compares
-//! the ways to choose a chain.
+//! Compares the policies that choose a chain of engines: drives the router core in
+//! virtual time against fake targets, under several loads and faults.
 //!
 //! ```text
 //! cargo run --release -p deckwind-core --example policies -- --seed 1 --out FOLDER
@@ -15,12 +14,12 @@
 use clap::{Arg, Command, value_parser};
 use load::Scenario;
 use report::Table;
-use run::{PolicyName, Run, Size};
+use run::{FleetSize, PolicyName, Run};
 use std::path::PathBuf;
 
 fn cli() -> Command {
     Command::new("policies")
-        .about("Measures the decisions in virtual time")
+        .about("Compares the routing policies in virtual time")
         .arg(
             Arg::new("seed")
                 .long("seed")
@@ -43,47 +42,55 @@
             Arg::new("slots")
                 .long("slots")
                 .default_value("16")
-                .help("Sessions that a runner serves at once")
+                .help("Maximum concurrent sessions per runner")
                 .value_parser(value_parser!(u32)),
         )
         .arg(
             Arg::new("only")
                 .long("only")
-                .help("One scenario, by its name"),
+                .help("Run only the scenario with this name"),
         )
         .arg(
             Arg::new("policy")
                 .long("policy")
-                .help("One policy, by its name"),
+                .help("Run only the policy with this name"),
         )
         .arg(
             Arg::new("out")
                 .long("out")
                 .value_parser(value_parser!(PathBuf))
-                .help("Folder for the table as JSON and as an SVG plot"),
+                .help("Folder to which the results are written as JSON and as an SVG plot"),
         )
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let args = cli().get_matches();
-    let seed = *args.get_one::<u64>("seed").expect("it has a default");
-    let runners = *args.get_one::<u32>("runners").expect("it has a default");
-    let routers = *args.get_one::<u32>("routers").expect("it has a default");
-    let slots = *args.get_one::<u32>("slots").expect("it has a default");
-    let wanted = args.get_one::<String>("policy");
-    let only = args.get_one::<String>("only");
-    let size = Size {
+    let seed = *args
+        .get_one::<u64>("seed")
+        .expect("argument has a default value");
+    let runners = *args
+        .get_one::<u32>("runners")
+        .expect("argument has a default value");
+    let routers = *args
+        .get_one::<u32>("routers")
+        .expect("argument has a default value");
+    let slots = *args
+        .get_one::<u32>("slots")
+        .expect("argument has a default value");
+    let only_policy = args.get_one::<String>("policy");
+    let only_scenario = args.get_one::<String>("only");
+    let size = FleetSize {
         runners,
         routers,
         slots,
     };
     let mut table = Table::default();
     for scenario in Scenario::all() {
-        if only.is_some_and(|name| *name != scenario.name) {
+        if only_scenario.is_some_and(|name| *name != scenario.name) {
             continue;
         }
         for policy in PolicyName::ALL {
-            if wanted.is_some_and(|name| name != policy.name()) {
+            if only_policy.is_some_and(|name| name != policy.name()) {
                 continue;
             }
             let result = Run::new(scenario, policy, size, seed).execute();
--- a/crates/deckwind-core/examples/policies/report.rs
+++ b/crates/deckwind-core/examples/policies/report.rs
@@ -1,9 +1,9 @@
-//! The results as a table, as JSON and as a plot.
+//! Report of the results as a table, as JSON and as a plot.
 
 use plotters::prelude::*;
 use serde_json::{Value, json};
 
-/// Result of one class of requests.
+/// Result of one class of requests in a run.
 #[derive(Clone, Debug, Default)]
 pub struct ClassResult {
     pub name: String,
@@ -11,9 +11,11 @@
     pub finished: u64,
     pub refused: u64,
     pub failed: u64,
+    /// 95th percentile of the time to first token, in milliseconds.
     pub first_p95_ms: f64,
+    /// 95th percentile of the time between two tokens, in milliseconds.
     pub gap_p95_ms: f64,
-    /// Longest time that a refused request waited for its answer.
+    /// Longest time that a refused request waited for its answer, in milliseconds.
     pub refusal_max_ms: f64,
 }
 
@@ -22,24 +24,28 @@
 pub struct RunResult {
     pub scenario: &'static str,
     pub policy: &'static str,
-    /// Work finished while requests came, as a share of the bound.
+    /// Work finished while requests arrived, as a share of the fleet's maximum throughput.
     pub of_bound: f64,
+    /// Share of prompt positions found in a prefix cache.
     pub prefix_hits: f64,
-    /// Share of the targets' speed that stood idle while requests came.
+    /// Share of the targets' capacity that was idle while requests arrived.
     pub idle: f64,
+    /// Number of times that a session's chain was replanned after a fault.
     pub rebuilds: u64,
     pub classes: Vec<ClassResult>,
 }
 
-/// All results.
+/// Results of all runs.
 #[derive(Default)]
 pub struct Table(Vec<RunResult>);
 
 impl Table {
+    /// Adds the result of a run.
     pub fn push(&mut self, result: RunResult) {
         self.0.push(result);
     }
 
+    /// Returns the results as a text table.
     pub fn text(&self) -> String {
         let mut lines = vec![format!(
             "{:<17} {:<13} {:>8} {:>6} {:>6} {:>8}  {:<28} {:>7} {:>8} {:>7} {:>6} {:>9} {:>8} {:>10}",
@@ -84,6 +90,7 @@
         lines.join("\n")
     }
 
+    /// Returns the results as JSON.
     pub fn json(&self) -> serde_json::Result<String> {
         let class = |c: &ClassResult| {
             json!({
@@ -106,9 +113,10 @@
         serde_json::to_string_pretty(&rows)
     }
 
+    /// Returns an SVG bar plot of the work done in each run.
     pub fn svg(&self) -> Result<String, Box<dyn std::error::Error>> {
         const WIDTH: u32 = 900;
-        const ROW: u32 = 16;
+        const ROW_HEIGHT: u32 = 16;
         const MARGIN: u32 = 80;
         let rows = self.0.len();
         let names: Vec<String> = self
@@ -118,13 +126,13 @@
             .collect();
         let mut svg = String::new();
         {
-            let size = (WIDTH, MARGIN + ROW * rows as u32);
+            let size = (WIDTH, MARGIN + ROW_HEIGHT * rows as u32);
             let area = SVGBackend::with_string(&mut svg, size).into_drawing_area();
             area.fill(&WHITE)?;
             let mut chart = ChartBuilder::on(&area)
                 .margin(8)
                 .caption(
-                    "work done, as a share of the hardware's bound",
+                    "work done as a share of the hardware bound",
                     ("sans-serif", 16),
                 )
                 .x_label_area_size(30)
--- a/crates/deckwind-core/examples/policies/run.rs
+++ b/crates/deckwind-core/examples/policies/run.rs
@@ -1,10 +1,11 @@
-//! One run: routers, sessions and targets in virtual time.
+//! Simulation of one run: routers, sessions and targets in virtual time.
 
 mod sessions;
 
-use crate::events::Events;
+use crate::events::EventQueue;
 use crate::fleet::{
-    BETWEEN_US, DATA_CENTRES, FakeTarget, WITHIN_US, bound, costs, micros, runner, template,
+    DATA_CENTRES, FakeTarget, INTER_DC_US, INTRA_DC_US, layer_costs, max_throughput, micros,
+    runner, template,
 };
 use crate::load::{Class, Fault, Scenario};
 use crate::report::{ClassResult, RunResult};
@@ -28,7 +29,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// The ways that are compared.
+/// Policies that are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyName {
     Estimated,
@@ -59,6 +60,7 @@
     }
 }
 
+/// Event of the simulation.
 enum Event {
     Arrive(usize),
     Answer {
@@ -67,7 +69,8 @@
         attempt: u32,
         position: u32,
     },
-    Late {
+    /// A step order exceeds its time limit, or its connection was seen to break.
+    StepTimeout {
         session: u64,
         key: StageKey,
         order: u64,
@@ -76,130 +79,144 @@
         session: u64,
     },
     Tick,
+    /// The leader renews the leases of all routers.
     Renew,
+    /// Routers poll the load that targets last published; then targets publish again.
     Publish,
+    /// The fault of the scenario happens.
     Fault,
 }
 
-/// A stage that is open.
-struct OpenedStage {
+/// Open stage of a running session.
+struct OpenStage {
     target: TargetKey,
     runner: usize,
     layers: LayerRange,
     order_sent: Instant,
 }
 
-struct Running {
+/// Session that was started.
+struct RunningSession {
     class: usize,
     router: usize,
     entered: Entered,
     session: Session,
-    stages: BTreeMap<StageKey, OpenedStage>,
+    stages: BTreeMap<StageKey, OpenStage>,
     planned: Vec<PlannedStage>,
     prefixes: Vec<PrefixHash>,
+    /// Number of the last step order; also incremented when an order ends, so that its
+    /// timeout no longer matches.
     orders: u64,
     positions: usize,
     last_token: Option<Instant>,
-    lost: Option<(BTreeSet<TargetName>, LayerRange)>,
+    /// Targets to avoid and layers to plan, while no chain was found.
+    pending_plan: Option<(BTreeSet<TargetName>, LayerRange)>,
 }
 
-struct Waiting {
+/// Request that waits in a router's queue.
+struct QueuedRequest {
     class: usize,
     router: usize,
     entered: Entered,
     conversation: u32,
 }
 
-struct ClassCounts {
+/// Counts and latency histograms of a class, in microseconds.
+struct ClassStats {
     result: ClassResult,
     first: Histogram<u64>,
     gap: Histogram<u64>,
 }
 
-/// How large a run is.
+/// Number of runners and routers in a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct FleetSize {
     pub runners: u32,
     pub routers: u32,
-    /// Sessions that a runner serves at once.
+    /// Maximum number of concurrent sessions per runner.
     pub slots: u32,
 }
 
-/// A run.
+/// Simulated run of a scenario with a policy.
 pub struct Run {
     scenario: Scenario,
     policy: PolicyName,
     now: Instant,
     rng: ChaCha8Rng,
-    events: Events<Event>,
+    events: EventQueue<Event>,
     machine: StateMachine,
     runners: Vec<FakeTarget>,
     by_name: HashMap<TargetName, usize>,
     routers: Vec<RouterCore>,
-    sessions: HashMap<u64, Running>,
-    waiting: HashMap<(usize, TicketId), Waiting>,
+    sessions: HashMap<u64, RunningSession>,
+    queued: HashMap<(usize, TicketId), QueuedRequest>,
     next_session: u64,
-    counts: Vec<ClassCounts>,
+    class_stats: Vec<ClassStats>,
+    /// Work finished while requests arrived, in tokens.
     work_done: f64,
-    bound_seconds: f64,
-    bound_now: f64,
-    /// Bound of all runners in good health: what loads are shares of.
-    full_bound: f64,
-    bound_since: Instant,
+    /// Work that the fleet could have done up to `possible_work_until`, in tokens.
+    possible_work: f64,
+    /// Present maximum throughput of the fleet, in tokens per second.
+    max_throughput_now: f64,
+    /// Maximum throughput of all runners in good health, to which class loads are
+    /// relative, in tokens per second.
+    healthy_throughput: f64,
+    possible_work_until: Instant,
     prompt_positions: u64,
     cached_positions: u64,
     rebuilds: u64,
     idle: Option<f64>,
-    changes: u64,
+    change_count: u64,
 }
 
 const START: Instant = Instant::from_millis(1_000);
-/// Requests come from here on: the routers have their leases by then.
+/// Time of the first arrivals, by which the routers have their leases.
 const ARRIVALS: Instant = Instant::from_millis(1_600);
-const TICK: Duration = Duration::from_millis(100);
-const RENEW: Duration = Duration::from_millis(500);
-/// Between two rounds of asking targets for their load, which lags by as much.
-const PUBLISH: Duration = Duration::from_secs(1);
-/// Targets that a router asks in a round.
-const ASKED: usize = 2;
-const REPLAN_PAUSE: Duration = Duration::from_millis(100);
-/// After the last arrival, time for what runs to end.
-const TAIL: Duration = Duration::from_secs(30);
-/// A broken connection is noticed after this time.
-const BREAK_NOTICED: Duration = Duration::from_millis(2);
-/// Prompt blocks: all but the last are shared by a conversation.
-const BLOCKS: u32 = 4;
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+const RENEW_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which routers poll targets for their load, which is outdated by the same
+/// time.
+const LOAD_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of targets that a router polls per interval.
+const POLLED_TARGETS: usize = 2;
+const REPLAN_DELAY: Duration = Duration::from_millis(100);
+/// Time after the last arrival for running sessions to end.
+const DRAIN_TIME: Duration = Duration::from_secs(30);
+/// Time until a router detects a broken connection.
+const DISCONNECT_DELAY: Duration = Duration::from_millis(2);
+/// Number of blocks of a prompt, all but the last of which are shared by a conversation.
+const PROMPT_BLOCKS: u32 = 4;
 
 fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 600_000_000, 3).expect("fixed bounds")
 }
 
 impl Run {
-    pub fn new(scenario: Scenario, policy: PolicyName, size: Size, seed: u64) -> Self {
+    pub fn new(scenario: Scenario, policy: PolicyName, size: FleetSize, seed: u64) -> Self {
         let mut run = Self {
             scenario,
             policy,
             now: START,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            events: Events::new(),
+            events: EventQueue::new(),
             machine: StateMachine::default(),
             runners: (0..size.runners).map(|i| runner(i, size.slots)).collect(),
             by_name: HashMap::new(),
             routers: Vec::new(),
             sessions: HashMap::new(),
-            waiting: HashMap::new(),
+            queued: HashMap::new(),
             next_session: 1,
-            counts: Vec::new(),
+            class_stats: Vec::new(),
             work_done: 0.0,
-            bound_seconds: 0.0,
-            bound_now: 0.0,
-            full_bound: 0.0,
-            bound_since: ARRIVALS,
+            possible_work: 0.0,
+            max_throughput_now: 0.0,
+            healthy_throughput: 0.0,
+            possible_work_until: ARRIVALS,
             prompt_positions: 0,
             cached_positions: 0,
             rebuilds: 0,
             idle: None,
-            changes: 0,
+            change_count: 0,
         };
         run.configure();
         for i in 0..size.routers {
@@ -209,12 +226,12 @@
     }
 
     fn configure(&mut self) {
-        self.full_bound = bound(self.runners.iter());
+        self.healthy_throughput = max_throughput(self.runners.iter());
         for class in self.scenario.classes {
-            self.change(Change::Template(template(class.template, class.priority)));
+            self.apply_change(Change::Template(template(class.template, class.priority)));
             let digit = |c: char| char::from_digit(c as u32 % 16, 16).expect("below 16");
             let hash: String = class.account.chars().map(digit).cycle().take(64).collect();
-            self.change(Change::Account(Account {
+            self.apply_change(Change::Account(Account {
                 name: class.account.into(),
                 key_sha256: hash,
                 limits: AccountLimits {
@@ -223,7 +240,7 @@
                 },
                 parameters: BTreeMap::new(),
             }));
-            self.counts.push(ClassCounts {
+            self.class_stats.push(ClassStats {
                 result: ClassResult {
                     name: format!("{} of {}", class.template, class.account),
                     ..ClassResult::default()
@@ -235,21 +252,21 @@
         let joins = matches!(self.scenario.fault, Fault::Join { .. });
         for i in 0..self.runners.len() {
             self.by_name.insert(self.runners[i].target.name.clone(), i);
-            self.runners[i].dead = joins && is_hit(i, 4);
+            self.runners[i].dead = joins && is_affected(i, 4);
             if !self.runners[i].dead {
                 let target = self.runners[i].target.clone();
-                self.change(Change::Target(target));
+                self.apply_change(Change::Target(target));
             }
         }
-        self.bound_now = bound(self.runners.iter());
+        self.max_throughput_now = max_throughput(self.runners.iter());
     }
 
-    fn change(&mut self, change: Change) {
-        self.changes += 1;
+    fn apply_change(&mut self, change: Change) {
+        self.change_count += 1;
         self.machine.apply(Command {
             at_ms: 0,
             body: CommandBody::Apply(ApplyRequest {
-                request_id: self.changes.to_string().into(),
+                request_id: self.change_count.to_string().into(),
                 expected: None,
                 change,
             }),
@@ -259,10 +276,10 @@
     fn add_router(&mut self, seed: u64) {
         let links = DATA_CENTRES.iter().enumerate();
         let home = self.routers.len() % DATA_CENTRES.len();
-        let link = |i: usize| if i == home { WITHIN_US } else { BETWEEN_US };
+        let link = |i: usize| if i == home { INTRA_DC_US } else { INTER_DC_US };
         let cfg = RouterConfig {
             lease: LeaseTiming::default(),
-            costs: costs(),
+            costs: layer_costs(),
             links: links.map(|(i, dc)| ((*dc).into(), link(i))).collect(),
             admission: AdmissionConfig::default(),
             seed,
@@ -271,20 +288,20 @@
         self.routers.push(router);
     }
 
-    /// Runs to the end.
+    /// Runs the simulation to its end and returns the result.
     pub fn execute(mut self) -> RunResult {
-        self.events.put(self.now, Event::Renew);
-        self.events.put(self.now, Event::Publish);
-        self.events.put(self.now, Event::Tick);
+        self.events.push(self.now, Event::Renew);
+        self.events.push(self.now, Event::Publish);
+        self.events.push(self.now, Event::Tick);
         if let Some(at_s) = fault_time(self.scenario.fault) {
             self.events
-                .put(START + Duration::from_secs_f64(at_s), Event::Fault);
+                .push(START + Duration::from_secs_f64(at_s), Event::Fault);
         }
         for class in 0..self.scenario.classes.len() {
-            self.events.put(ARRIVALS, Event::Arrive(class));
+            self.events.push(ARRIVALS, Event::Arrive(class));
         }
-        let end = self.arrivals_end() + TAIL;
-        while let Some((at, event)) = self.events.next() {
+        let end = self.arrivals_end() + DRAIN_TIME;
+        while let Some((at, event)) = self.events.pop() {
             if at > end {
                 break;
             }
@@ -292,12 +309,13 @@
                 self.idle = Some(self.idle_share());
             }
             self.now = at;
-            self.take(event);
+            self.handle(event);
         }
         self.result()
     }
 
-    /// Idle time of the targets since the first arrival, weighed by their speed.
+    /// Returns the share of idle time of the targets since the first arrival, weighted by
+    /// their speed.
     fn idle_share(&self) -> f64 {
         let span_us = self.scenario.seconds * 1e6;
         let speeds = self.runners.iter().map(|r| 1.0 / r.layer_us);
@@ -309,7 +327,7 @@
         ARRIVALS + Duration::from_secs_f64(self.scenario.seconds)
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(class) => self.arrive(class),
             Event::Answer {
@@ -318,18 +336,18 @@
                 attempt,
                 position,
             } => {
-                self.answer(session, key, attempt, position);
+                self.step_answered(session, key, attempt, position);
             }
-            Event::Late {
+            Event::StepTimeout {
                 session,
                 key,
                 order,
-            } => self.late(session, key, order),
+            } => self.step_timed_out(session, key, order),
             Event::Replan { session } => self.replan(session),
             Event::Tick => self.tick(),
             Event::Renew => self.renew(),
             Event::Publish => self.publish(),
-            Event::Fault => self.fault(),
+            Event::Fault => self.inject_fault(),
         }
     }
 
@@ -337,7 +355,7 @@
         self.scenario.classes[class]
     }
 
-    /// Work of a request with an empty cache, in tokens.
+    /// Returns the work of a request with an empty cache, in tokens.
     fn work_of(class: &Class) -> f64 {
         f64::from(class.answer) + f64::from(class.prompt) * PREFILL_COST
     }
@@ -347,13 +365,13 @@
             return;
         }
         let c = self.class(class);
-        let full = self.full_bound;
+        let full = self.healthy_throughput;
         let per_s = c.share * full / Self::work_of(&c);
         let gap = -self.rng.random::<f64>().max(1e-9).ln() / per_s;
         self.events
-            .put(self.now + micros(gap * 1e6), Event::Arrive(class));
+            .push(self.now + micros(gap * 1e6), Event::Arrive(class));
         let router = self.rng.random_range(0..self.routers.len());
-        self.counts[class].result.offered += 1;
+        self.class_stats[class].result.offered += 1;
         let conversation = self.rng.random_range(0..c.conversations);
         self.enter(class, router, conversation);
     }
@@ -367,39 +385,39 @@
             self.refuse(class, now);
             return;
         };
-        let waiting = Waiting {
+        let request = QueuedRequest {
             class,
             router,
             entered,
             conversation,
         };
-        match core.place(now, &waiting.entered) {
-            Ok(Placed::Start) => self.start(waiting),
+        match core.place(now, &request.entered) {
+            Ok(Placed::Start) => self.start(request),
             Ok(Placed::Wait) => {
-                let key = (router, waiting.entered.id);
-                self.waiting.insert(key, waiting);
+                let key = (router, request.entered.id);
+                self.queued.insert(key, request);
             }
             Err(_) => self.refuse(class, now),
         }
     }
 
     fn refuse(&mut self, class: usize, arrived: Instant) {
-        let r = &mut self.counts[class].result;
+        let r = &mut self.class_stats[class].result;
         r.refused += 1;
         let waited = self.now.since(arrived).as_secs_f64() * 1e3;
         r.refusal_max_ms = r.refusal_max_ms.max(waited);
     }
 
-    fn admitted(&mut self, router: usize, admitted: Vec<Admitted>) {
-        for one in admitted {
-            match one {
+    fn handle_admitted(&mut self, router: usize, admitted: Vec<Admitted>) {
+        for outcome in admitted {
+            match outcome {
                 Admitted::Start(id) => {
-                    if let Some(waiting) = self.waiting.remove(&(router, id)) {
-                        self.start(waiting);
+                    if let Some(request) = self.queued.remove(&(router, id)) {
+                        self.start(request);
                     }
                 }
                 Admitted::Denied(id, _) => {
-                    if let Some(w) = self.waiting.remove(&(router, id)) {
+                    if let Some(w) = self.queued.remove(&(router, id)) {
                         self.refuse(w.class, w.entered.arrived);
                     }
                 }
@@ -408,16 +426,16 @@
     }
 
     fn tick(&mut self) {
-        self.events.put(self.now + TICK, Event::Tick);
+        self.events.push(self.now + TICK_INTERVAL, Event::Tick);
         for i in 0..self.routers.len() {
             let admitted = self.routers[i].tick(self.now);
-            self.admitted(i, admitted);
+            self.handle_admitted(i, admitted);
         }
     }
 
-    /// The leader's grants, with the accounts' shares by demand.
+    /// Renews the lease of each router, with the accounts' shares by demand.
     fn renew(&mut self) {
-        self.events.put(self.now + RENEW, Event::Renew);
+        self.events.push(self.now + RENEW_INTERVAL, Event::Renew);
         let now = self.now;
         let routers = self.routers.len() as u32;
         let demands: Vec<_> = self.routers.iter_mut().map(|r| r.demand(now)).collect();
@@ -440,67 +458,71 @@
         }
     }
 
-    /// Each router asks a few targets for their load, which is one period old.
-    /// Those that it uses report theirs with every answer.
+    /// Polls the load of a few targets for each router. The published load is one
+    /// interval old; targets in use also report their load with every answer.
     fn publish(&mut self) {
-        self.events.put(self.now + PUBLISH, Event::Publish);
+        self.events
+            .push(self.now + LOAD_POLL_INTERVAL, Event::Publish);
         for router in &mut self.routers {
-            for _ in 0..ASKED {
+            for _ in 0..POLLED_TARGETS {
                 let runner = &self.runners[self.rng.random_range(0..self.runners.len())];
                 let key = router.fleet().key(&runner.target.name);
                 if let Some(key) = key.filter(|_| !runner.dead) {
-                    let load = runner.published;
+                    let load = runner.published_load;
                     router.load_reported(self.now, key, LoadReport { load });
                 }
             }
         }
         for runner in &mut self.runners {
-            runner.published = runner.load;
+            runner.published_load = runner.load;
         }
     }
 
-    fn settle_bound(&mut self) {
+    /// Adds the possible work since the last update and recomputes the maximum
+    /// throughput.
+    fn update_possible_work(&mut self) {
         let until = self.now.min(self.arrivals_end());
-        self.bound_seconds += self.bound_now * until.since(self.bound_since).as_secs_f64();
-        self.bound_since = until;
-        self.bound_now = bound(self.runners.iter());
+        self.possible_work +=
+            self.max_throughput_now * until.since(self.possible_work_until).as_secs_f64();
+        self.possible_work_until = until;
+        self.max_throughput_now = max_throughput(self.runners.iter());
     }
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         let fault = self.scenario.fault;
-        let every = if matches!(fault, Fault::HalfDie { .. }) {
+        let every = if matches!(fault, Fault::CrashHalf { .. }) {
             2
         } else {
             4
         };
         for i in 0..self.runners.len() {
-            let hit = is_hit(i, every);
+            let affected = is_affected(i, every);
             let runner = &mut self.runners[i];
             match fault {
-                Fault::Dies { .. } | Fault::HalfDie { .. } if hit => runner.dead = true,
-                Fault::Freezes { .. } if hit => runner.frozen = true,
-                Fault::Slows { .. } if hit => runner.slow = 10.0,
-                Fault::LinkDegrades { .. }
+                Fault::Crash { .. } | Fault::CrashHalf { .. } if affected => runner.dead = true,
+                Fault::Freeze { .. } if affected => runner.frozen = true,
+                Fault::SlowDown { .. } if affected => runner.slowdown = 10.0,
+                Fault::DegradeLink { .. }
                     if runner.target.data_centre.as_str() == DATA_CENTRES[2] =>
                 {
-                    runner.link_us = BETWEEN_US * 100.0;
+                    runner.link_latency_us = INTER_DC_US * 100.0;
                 }
                 Fault::Join { .. } if runner.dead => {
                     runner.dead = false;
                     let target = runner.target.clone();
-                    self.change(Change::Target(target));
+                    self.apply_change(Change::Target(target));
                 }
                 _ => {}
             }
         }
-        self.settle_bound();
+        self.update_possible_work();
     }
 
     fn result(mut self) -> RunResult {
         self.now = self.arrivals_end();
-        self.settle_bound();
+        self.update_possible_work();
         let classes = self
-            .counts
+            .class_stats
             .iter()
             .map(|c| ClassResult {
                 first_p95_ms: c.first.value_at_quantile(0.95) as f64 / 1e3,
@@ -511,7 +533,7 @@
         RunResult {
             scenario: self.scenario.name,
             policy: self.policy.build(0).name(),
-            of_bound: self.work_done / self.bound_seconds,
+            of_bound: self.work_done / self.possible_work,
             prefix_hits: self.cached_positions as f64 / self.prompt_positions.max(1) as f64,
             idle: self.idle.unwrap_or_default(),
             rebuilds: self.rebuilds,
@@ -523,16 +545,17 @@
 fn fault_time(fault: Fault) -> Option<f64> {
     match fault {
         Fault::None => None,
-        Fault::Dies { at_s }
-        | Fault::Freezes { at_s }
-        | Fault::Slows { at_s }
-        | Fault::LinkDegrades { at_s }
+        Fault::Crash { at_s }
+        | Fault::Freeze { at_s }
+        | Fault::SlowDown { at_s }
+        | Fault::DegradeLink { at_s }
         | Fault::Join { at_s }
-        | Fault::HalfDie { at_s } => Some(at_s),
+        | Fault::CrashHalf { at_s } => Some(at_s),
     }
 }
 
-/// Whether runner `i` is one of each `every`, spread over kinds and ranges.
-fn is_hit(i: usize, every: usize) -> bool {
+/// Returns whether a fault that affects one in `every` runners affects runner `i`. The
+/// affected runners are spread over accelerator kinds and layer ranges.
+fn is_affected(i: usize, every: usize) -> bool {
     (i / 7 + (i % 7) / 2).is_multiple_of(every)
 }
--- a/crates/deckwind-core/examples/policies/run/sessions.rs
+++ b/crates/deckwind-core/examples/policies/run/sessions.rs
@@ -1,6 +1,9 @@
-//! The sessions of a run: planned, fed, and ended.
+//! Sessions of a run: planning, steps, delivery of tokens, and end.
 
-use super::{BLOCKS, BREAK_NOTICED, Event, OpenedStage, REPLAN_PAUSE, Run, Running, Waiting};
+use super::{
+    DISCONNECT_DELAY, Event, OpenStage, PROMPT_BLOCKS, QueuedRequest, REPLAN_DELAY, Run,
+    RunningSession,
+};
 use crate::fleet::LAYERS;
 use deckwind_core::router::Work;
 use deckwind_core::routing::{ChainNeed, LoadReport, PREFILL_COST, plan_names, prefix_hashes};
@@ -13,8 +16,8 @@
 use std::time::Duration;
 
 impl Run {
-    pub(super) fn start(&mut self, waiting: Waiting) {
-        let c = self.class(waiting.class);
+    pub(super) fn start(&mut self, request: QueuedRequest) {
+        let c = self.class(request.class);
         let id = self.next_session;
         self.next_session += 1;
         let prompt = vec![Activation(String::new()); c.prompt as usize];
@@ -22,20 +25,20 @@
             max_tokens: c.answer,
             ..SessionLimits::default()
         };
-        let blocks: Vec<Vec<u8>> = (0..BLOCKS)
+        let blocks: Vec<Vec<u8>> = (0..PROMPT_BLOCKS)
             .map(|b| {
-                let own = if b + 1 == BLOCKS { id } else { 0 };
+                let own = if b + 1 == PROMPT_BLOCKS { id } else { 0 };
                 format!(
                     "{}/{}/{}/{b}/{own}",
-                    c.account, c.template, waiting.conversation
+                    c.account, c.template, request.conversation
                 )
                 .into_bytes()
             })
             .collect();
-        let mut running = Running {
-            class: waiting.class,
-            router: waiting.router,
-            entered: waiting.entered,
+        let mut running = RunningSession {
+            class: request.class,
+            router: request.router,
+            entered: request.entered,
             session: Session::new(LAYERS, prompt, limits),
             stages: BTreeMap::new(),
             planned: Vec::new(),
@@ -43,7 +46,7 @@
             orders: 0,
             positions: 0,
             last_token: None,
-            lost: None,
+            pending_plan: None,
         };
         let mut actions = Vec::new();
         running.session.start(&mut actions);
@@ -51,7 +54,8 @@
         self.perform(id, actions);
     }
 
-    pub(super) fn feed(&mut self, id: u64, event: SessionEvent) {
+    /// Passes an event to a session and performs the resulting actions.
+    pub(super) fn process_event(&mut self, id: u64, event: SessionEvent) {
         let Some(running) = self.sessions.get_mut(&id) else {
             return;
         };
@@ -65,12 +69,12 @@
             match action {
                 SessionAction::Plan { avoid, missing } => {
                     if let Some(r) = self.sessions.get_mut(&id) {
-                        r.lost = Some((avoid, missing));
+                        r.pending_plan = Some((avoid, missing));
                     }
                     self.replan(id);
                 }
                 SessionAction::Open { key, with } => self.open(id, key, &with),
-                SessionAction::Step { key, order } => self.order(id, key, &order),
+                SessionAction::Step { key, order } => self.send_order(id, key, &order),
                 SessionAction::Deliver { .. } => self.deliver(id),
                 SessionAction::Close { key } => self.close(id, key),
                 SessionAction::End(reason) => self.end(id, reason),
@@ -78,36 +82,39 @@
         }
     }
 
+    /// Plans a chain for the missing layers, else for all layers, each first without the
+    /// targets to avoid, then with them. If none is found, a new session fails and one that
+    /// has started tries again later.
     pub(super) fn replan(&mut self, id: u64) {
         let Some(running) = self.sessions.get_mut(&id) else {
             return;
         };
-        let Some((avoid, missing)) = running.lost.clone() else {
+        let Some((avoid, missing)) = running.pending_plan.clone() else {
             return;
         };
-        let whole = LayerRange::new(0, LAYERS);
+        let all_layers = LayerRange::new(0, LAYERS);
         let first = running.session.attempt() == 0;
-        let ways = [
+        let candidates = [
             (missing, avoid.clone()),
             (missing, BTreeSet::new()),
-            (whole, avoid),
-            (whole, BTreeSet::new()),
+            (all_layers, avoid),
+            (all_layers, BTreeSet::new()),
         ];
-        let chain = ways
+        let chain = candidates
             .into_iter()
             .find_map(|(layers, avoid)| self.plan(id, layers, avoid));
         match chain {
             Some(chain) => {
                 if let Some(r) = self.sessions.get_mut(&id) {
-                    r.lost = None;
+                    r.pending_plan = None;
                 }
                 self.rebuilds += u64::from(!first);
-                self.feed(id, SessionEvent::Planned(chain));
+                self.process_event(id, SessionEvent::Planned(chain));
             }
-            None if first => self.feed(id, SessionEvent::NoChain),
+            None if first => self.process_event(id, SessionEvent::NoChain),
             None => self
                 .events
-                .put(self.now + REPLAN_PAUSE, Event::Replan { session: id }),
+                .push(self.now + REPLAN_DELAY, Event::Replan { session: id }),
         }
     }
 
@@ -136,8 +143,8 @@
             avoid,
         };
         let planned = core.plan_chain(self.now, &need).ok()?;
-        let outside = |s: &&Stage| s.layers.last <= layers.first || s.layers.first >= layers.last;
-        let mut stages: Vec<Stage> = running.session.chain().filter(outside).cloned().collect();
+        let is_kept = |s: &&Stage| s.layers.last <= layers.first || s.layers.first >= layers.last;
+        let mut stages: Vec<Stage> = running.session.chain().filter(is_kept).cloned().collect();
         let new = planned.iter().filter_map(|p| {
             let target = core.fleet().get(p.target)?.name.clone();
             Some(Stage {
@@ -164,7 +171,7 @@
         self.runners[runner].load += with.layers.len();
         running.stages.insert(
             key,
-            OpenedStage {
+            OpenStage {
                 target: planned.target,
                 runner,
                 layers: with.layers,
@@ -173,7 +180,7 @@
         );
     }
 
-    pub(super) fn order(&mut self, id: u64, key: StageKey, order: &StepOrder) {
+    pub(super) fn send_order(&mut self, id: u64, key: StageKey, order: &StepOrder) {
         let now = self.now;
         let Some(running) = self.sessions.get_mut(&id) else {
             return;
@@ -187,7 +194,7 @@
                 key,
                 fault: StageFault::Broken,
             };
-            self.feed(id, event);
+            self.process_event(id, event);
             return;
         };
         stage.order_sent = now;
@@ -211,28 +218,28 @@
                     attempt: order.attempt,
                     position: order.position,
                 };
-                self.events.put(at, answer);
+                self.events.push(at, answer);
             }
             None if dead => {
-                let late = Event::Late {
+                let timeout = Event::StepTimeout {
                     session: id,
                     key,
                     order: number,
                 };
-                self.events.put(now + BREAK_NOTICED, late);
+                self.events.push(now + DISCONNECT_DELAY, timeout);
                 return;
             }
             None => {}
         }
-        let late = Event::Late {
+        let timeout = Event::StepTimeout {
             session: id,
             key,
             order: number,
         };
-        self.events.put(now + limit, late);
+        self.events.push(now + limit, timeout);
     }
 
-    pub(super) fn answer(&mut self, id: u64, key: StageKey, attempt: u32, position: u32) {
+    pub(super) fn step_answered(&mut self, id: u64, key: StageKey, attempt: u32, position: u32) {
         let now = self.now;
         let Some(running) = self.sessions.get_mut(&id) else {
             return;
@@ -265,10 +272,10 @@
             token,
             load: None,
         };
-        self.feed(id, SessionEvent::Output { key, output });
+        self.process_event(id, SessionEvent::Output { key, output });
     }
 
-    pub(super) fn late(&mut self, id: u64, key: StageKey, order: u64) {
+    pub(super) fn step_timed_out(&mut self, id: u64, key: StageKey, order: u64) {
         let Some(running) = self.sessions.get_mut(&id) else {
             return;
         };
@@ -283,7 +290,7 @@
             key,
             fault: StageFault::Late,
         };
-        self.feed(id, event);
+        self.process_event(id, event);
     }
 
     pub(super) fn deliver(&mut self, id: u64) {
@@ -292,17 +299,17 @@
         let Some(running) = self.sessions.get_mut(&id) else {
             return;
         };
-        let counts = &mut self.counts[running.class];
+        let class_stats = &mut self.class_stats[running.class];
         let micros = |d: Duration| (d.as_micros() as u64).max(1);
         let mut work = 1.0;
         match running.last_token {
             None => {
                 let took = now.since(running.entered.arrived);
-                counts.first.saturating_record(micros(took));
+                class_stats.first.saturating_record(micros(took));
                 let c = self.scenario.classes[running.class];
                 work += f64::from(c.prompt) * PREFILL_COST;
             }
-            Some(last) => counts.gap.saturating_record(micros(now.since(last))),
+            Some(last) => class_stats.gap.saturating_record(micros(now.since(last))),
         }
         running.last_token = Some(now);
         if during_load {
@@ -336,12 +343,12 @@
         for p in running.planned {
             core.stage_ended(self.now, p.target, p.layers);
         }
-        let result = &mut self.counts[running.class].result;
+        let result = &mut self.class_stats[running.class].result;
         match reason {
             EndReason::Complete => result.finished += 1,
             _ => result.failed += 1,
         }
         let admitted = core.leave(self.now, running.entered.id);
-        self.admitted(running.router, admitted);
+        self.handle_admitted(running.router, admitted);
     }
 }
--- a/crates/deckwind-spec/examples/explore.rs
+++ b/crates/deckwind-spec/examples/explore.rs
@@ -1,5 +1,6 @@
-//! Explores the specifications and prints bounds, states and, with a rule taken
-//! out, the shortest bad run.
+//! Explores the specifications and prints their bounds and the number of states.
+//! For each specification with a rule disabled, prints a shortest run that violates
+//! an invariant.
 
 use deckwind_spec::{
     ClaimRules, ClaimSpec, LimitBounds, LimitRules, LimitSpec, LogBounds, LogRules, LogSpec,
@@ -8,15 +9,15 @@
 };
 use std::time::Instant;
 
-fn show<S: Spec>(name: &str, spec: &S) {
-    let begun = Instant::now();
-    let explored = explore(spec);
+fn explore_and_print<S: Spec>(name: &str, spec: &S) {
+    let started = Instant::now();
+    let exploration = explore(spec);
     println!(
         "{name}: {} states, {:.1?}",
-        explored.states,
-        begun.elapsed()
+        exploration.states,
+        started.elapsed()
     );
-    for (i, line) in explored.counterexample.iter().flatten().enumerate() {
+    for (i, line) in exploration.counterexample.iter().flatten().enumerate() {
         println!("  {:2} {line}", i + 1);
     }
 }
@@ -24,36 +25,36 @@
 fn main() {
     for bounds in LogBounds::LARGE {
         let rules = LogRules::ALL;
-        show(
+        explore_and_print(
             &format!("log, all rules, {bounds:?}"),
             &LogSpec { rules, bounds },
         );
     }
     for case in log_cases() {
         let name = format!("log without {}, {:?}", case.without, case.spec.bounds);
-        show(&name, &case.spec);
+        explore_and_print(&name, &case.spec);
     }
     let spec = ClaimSpec::with(ClaimRules::ALL);
-    show(&format!("claims, all rules, {spec:?}"), &spec);
+    explore_and_print(&format!("claims, all rules, {spec:?}"), &spec);
     for case in claim_cases() {
-        show(&format!("claims without {}", case.without), &case.spec);
+        explore_and_print(&format!("claims without {}", case.without), &case.spec);
     }
     for bounds in RepeatBounds::LARGE {
         let rules = RepeatRules::ALL;
-        let name = format!("repeats, all rules, {bounds:?}");
-        show(&name, &RepeatSpec { rules, bounds });
+        let name = format!("retries, all rules, {bounds:?}");
+        explore_and_print(&name, &RepeatSpec { rules, bounds });
     }
     for case in repeat_cases() {
-        let name = format!("repeats without {}, {:?}", case.without, case.spec.bounds);
-        show(&name, &case.spec);
+        let name = format!("retries without {}, {:?}", case.without, case.spec.bounds);
+        explore_and_print(&name, &case.spec);
     }
     for bounds in LimitBounds::LARGE {
         let rules = LimitRules::ALL;
         let name = format!("limits, all rules, {bounds:?}");
-        show(&name, &LimitSpec { rules, bounds });
+        explore_and_print(&name, &LimitSpec { rules, bounds });
     }
     for case in limit_cases() {
         let name = format!("limits without {}, {:?}", case.without, case.spec.bounds);
-        show(&name, &case.spec);
+        explore_and_print(&name, &case.spec);
     }
 }
--- a/crates/deckwind-spec/src/cases.rs
+++ b/crates/deckwind-spec/src/cases.rs
@@ -1,81 +1,81 @@
-//! Bounds that are explored, and each rule taken out in turn.
+//! Bounds for the log and claim specifications, and cases that disable one rule each.
 
 use crate::{ClaimRules, ClaimSpec, LogBounds, LogRules, LogSpec};
 
-/// A specification without one of its rules.
+/// Specification with one rule disabled.
 pub struct Case<S> {
-    /// The rule.
+    /// Description of the disabled rule.
     pub without: &'static str,
-    /// The specification.
+    /// Specification without the rule.
     pub spec: S,
-    /// The invariant that breaks.
+    /// Invariant that is violated without the rule.
     pub breaks: &'static str,
 }
 
 impl LogBounds {
-    /// Two terms, one entry, no fault.
-    pub const LEAST: LogBounds = LogBounds {
+    /// Two terms, one entry, no faults.
+    pub const MINIMAL: LogBounds = LogBounds {
         terms: 2,
         entries: 1,
         crashes: 0,
-        losses: 0,
+        disk_losses: 0,
         leases: false,
-        rivals: false,
+        competing_leaders: false,
     };
 
-    /// Explored in the tests: under 100,000 states each.
+    /// Bounds explored in the tests: under 100,000 states each.
     pub const SMALL: [LogBounds; 4] = [
         LogBounds {
             leases: true,
-            ..Self::LEAST
+            ..Self::MINIMAL
         },
         LogBounds {
             crashes: 1,
-            ..Self::LEAST
+            ..Self::MINIMAL
         },
         LogBounds {
             entries: 2,
-            ..Self::LEAST
+            ..Self::MINIMAL
         },
         LogBounds {
             terms: 4,
-            rivals: true,
-            ..Self::LEAST
+            competing_leaders: true,
+            ..Self::MINIMAL
         },
     ];
 
-    /// Explored by the example.
+    /// Bounds explored by the `explore` example.
     pub const LARGE: [LogBounds; 8] = [
         Self::SMALL[0],
         Self::SMALL[1],
         Self::SMALL[2],
         Self::SMALL[3],
         LogBounds {
-            losses: 1,
-            ..Self::LEAST
+            disk_losses: 1,
+            ..Self::MINIMAL
         },
         LogBounds {
             entries: 2,
             crashes: 1,
-            ..Self::LEAST
+            ..Self::MINIMAL
         },
         LogBounds {
             crashes: 1,
-            losses: 1,
-            ..Self::LEAST
+            disk_losses: 1,
+            ..Self::MINIMAL
         },
         LogBounds {
             crashes: 1,
             leases: true,
-            ..Self::LEAST
+            ..Self::MINIMAL
         },
     ];
 }
 
-/// The log without each of its rules.
+/// Returns the log specification with each rule disabled in turn.
 pub fn log_cases() -> Vec<Case<LogSpec>> {
     let all = LogRules::ALL;
-    let least = LogBounds::LEAST;
+    let minimal = LogBounds::MINIMAL;
     let case = |without, rules, bounds, breaks| Case {
         without,
         spec: LogSpec { rules, bounds },
@@ -86,67 +86,73 @@
     const REPLACED: &str = "a committed entry was replaced";
     vec![
         case(
-            "the sync before the message",
-            LogRules { sync: false, ..all },
+            "syncing before sending",
+            LogRules {
+                sync_before_send: false,
+                ..all
+            },
             LogBounds {
                 crashes: 1,
-                ..least
+                ..minimal
             },
             TWO_LEADERS,
         ),
         case(
-            "a new identity for a lost disk",
+            "a new identity after a lost disk",
             LogRules {
-                identity: false,
+                new_identity_after_loss: false,
                 ..all
             },
-            LogBounds { losses: 1, ..least },
+            LogBounds {
+                disk_losses: 1,
+                ..minimal
+            },
             TWO_LEADERS,
         ),
         case(
-            "the promise to the leader",
+            "the promise to the leader blocking votes",
             LogRules {
-                lease: false,
+                promise_blocks_votes: false,
                 ..all
             },
             LogBounds {
                 leases: true,
-                ..least
+                ..minimal
             },
             TWO_LEASES,
         ),
         case(
-            "the promise over a restart",
+            "keeping the promise over a restart",
             LogRules {
-                promise_over_restart: false,
+                promise_survives_restart: false,
                 ..all
             },
             LogBounds {
                 crashes: 1,
                 leases: true,
-                ..least
+                ..minimal
             },
             TWO_LEASES,
         ),
         case(
-            "a candidate's log being up to date",
+            "requiring an up-to-date log of candidates",
             LogRules {
-                up_to_date: false,
+                up_to_date_log: false,
                 ..all
             },
-            least,
+            minimal,
             REPLACED,
         ),
         case(
-            "commit by the own term only",
+            "counting acknowledgements for the own term only",
             LogRules {
-                own_term: false,
+                commit_own_term_only: false,
                 ..all
             },
             LogBounds {
                 terms: 4,
-                rivals: true,
-                ..least
+                competing_leaders: true,
+                ..minimal
             },
             REPLACED,
         ),
@@ -154,17 +160,18 @@
 }
 
 impl ClaimSpec {
-    /// Two routers, two tries a boot, one restart each.
+    /// Returns a specification with two routers, two attempts per boot and one restart
+    /// each.
     pub const fn with(rules: ClaimRules) -> Self {
         ClaimSpec {
             rules,
-            tries: 2,
+            attempts: 2,
             restarts: 1,
         }
     }
 }
 
-/// Claims without each of their rules.
+/// Returns the claim specification with each rule disabled in turn.
 pub fn claim_cases() -> Vec<Case<ClaimSpec>> {
     let all = ClaimRules::ALL;
     let case = |without, rules| Case {
@@ -174,37 +181,37 @@
     };
     vec![
         case(
-            "the claim before the send",
+            "the claim before sending",
             ClaimRules {
-                claim_first: false,
+                claim_before_send: false,
                 ..all
             },
         ),
         case(
-            "the holder in a resend",
+            "matching the holder of a resent claim",
             ClaimRules {
-                holder_in_resend: false,
+                match_holder_of_resend: false,
                 ..all
             },
         ),
         case(
-            "a gone holder's claim staying taken",
+            "keeping the claim of a lost holder",
             ClaimRules {
-                gone_stays_taken: false,
+                keep_claim_of_lost_holder: false,
                 ..all
             },
         ),
         case(
-            "the try in an outcome",
+            "matching the attempt of an outcome",
             ClaimRules {
-                try_in_outcome: false,
+                match_attempt_of_outcome: false,
                 ..all
             },
         ),
         case(
-            "freeing by the holder only",
+            "releasing by the holder only",
             ClaimRules {
-                free_by_holder: false,
+                release_by_holder_only: false,
                 ..all
             },
         ),
--- a/crates/deckwind-spec/src/claim_spec.rs
+++ b/crates/deckwind-spec/src/claim_spec.rs
@@ -1,7 +1,8 @@
-//! Claims of one key by two routers that crash, resend and lose their leases.
+//! Specification of claims: two routers claim the same idempotency key, crash,
+//! resend and lose their leases.
 //!
-//! A command that was sent may be committed at any later time and more than
-//! once; a reply may be taken late. A run is counted when a target takes the
+//! A command that was sent can be committed at any later time and more than once,
+//! and a reply can be received late. A run is counted when a target accepts the
 //! request.
 
 use crate::Spec;
@@ -9,35 +10,36 @@
 
 const ROUTERS: usize = 2;
 
-/// Rules that can be taken out.
+/// Rules of the protocol, each of which can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimRules {
     /// The request is sent only after its claim was granted.
-    pub claim_first: bool,
-    /// A resend is told from another's try by its holder, not by boot alone.
-    pub holder_in_resend: bool,
-    /// What a holder that is gone had claimed stays taken.
-    pub gone_stays_taken: bool,
-    /// A claim is freed only by its holder, and only if it was not run.
-    pub free_by_holder: bool,
-    /// An outcome names the try that it ends: one that comes late or twice must
-    /// not end a later try.
-    pub try_in_outcome: bool,
+    pub claim_before_send: bool,
+    /// A resent claim is recognized by its holder (router and boot), not by the boot
+    /// number alone.
+    pub match_holder_of_resend: bool,
+    /// The claim of a holder that is gone is kept.
+    pub keep_claim_of_lost_holder: bool,
+    /// A claim is released only by its holder, and only if the request did not run.
+    pub release_by_holder_only: bool,
+    /// An outcome applies only to the attempt that it names: one that arrives late
+    /// or twice must not end a later attempt.
+    pub match_attempt_of_outcome: bool,
 }
 
 impl ClaimRules {
-    /// All rules.
+    /// Enables all rules.
     pub const ALL: ClaimRules = ClaimRules {
-        claim_first: true,
-        holder_in_resend: true,
-        gone_stays_taken: true,
-        free_by_holder: true,
-        try_in_outcome: true,
+        claim_before_send: true,
+        match_holder_of_resend: true,
+        keep_claim_of_lost_holder: true,
+        release_by_holder_only: true,
+        match_attempt_of_outcome: true,
     };
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Holder {
+struct RouterProcess {
     router: u8,
     boot: u8,
 }
@@ -50,24 +52,24 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct Row {
-    holder: Holder,
+struct ClaimRow {
+    holder: RouterProcess,
     nonce: u8,
     status: Status,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Command {
-    Claim(Holder, u8),
-    Answered(Holder, u8),
-    NotRun(Holder, u8),
-    Gone(Holder),
+    Claim(RouterProcess, u8),
+    Answered(RouterProcess, u8),
+    NotRun(RouterProcess, u8),
+    HolderGone(RouterProcess),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
     Idle,
-    Asked,
+    ClaimSent,
     Granted,
     Ran,
     Refused,
@@ -75,59 +77,59 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Router {
-    holder: Holder,
+    holder: RouterProcess,
     nonce: u8,
     phase: Phase,
 }
 
-/// A state of the specification.
+/// State of the claim specification.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ClaimState {
-    row: Option<Row>,
+    row: Option<ClaimRow>,
     routers: [Router; ROUTERS],
     sent: BTreeSet<Command>,
-    granted: BTreeSet<(Holder, u8)>,
+    granted: BTreeSet<(RouterProcess, u8)>,
     runs: u8,
 }
 
-/// The specification with its rules and bounds.
+/// Specification of claims with its rules and bounds.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimSpec {
-    /// Rules in force.
+    /// Enabled rules.
     pub rules: ClaimRules,
-    /// Tries of each boot.
-    pub tries: u8,
-    /// Restarts of each router.
+    /// Maximum number of attempts per boot of a router.
+    pub attempts: u8,
+    /// Maximum number of restarts of each router.
     pub restarts: u8,
 }
 
 impl ClaimSpec {
-    fn ask(&self, s: &ClaimState, i: usize) -> Option<ClaimState> {
+    fn send_claim(&self, s: &ClaimState, i: usize) -> Option<ClaimState> {
         let r = s.routers[i];
-        let mut n = (r.phase == Phase::Idle && r.nonce < self.tries).then(|| s.clone())?;
+        let mut n = (r.phase == Phase::Idle && r.nonce < self.attempts).then(|| s.clone())?;
         let r = &mut n.routers[i];
         r.nonce += 1;
-        r.phase = Phase::Asked;
+        r.phase = Phase::ClaimSent;
         n.sent.insert(Command::Claim(r.holder, r.nonce));
         Some(n)
     }
 
-    fn take_grant(&self, s: &ClaimState, i: usize) -> Option<ClaimState> {
+    fn receive_grant(&self, s: &ClaimState, i: usize) -> Option<ClaimState> {
         let r = s.routers[i];
-        let granted = s.granted.contains(&(r.holder, r.nonce)) || !self.rules.claim_first;
-        let mut n = (r.phase == Phase::Asked && granted).then(|| s.clone())?;
+        let granted = s.granted.contains(&(r.holder, r.nonce)) || !self.rules.claim_before_send;
+        let mut n = (r.phase == Phase::ClaimSent && granted).then(|| s.clone())?;
         n.routers[i].phase = Phase::Granted;
         Some(n)
     }
 
-    fn send(&self, s: &ClaimState, i: usize, runs: bool) -> Option<ClaimState> {
+    fn send_request(&self, s: &ClaimState, i: usize, runs: bool) -> Option<ClaimState> {
         let mut n = (s.routers[i].phase == Phase::Granted).then(|| s.clone())?;
         n.routers[i].phase = if runs { Phase::Ran } else { Phase::Refused };
         n.runs += u8::from(runs);
         Some(n)
     }
 
-    fn finish(&self, s: &ClaimState, i: usize) -> Option<ClaimState> {
+    fn report_outcome(&self, s: &ClaimState, i: usize) -> Option<ClaimState> {
         let r = s.routers[i];
         let command = match r.phase {
             Phase::Ran => Command::Answered(r.holder, r.nonce),
@@ -140,9 +142,9 @@
         Some(n)
     }
 
-    /// The router gives up waiting; its claim may still be committed.
-    fn give_up(&self, s: &ClaimState, i: usize) -> Option<ClaimState> {
-        let mut n = (s.routers[i].phase == Phase::Asked).then(|| s.clone())?;
+    /// Ends the wait of a router; its claim can still be committed.
+    fn time_out(&self, s: &ClaimState, i: usize) -> Option<ClaimState> {
+        let mut n = (s.routers[i].phase == Phase::ClaimSent).then(|| s.clone())?;
         n.routers[i].phase = Phase::Idle;
         Some(n)
     }
@@ -150,9 +152,9 @@
     fn restart(&self, s: &ClaimState, i: usize) -> Option<ClaimState> {
         let r = s.routers[i];
         let mut n = (r.holder.boot < self.restarts).then(|| s.clone())?;
-        n.sent.insert(Command::Gone(r.holder));
+        n.sent.insert(Command::HolderGone(r.holder));
         n.routers[i] = Router {
-            holder: Holder {
+            holder: RouterProcess {
                 boot: r.holder.boot + 1,
                 ..r.holder
             },
@@ -162,9 +164,9 @@
         Some(n)
     }
 
-    /// The leader holds a router to be gone that only lost its lease.
+    /// Makes the leader treat a running router that lost its lease as gone.
     fn lose_lease(&self, s: &ClaimState, i: usize) -> Option<ClaimState> {
-        let gone = Command::Gone(s.routers[i].holder);
+        let gone = Command::HolderGone(s.routers[i].holder);
         let mut n = (!s.sent.contains(&gone)).then(|| s.clone())?;
         n.sent.insert(gone);
         Some(n)
@@ -175,28 +177,29 @@
         match command {
             Command::Claim(holder, nonce) => self.commit_claim(&mut n, holder, nonce),
             Command::Answered(holder, nonce) => {
-                let its = |r: &&mut Row| r.holder == holder && r.nonce == nonce;
-                if let Some(row) = n.row.as_mut().filter(its) {
+                let is_its_claim = |r: &&mut ClaimRow| r.holder == holder && r.nonce == nonce;
+                if let Some(row) = n.row.as_mut().filter(is_its_claim) {
                     row.status = Status::Answered;
                 }
             }
             Command::NotRun(holder, nonce) => {
-                let frees = |r: &Row| {
-                    let same_try = r.nonce == nonce || !self.rules.try_in_outcome;
-                    let mine = r.holder == holder && same_try && r.status != Status::Answered;
-                    mine || !self.rules.free_by_holder
+                let releases = |r: &ClaimRow| {
+                    let same_attempt = r.nonce == nonce || !self.rules.match_attempt_of_outcome;
+                    let by_holder =
+                        r.holder == holder && same_attempt && r.status != Status::Answered;
+                    by_holder || !self.rules.release_by_holder_only
                 };
-                n.row = n.row.filter(|r| !frees(r));
+                n.row = n.row.filter(|r| !releases(r));
             }
-            Command::Gone(holder) => self.commit_gone(&mut n, holder),
+            Command::HolderGone(holder) => self.commit_holder_gone(&mut n, holder),
         }
         (n != *s).then_some(n)
     }
 
-    fn commit_claim(&self, n: &mut ClaimState, holder: Holder, nonce: u8) {
+    fn commit_claim(&self, n: &mut ClaimState, holder: RouterProcess, nonce: u8) {
         let Some(row) = n.row else {
             let status = Status::InProgress;
-            n.row = Some(Row {
+            n.row = Some(ClaimRow {
                 holder,
                 nonce,
                 status,
@@ -205,18 +208,18 @@
             return;
         };
         let same_holder = row.holder == holder
-            || (!self.rules.holder_in_resend && row.holder.boot == holder.boot);
+            || (!self.rules.match_holder_of_resend && row.holder.boot == holder.boot);
         if row.status == Status::InProgress && same_holder && row.nonce == nonce {
             n.granted.insert((holder, nonce));
         }
     }
 
-    fn commit_gone(&self, n: &mut ClaimState, holder: Holder) {
-        let its = |r: &Row| r.holder == holder && r.status == Status::InProgress;
-        if !n.row.as_ref().is_some_and(its) {
+    fn commit_holder_gone(&self, n: &mut ClaimState, holder: RouterProcess) {
+        let is_its_claim = |r: &ClaimRow| r.holder == holder && r.status == Status::InProgress;
+        if !n.row.as_ref().is_some_and(is_its_claim) {
             return;
         }
-        if !self.rules.gone_stays_taken {
+        if !self.rules.keep_claim_of_lost_holder {
             n.row = None;
         } else if let Some(row) = &mut n.row {
             row.status = Status::Unknown;
@@ -227,9 +230,9 @@
 impl Spec for ClaimSpec {
     type State = ClaimState;
 
-    fn start(&self) -> ClaimState {
+    fn initial(&self) -> ClaimState {
         let router = |router: u8| Router {
-            holder: Holder { router, boot: 0 },
+            holder: RouterProcess { router, boot: 0 },
             nonce: 0,
             phase: Phase::Idle,
         };
@@ -242,35 +245,44 @@
         }
     }
 
-    fn next(&self, s: &ClaimState) -> Vec<(String, ClaimState)> {
+    fn successors(&self, s: &ClaimState) -> Vec<(String, ClaimState)> {
         let mut out = Vec::new();
-        let mut put = |name: String, n: Option<ClaimState>| out.extend(n.map(|n| (name, n)));
+        let mut push = |name: String, n: Option<ClaimState>| out.extend(n.map(|n| (name, n)));
         for i in 0..ROUTERS {
-            put(format!("router {i} asks for the claim"), self.ask(s, i));
-            put(format!("router {i} takes the grant"), self.take_grant(s, i));
-            put(
-                format!("router {i} sends, the target runs it"),
-                self.send(s, i, true),
+            push(format!("router {i} sends its claim"), self.send_claim(s, i));
+            push(
+                format!("router {i} receives the grant"),
+                self.receive_grant(s, i),
             );
-            put(
-                format!("router {i} sends, the target refuses"),
-                self.send(s, i, false),
+            push(
+                format!("router {i} sends the request, the target runs it"),
+                self.send_request(s, i, true),
             );
-            put(format!("router {i} reports the outcome"), self.finish(s, i));
-            put(format!("router {i} gives up waiting"), self.give_up(s, i));
-            put(
+            push(
+                format!("router {i} sends the request, the target refuses it"),
+                self.send_request(s, i, false),
+            );
+            push(
+                format!("router {i} reports the outcome"),
+                self.report_outcome(s, i),
+            );
+            push(format!("router {i} times out"), self.time_out(s, i));
+            push(
                 format!("router {i} is killed and restarts"),
                 self.restart(s, i),
             );
-            put(format!("router {i} loses its lease"), self.lose_lease(s, i));
+            push(format!("router {i} loses its lease"), self.lose_lease(s, i));
         }
         for command in &s.sent {
-            put(format!("committed: {command:?}"), self.commit(s, *command));
+            push(
+                format!("{command:?} is committed"),
+                self.commit(s, *command),
+            );
         }
         out
     }
 
-    fn broken(&self, s: &ClaimState) -> Option<String> {
+    fn violation(&self, s: &ClaimState) -> Option<String> {
         (s.runs > 1).then(|| "the request ran twice".to_string())
     }
 }
--- a/crates/deckwind-spec/src/lib.rs
+++ b/crates/deckwind-spec/src/lib.rs
@@ -1,88 +1,91 @@
-//! A small specification of what the control replicas agree by, explored
-//! exhaustively within stated bounds.
+//! Abstract specifications of the protocols between routers and control
+//! replicas, with an exhaustive search of their states within stated bounds.
 //!
-//! For: showing that the rules are enough, and that each is needed: with a rule
-//! taken out, [`explore`] finds the shortest run that breaks an invariant. Not
-//! for: the code itself; that is run under seeded faults by `deckwind-testkit`.
+//! The search shows that the rules of a protocol are sufficient, and that each
+//! is necessary: without a rule, [`explore`] finds a shortest run that violates
+//! an invariant. It does not check the implementation, which `deckwind-testkit`
+//! runs under seeded faults.
 //!
-//! Breadth-first search (`pathfinding::directed::bfs`) over all states. Lost
-//! messages are messages that nobody takes; doubled and late ones are messages
-//! that stay in a set for ever and may be taken at any time.
+//! [`explore`] is a breadth-first search (`pathfinding::directed::bfs`) over all
+//! states. A lost message is one that is never received. Duplicated and delayed
+//! messages are modelled by keeping messages in a set, from which they can be
+//! received at any time.
 
 mod cases;
 mod claim_spec;
+mod forwarding_spec;
 mod limit_cases;
 mod limit_rules;
 mod limit_spec;
 mod log_spec;
-mod pass_on_spec;
-mod repeat_cases;
-mod repeat_rules;
-mod repeat_spec;
+mod retry_cases;
+mod retry_rules;
+mod retry_spec;
 
 pub use cases::{Case, claim_cases, log_cases};
 pub use claim_spec::{ClaimRules, ClaimSpec};
+pub use forwarding_spec::{ForwardingRules, PassOnSpec, pass_on_cases};
 pub use limit_cases::limit_cases;
 pub use limit_rules::{LimitBounds, LimitRules};
 pub use limit_spec::LimitSpec;
 pub use log_spec::{LogBounds, LogRules, LogSpec};
-pub use pass_on_spec::{PassOnRules, PassOnSpec, pass_on_cases};
-pub use repeat_cases::repeat_cases;
-pub use repeat_rules::{RepeatBounds, RepeatRules};
-pub use repeat_spec::RepeatSpec;
+pub use retry_cases::repeat_cases;
+pub use retry_rules::{RepeatBounds, RepeatRules};
+pub use retry_spec::RepeatSpec;
 
 use pathfinding::directed::bfs::bfs;
 use std::cell::Cell;
 use std::fmt::Debug;
 use std::hash::Hash;
 
-/// A specification: where it starts, what may happen, what must hold.
+/// Specification of a protocol: initial state, transitions and invariants.
 pub trait Spec {
-    /// A state.
+    /// State of the specified system.
     type State: Clone + Eq + Hash + Debug;
 
-    /// The state at the start.
-    fn start(&self) -> Self::State;
+    /// Returns the initial state.
+    fn initial(&self) -> Self::State;
 
-    /// What may happen next: a name for people, and the state after it.
-    fn next(&self, state: &Self::State) -> Vec<(String, Self::State)>;
+    /// Returns the possible next steps: a readable name and the resulting state.
+    fn successors(&self, state: &Self::State) -> Vec<(String, Self::State)>;
 
-    /// The invariant that a state breaks, if any.
-    fn broken(&self, state: &Self::State) -> Option<String>;
+    /// Returns the invariant that a state violates, if any.
+    fn violation(&self, state: &Self::State) -> Option<String>;
 }
 
-/// What came of an exploration.
+/// Result of an exploration.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Explored {
-    /// States that were expanded.
+pub struct Exploration {
+    /// Number of expanded states.
     pub states: u64,
-    /// The shortest run that breaks an invariant: the names of its steps, then
-    /// the invariant.
+    /// Shortest run that violates an invariant: the names of its steps, then the
+    /// invariant.
     pub counterexample: Option<Vec<String>>,
 }
 
-/// Explores all states of a specification, or up to the first that is broken.
-pub fn explore<S: Spec>(spec: &S) -> Explored {
+/// Explores all states of a specification, or up to the first that violates an
+/// invariant.
+pub fn explore<S: Spec>(spec: &S) -> Exploration {
     let states = Cell::new(0);
-    let successors = |state: &S::State| {
+    let expand = |state: &S::State| {
         states.set(states.get() + 1);
-        spec.next(state).into_iter().map(|(_, s)| s)
+        spec.successors(state).into_iter().map(|(_, s)| s)
     };
-    let run = bfs(&spec.start(), successors, |s| spec.broken(s).is_some());
-    Explored {
+    let run = bfs(&spec.initial(), expand, |s| spec.violation(s).is_some());
+    Exploration {
         states: states.get(),
         counterexample: run.map(|run| describe(spec, &run)),
     }
 }
 
 fn describe<S: Spec>(spec: &S, run: &[S::State]) -> Vec<String> {
-    let step = |pair: &[S::State]| {
-        let steps = spec.next(&pair[0]);
-        let found = steps.into_iter().find(|(_, s)| *s == pair[1]);
-        found.map(|(name, _)| name).unwrap_or_default()
+    let step = |transition: &[S::State]| {
+        let steps = spec.successors(&transition[0]);
+        let taken = steps.into_iter().find(|(_, s)| *s == transition[1]);
+        taken.map(|(name, _)| name).unwrap_or_default()
     };
     let mut lines: Vec<String> = run.windows(2).map(step).collect();
-    let broken = run.last().and_then(|s| spec.broken(s));
-    lines.extend(broken);
+    let violation = run.last().and_then(|s| spec.violation(s));
+    lines.extend(violation);
     lines
 }
--- a/crates/deckwind-spec/src/limit_cases.rs
+++ b/crates/deckwind-spec/src/limit_cases.rs
@@ -1,64 +1,64 @@
-//! Bounds in which limits are explored, and each of their rules taken out.
+//! Bounds for the limit specification, and cases that disable one rule each.
 
 use crate::{Case, LimitBounds, LimitRules, LimitSpec};
 
 impl LimitBounds {
-    /// One permit a step, counted over one step; nothing that fails.
-    pub const LEAST: LimitBounds = LimitBounds {
+    /// One permit per step, requests counted over one step, no faults.
+    pub const MINIMAL: LimitBounds = LimitBounds {
         routers: 2,
         steps: 2,
-        span: 1,
-        interval: 1,
-        lasts: 1,
-        questions: 2,
+        window: 1,
+        permit_interval: 1,
+        permit_lifetime: 1,
+        permit_requests: 2,
         renewals: 0,
-        sends: 2,
-        changes: 0,
-        leaders: 0,
+        requests: 2,
+        limit_changes: 0,
+        leader_changes: 0,
         restarts: 0,
     };
 
-    /// One router; the limit ends and begins again.
-    const CHANGES: LimitBounds = LimitBounds {
+    /// One router; the limit ends and starts again.
+    const LIMIT_CHANGES: LimitBounds = LimitBounds {
         routers: 1,
-        questions: 3,
-        sends: 4,
-        changes: 2,
-        ..Self::LEAST
+        permit_requests: 3,
+        requests: 4,
+        limit_changes: 2,
+        ..Self::MINIMAL
     };
 
-    /// One router that only renews its lease; the leader changes.
+    /// One router that only renews its lease; the leader changes once.
     const RENEWALS: LimitBounds = LimitBounds {
         routers: 1,
         steps: 1,
-        questions: 0,
+        permit_requests: 0,
         renewals: 3,
-        leaders: 1,
-        ..Self::LEAST
+        leader_changes: 1,
+        ..Self::MINIMAL
     };
 
-    /// Explored in the tests.
+    /// Bounds explored in the tests.
     pub const SMALL: [LimitBounds; 4] = [
         LimitBounds {
-            leaders: 1,
-            ..Self::LEAST
+            leader_changes: 1,
+            ..Self::MINIMAL
         },
         LimitBounds {
             steps: 3,
-            span: 2,
-            interval: 2,
-            lasts: 2,
-            sends: 3,
-            ..Self::LEAST
+            window: 2,
+            permit_interval: 2,
+            permit_lifetime: 2,
+            requests: 3,
+            ..Self::MINIMAL
         },
-        Self::CHANGES,
+        Self::LIMIT_CHANGES,
         LimitBounds {
             renewals: 2,
             ..Self::RENEWALS
         },
     ];
 
-    /// Explored by the example.
+    /// Bounds explored by the `explore` example.
     pub const LARGE: [LimitBounds; 8] = [
         Self::SMALL[0],
         Self::SMALL[1],
@@ -66,124 +66,124 @@
         Self::SMALL[3],
         LimitBounds {
             restarts: 1,
-            sends: 3,
-            ..Self::LEAST
+            requests: 3,
+            ..Self::MINIMAL
         },
         LimitBounds {
-            leaders: 1,
-            ..Self::CHANGES
+            leader_changes: 1,
+            ..Self::LIMIT_CHANGES
         },
         LimitBounds {
             steps: 2,
             ..Self::RENEWALS
         },
         LimitBounds {
-            questions: 1,
+            permit_requests: 1,
             renewals: 2,
-            ..Self::CHANGES
+            ..Self::LIMIT_CHANGES
         },
     ];
 }
 
-/// Limits without each of their rules.
+/// Returns the limit specification with each rule disabled in turn.
 pub fn limit_cases() -> Vec<Case<LimitSpec>> {
     let all = LimitRules::ALL;
-    let least = LimitBounds::LEAST;
-    let changes = LimitBounds::CHANGES;
+    let minimal = LimitBounds::MINIMAL;
+    let limit_changes = LimitBounds::LIMIT_CHANGES;
     let renewals = LimitBounds::RENEWALS;
     let case = |without, rules, bounds| Case {
         without,
         spec: LimitSpec { rules, bounds },
-        breaks: "more requests in a span than the target's limit",
+        breaks: "more requests in a window than the target's limit",
     };
     vec![
         case(
-            "permits",
+            "requiring permits",
             LimitRules {
-                permit_first: false,
+                permit_required: false,
                 ..all
             },
-            least,
+            minimal,
         ),
         case(
-            "a pace",
+            "pacing permits",
             LimitRules {
                 paced: false,
                 ..all
             },
-            least,
+            minimal,
         ),
         case(
-            "a new leader's wait",
+            "the wait of a new leader",
             LimitRules {
                 new_leader_waits: false,
                 ..all
             },
             LimitBounds {
-                leaders: 1,
-                ..least
+                leader_changes: 1,
+                ..minimal
             },
         ),
         case(
-            "a permit's time from its question",
+            "counting the lifetime of a permit from its request",
             LimitRules {
-                lasts_from_question: false,
+                lifetime_from_request: false,
                 ..all
             },
-            least,
+            minimal,
         ),
         case(
-            "a permit's being used once",
+            "using a permit only once",
             LimitRules {
-                used_once: false,
+                single_use: false,
                 ..all
             },
-            least,
+            minimal,
         ),
         case(
-            "an end by permitted requests only",
+            "ending a limit by permitted requests only",
             LimitRules {
-                ended_by_permitted: false,
+                end_by_permitted_only: false,
                 ..all
             },
             LimitBounds {
                 steps: 0,
-                questions: 0,
+                permit_requests: 0,
                 restarts: 1,
-                ..changes
+                ..limit_changes
             },
         ),
         case(
-            "an end by later ones only",
+            "ending a limit by later permits only",
             LimitRules {
-                ended_by_later: false,
+                end_by_later_only: false,
                 ..all
             },
-            changes,
+            limit_changes,
         ),
         case(
-            "an end by the leader's own time only",
+            "ending a limit by the leader's own time only",
             LimitRules {
-                ended_by_own_time: false,
+                end_by_own_time_only: false,
                 ..all
             },
             LimitBounds {
-                leaders: 1,
-                ..changes
+                leader_changes: 1,
+                ..limit_changes
             },
         ),
         case(
-            "the last renewal's answer only",
+            "accepting only the answer to the last renewal",
             LimitRules {
-                one_renewal: false,
+                last_renewal_only: false,
                 ..all
             },
             renewals,
         ),
         case(
-            "telling another leader all",
+            "reporting all limits to a new leader",
             LimitRules {
-                another_is_told_all: false,
+                full_report_to_new_leader: false,
                 ..all
             },
             LimitBounds {
@@ -192,12 +192,12 @@
             },
         ),
         case(
-            "what was heard since a question standing",
+            "keeping a limit received after the request",
             LimitRules {
-                over_as_asked: false,
+                end_older_only: false,
                 ..all
             },
-            changes,
+            limit_changes,
         ),
     ]
 }
--- a/crates/deckwind-spec/src/limit_rules.rs
+++ b/crates/deckwind-spec/src/limit_rules.rs
@@ -1,81 +1,84 @@
-//! Rules that routers and the leader keep for limits that targets name, and how far they
-//! are explored.
+//! Rules of the limit specification, which routers and the leader follow for limits that
+//! targets name, and bounds of its exploration.
 
-/// Rules that can be taken out.
+/// Rules of the protocol, each of which can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitRules {
-    /// A router that knows of the limit sends with permits only.
-    pub permit_first: bool,
-    /// The leader issues no more than the target takes.
+    /// A router that knows of the limit sends requests only with permits.
+    pub permit_required: bool,
+    /// The leader issues permits no faster than the target's limit.
     pub paced: bool,
-    /// A new leader issues nothing at once.
+    /// A new leader waits one interval before it issues its first permit.
     pub new_leader_waits: bool,
-    /// A permit is good for a time from its question on.
-    pub lasts_from_question: bool,
-    /// A permit is used once.
-    pub used_once: bool,
-    /// Only an answer to a permitted request ends the limit.
-    pub ended_by_permitted: bool,
-    /// It ends it only if it was permitted after the limit was last told of.
-    pub ended_by_later: bool,
-    /// A leader compares no times of another one.
-    pub ended_by_own_time: bool,
-    /// A router takes the list with which its last renewal is answered, none before.
-    pub one_renewal: bool,
-    /// The list of another leader ends nothing: it is to be told all first.
-    pub another_is_told_all: bool,
-    /// A leader's word that there is no limit ends only what was heard before the
-    /// question.
-    pub over_as_asked: bool,
+    /// The lifetime of a permit starts when it is requested.
+    pub lifetime_from_request: bool,
+    /// A permit is used only once.
+    pub single_use: bool,
+    /// Only the answer to a request sent with a permit ends the limit.
+    pub end_by_permitted_only: bool,
+    /// Such an answer ends the limit only if the permit was issued after the limit was last
+    /// named to a router.
+    pub end_by_later_only: bool,
+    /// A leader does not compare its times with those of another leader.
+    pub end_by_own_time_only: bool,
+    /// A router accepts only the list in the answer to its last renewal.
+    pub last_renewal_only: bool,
+    /// The list of a new leader ends no limit, since the router must first report all its
+    /// limits to that leader.
+    pub full_report_to_new_leader: bool,
+    /// A leader's answer that there is no limit ends only a limit that the router received
+    /// before it sent the request.
+    pub end_older_only: bool,
 }
 
 impl LimitRules {
-    /// All rules.
+    /// Enables all rules.
     pub const ALL: LimitRules = LimitRules {
-        permit_first: true,
+        permit_required: true,
         paced: true,
         new_leader_waits: true,
-        lasts_from_question: true,
-        used_once: true,
-        ended_by_permitted: true,
-        ended_by_later: true,
-        ended_by_own_time: true,
-        one_renewal: true,
-        another_is_told_all: true,
-        over_as_asked: true,
+        lifetime_from_request: true,
+        single_use: true,
+        end_by_permitted_only: true,
+        end_by_later_only: true,
+        end_by_own_time_only: true,
+        last_renewal_only: true,
+        full_report_to_new_leader: true,
+        end_older_only: true,
     };
 }
 
-/// How far it is explored.
+/// Bounds of the exploration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitBounds {
-    /// Routers, two at most.
+    /// Number of routers, at most two.
     pub routers: u8,
-    /// Steps of time.
+    /// Number of time steps.
     pub steps: u8,
-    /// Steps over which requests are counted.
-    pub span: u8,
-    /// Steps between two permits.
-    pub interval: u8,
-    /// Steps for which a permit is good.
-    pub lasts: u8,
-    /// Questions of all routers for permits.
-    pub questions: u8,
-    /// Renewals of all routers.
+    /// Steps over which requests are counted against the limit.
+    pub window: u8,
+    /// Steps between two permits, which represents the limit.
+    pub permit_interval: u8,
+    /// Steps for which a permit is valid.
+    pub permit_lifetime: u8,
+    /// Maximum number of permit requests of all routers.
+    pub permit_requests: u8,
+    /// Maximum number of lease renewals of all routers.
     pub renewals: u8,
-    /// Requests of all routers.
-    pub sends: u8,
-    /// Times that the target begins or ends to name its limit.
-    pub changes: u8,
-    /// Changes of the leader.
-    pub leaders: u8,
-    /// Restarts of routers.
+    /// Maximum number of requests of all routers to the target.
+    pub requests: u8,
+    /// Maximum number of times that the target starts or stops naming a limit.
+    pub limit_changes: u8,
+    /// Maximum number of leader changes.
+    pub leader_changes: u8,
+    /// Maximum number of restarts of all routers.
     pub restarts: u8,
 }
 
 impl LimitBounds {
-    /// Most requests in a span: of each permit that may be used in it.
-    pub fn most(&self) -> u8 {
-        (self.span + self.lasts - 1).div_ceil(self.interval)
+    /// Returns the maximum number of requests in a window: one for each permit that can be
+    /// used in it.
+    pub fn max_requests(&self) -> u8 {
+        (self.window + self.permit_lifetime - 1).div_ceil(self.permit_interval)
     }
 }
--- a/crates/deckwind-spec/src/limit_spec.rs
+++ b/crates/deckwind-spec/src/limit_spec.rs
@@ -1,9 +1,10 @@
-//! The limit of one target, kept by two routers with permits of a leader, over lost and
-//! late messages, restarts and other leaders.
+//! Specification of a target's limit, which two routers respect with permits of a leader.
+//! Messages are lost and delayed, routers restart and the leader changes.
 //!
-//! At the start all know of the limit. Time is counted in steps. Questions and the target's answers stay for ever and may be
-//! taken at any time and any number of times; what the leader answers comes once, late or
-//! never. The clock of each leader is its own. A leader that was replaced answers nobody.
+//! Initially all know of the limit. Time is counted in steps. Requests to the leader and
+//! answers of the target can be received at any time and any number of times. An answer of
+//! the leader arrives once, late or never. Each leader has its own clock. A leader that was
+//! replaced answers no requests.
 
 use crate::Spec;
 use crate::limit_rules::{LimitBounds, LimitRules};
@@ -11,27 +12,27 @@
 
 const ROUTERS: usize = 2;
 
-/// Longest span that can be specified.
-const MOST_SPAN: usize = 4;
+/// Maximum length of the window, in steps.
+const MAX_WINDOW: usize = 4;
 
-/// How far the first leader's clock is ahead of the others'.
-const AHEAD: u8 = 8;
+/// Offset of the first leader's clock ahead of those of later leaders, in steps.
+const CLOCK_OFFSET: u8 = 8;
 
-/// A moment of one leader, by its own clock.
+/// Time by the clock of the leader of a term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct LeaderTime {
     term: u8,
     at: u8,
 }
 
-/// What a router has heard of the target.
+/// Limit as a router received it from the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Known {
-    /// When the limit was last named to it.
-    named: u8,
-    /// When it last heard anything of it.
-    heard: u8,
-    /// An answer to a request of this permit named none.
+struct KnownLimit {
+    /// Time at which the target last named the limit to the router.
+    named_at: u8,
+    /// Time at which the router last received an answer that concerns the limit.
+    received_at: u8,
+    /// Issue time of the permit whose request was answered without a limit.
     none_named: Option<LeaderTime>,
 }
 
@@ -44,97 +45,98 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Router {
     boot: u8,
-    known: Option<Known>,
+    known: Option<KnownLimit>,
     permits: BTreeSet<Permit>,
-    /// The leader that it has a list of, and until when that one knows what it has
-    /// heard.
-    list: Option<(u8, Option<u8>)>,
-    /// Renewals that it has sent, and answers that it has taken to them.
+    /// Term of the leader that sent the current list of limits. With it, if the list was
+    /// accepted in full, the time before which that leader knows all that the router
+    /// received.
+    limit_list: Option<(u8, Option<u8>)>,
+    /// Number of renewals sent plus answers to renewals received.
     renewals: u8,
-    /// Whether an answer that names the present limit has come.
-    told: bool,
+    /// Whether the router received an answer that names the present limit.
+    knows_limit: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Question {
+struct LeaderRequest {
     router: u8,
     boot: u8,
-    asked: u8,
-    /// Nothing where the leader has been told.
-    known: Option<Known>,
-    /// Which renewal it is; nothing where a permit is wanted.
+    sent_at: u8,
+    /// `None` if the leader already knows it.
+    known: Option<KnownLimit>,
+    /// Number of the renewal; `None` for a permit request.
     renewal: Option<u8>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Word {
+enum Reply {
     Permit(LeaderTime),
     NoLimit,
-    /// The list of the leader of this term; whether it names the target.
+    /// List of the leader of a term, and whether it contains the target.
     List(u8, bool),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Answer {
-    question: Question,
-    word: Word,
+    request: LeaderRequest,
+    reply: Reply,
 }
 
-/// An answer of the target.
+/// Answer of the target to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-struct Served {
+struct TargetAnswer {
     router: u8,
     boot: u8,
-    /// Which limit it names.
-    names: Option<u8>,
+    /// Number of the limit that it names, if any.
+    named_limit: Option<u8>,
     permitted: Option<LeaderTime>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Leader {
     term: u8,
-    /// When the limit that it keeps was last named to a router, or later, by its own
-    /// clock.
-    named: Option<u8>,
-    /// When the permit was issued whose answer ended the limit last.
-    ended: Option<u8>,
-    /// When the next permit is due, by its own clock.
-    next: u8,
+    /// Upper bound on the time at which the limit was last named to a router, by the
+    /// leader's clock; `None` if it knows of no limit.
+    named_at: Option<u8>,
+    /// Issue time of the permit whose answer last ended the limit.
+    ending_permit: Option<u8>,
+    /// Time at which the next permit is due, by the leader's clock.
+    due_at: u8,
 }
 
-/// A state of the specification.
+/// State of the limit specification.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LimitState {
     now: u8,
-    /// Which limit the target names.
+    /// Number of the limit that the target names, if any.
     limit: Option<u8>,
     leader: Leader,
     routers: [Router; ROUTERS],
-    questions: BTreeSet<Question>,
+    leader_requests: BTreeSet<LeaderRequest>,
     answers: BTreeSet<Answer>,
-    served: BTreeSet<Served>,
-    /// Requests of routers that had been told, in this step and the ones before it.
-    came: [u8; MOST_SPAN],
-    asked: u8,
-    renewed: u8,
-    sent: u8,
-    changes: u8,
+    target_answers: BTreeSet<TargetAnswer>,
+    /// Requests of routers that knew of the limit, in this step and the ones before it.
+    recent_requests: [u8; MAX_WINDOW],
+    requested_permits: u8,
+    lease_renewals: u8,
+    target_requests: u8,
+    limit_changes: u8,
     restarts: u8,
 }
 
-/// The specification with its rules and bounds.
+/// Specification of limits with its rules and bounds.
 #[derive(Clone, Copy, Debug)]
 pub struct LimitSpec {
-    /// Rules in force.
+    /// Enabled rules.
     pub rules: LimitRules,
-    /// Bounds.
+    /// Bounds of the exploration.
     pub bounds: LimitBounds,
 }
 
 impl Leader {
     fn clock(&self, now: u8) -> u8 {
         match self.term {
-            0 => now + AHEAD,
+            0 => now + CLOCK_OFFSET,
             _ => now,
         }
     }
@@ -144,33 +146,33 @@
     fn tick(&self, s: &LimitState) -> Option<LimitState> {
         let mut n = (s.now < self.bounds.steps).then(|| s.clone())?;
         n.now += 1;
-        n.came.rotate_right(1);
-        n.came[0] = 0;
-        n.came[usize::from(self.bounds.span)..].fill(0);
+        n.recent_requests.rotate_right(1);
+        n.recent_requests[0] = 0;
+        n.recent_requests[usize::from(self.bounds.window)..].fill(0);
         for r in &mut n.routers {
             r.permits.retain(|p| n.now < p.until);
         }
         Some(n)
     }
 
-    /// The target begins to name a limit, or names none any more.
-    fn change(&self, s: &LimitState) -> Option<LimitState> {
-        let mut n = (s.changes < self.bounds.changes).then(|| s.clone())?;
-        n.changes += 1;
-        n.limit = s.limit.is_none().then_some(n.changes);
-        n.came = [0; MOST_SPAN];
-        n.routers.iter_mut().for_each(|r| r.told = false);
+    /// Makes the target start or stop naming a limit.
+    fn change_limit(&self, s: &LimitState) -> Option<LimitState> {
+        let mut n = (s.limit_changes < self.bounds.limit_changes).then(|| s.clone())?;
+        n.limit_changes += 1;
+        n.limit = s.limit.is_none().then_some(n.limit_changes);
+        n.recent_requests = [0; MAX_WINDOW];
+        n.routers.iter_mut().for_each(|r| r.knows_limit = false);
         Some(n)
     }
 
-    /// Another replica leads. It knows of no limit.
-    fn lead(&self, s: &LimitState) -> Option<LimitState> {
-        let mut n = (s.leader.term < self.bounds.leaders).then(|| s.clone())?;
+    /// Replaces the leader by one that knows of no limit.
+    fn change_leader(&self, s: &LimitState) -> Option<LimitState> {
+        let mut n = (s.leader.term < self.bounds.leader_changes).then(|| s.clone())?;
         n.leader = Leader {
             term: s.leader.term + 1,
-            named: None,
-            ended: None,
-            next: 0,
+            named_at: None,
+            ending_permit: None,
+            due_at: 0,
         };
         Some(n)
     }
@@ -182,149 +184,159 @@
         Some(n)
     }
 
-    /// A router sends a request, with a permit or where it needs none.
-    fn send(&self, s: &LimitState, i: usize, permit: Option<Permit>) -> Option<LimitState> {
+    /// Sends a request of a router to the target, with a permit or where none is required.
+    fn send_request(&self, s: &LimitState, i: usize, permit: Option<Permit>) -> Option<LimitState> {
         let r = &s.routers[i];
-        let free = r.known.is_none() || !self.rules.permit_first;
-        let may = permit.is_some() || free;
-        let mut n = (may && s.sent < self.bounds.sends).then(|| s.clone())?;
-        n.sent += 1;
-        if let Some(permit) = permit.filter(|_| self.rules.used_once) {
+        let needs_none = r.known.is_none() || !self.rules.permit_required;
+        let is_allowed = permit.is_some() || needs_none;
+        let mut n = (is_allowed && s.target_requests < self.bounds.requests).then(|| s.clone())?;
+        n.target_requests += 1;
+        if let Some(permit) = permit.filter(|_| self.rules.single_use) {
             n.routers[i].permits.remove(&permit);
         }
-        n.came[0] += u8::from(r.told && s.limit.is_some());
-        n.served.insert(Served {
+        n.recent_requests[0] += u8::from(r.knows_limit && s.limit.is_some());
+        n.target_answers.insert(TargetAnswer {
             router: i as u8,
             boot: r.boot,
-            names: s.limit,
+            named_limit: s.limit,
             permitted: permit.map(|p| p.issued),
         });
         Some(n)
     }
 
-    /// A router takes an answer of the target.
-    fn hear(&self, s: &LimitState, served: Served) -> Option<LimitState> {
+    /// Delivers an answer of the target to a router.
+    fn receive_target_answer(
+        &self,
+        s: &LimitState,
+        target_answer: TargetAnswer,
+    ) -> Option<LimitState> {
         let mut n = s.clone();
-        let r = &mut n.routers[usize::from(served.router)];
-        if r.boot != served.boot {
+        let r = &mut n.routers[usize::from(target_answer.router)];
+        if r.boot != target_answer.boot {
             return None;
         }
-        match (served.names, &mut r.known) {
+        match (target_answer.named_limit, &mut r.known) {
             (Some(limit), _) => {
-                r.known = Some(Known {
-                    named: s.now,
-                    heard: s.now,
+                r.known = Some(KnownLimit {
+                    named_at: s.now,
+                    received_at: s.now,
                     none_named: None,
                 });
-                r.told |= s.limit == Some(limit);
+                r.knows_limit |= s.limit == Some(limit);
             }
-            (None, Some(known)) if served.permitted.is_some() => {
-                known.none_named = served.permitted;
-                known.heard = s.now;
+            (None, Some(known)) if target_answer.permitted.is_some() => {
+                known.none_named = target_answer.permitted;
+                known.received_at = s.now;
             }
-            (None, known) if !self.rules.ended_by_permitted => *known = None,
+            (None, known) if !self.rules.end_by_permitted_only => *known = None,
             (None, _) => {}
         }
         (n != *s).then_some(n)
     }
 
-    fn ask(&self, s: &LimitState, i: usize, wants_permit: bool) -> Option<LimitState> {
-        let may = match wants_permit {
-            true => s.asked < self.bounds.questions,
-            false => s.renewed < self.bounds.renewals,
+    fn send_to_leader(&self, s: &LimitState, i: usize, for_permit: bool) -> Option<LimitState> {
+        let is_allowed = match for_permit {
+            true => s.requested_permits < self.bounds.permit_requests,
+            false => s.lease_renewals < self.bounds.renewals,
         };
-        let mut n = may.then(|| s.clone())?;
-        n.asked += u8::from(wants_permit);
-        n.renewed += u8::from(!wants_permit);
+        let mut n = is_allowed.then(|| s.clone())?;
+        n.requested_permits += u8::from(for_permit);
+        n.lease_renewals += u8::from(!for_permit);
         let r = &mut n.routers[i];
-        r.renewals += u8::from(!wants_permit);
-        let told_until = r.list.and_then(|(_, until)| until);
-        let told = |k: &Known| !wants_permit && told_until.is_some_and(|until| k.heard < until);
+        r.renewals += u8::from(!for_permit);
+        let known_until = r.limit_list.and_then(|(_, until)| until);
+        let reported =
+            |k: &KnownLimit| !for_permit && known_until.is_some_and(|t| k.received_at < t);
         let known = r.known?;
-        let question = Question {
+        let request = LeaderRequest {
             router: i as u8,
             boot: r.boot,
-            asked: s.now,
-            known: Some(known).filter(|k| !told(k)),
-            renewal: (!wants_permit).then_some(r.renewals),
+            sent_at: s.now,
+            known: Some(known).filter(|k| !reported(k)),
+            renewal: (!for_permit).then_some(r.renewals),
         };
-        n.questions.insert(question).then_some(n)
+        n.leader_requests.insert(request).then_some(n)
     }
 
-    /// The leader takes what a router has heard, and issues a permit if one is due.
-    fn answer(&self, s: &LimitState, q: Question) -> Option<LimitState> {
+    /// Records at the leader what a router received and answers the request; a permit is
+    /// issued only if one is due.
+    fn handle_request(&self, s: &LimitState, q: LeaderRequest) -> Option<LimitState> {
         let mut n = s.clone();
         let now = s.leader.clock(s.now);
         if let Some(known) = q.known {
-            self.take_heard(&mut n.leader, now, q.asked, known);
+            self.record_received(&mut n.leader, now, q.sent_at, known);
         }
-        let word = match n.leader.named {
-            named if q.renewal.is_some() => Word::List(s.leader.term, named.is_some()),
-            None => Word::NoLimit,
-            Some(_) if now < n.leader.next && self.rules.paced => return (n != *s).then_some(n),
+        let reply = match n.leader.named_at {
+            named_at if q.renewal.is_some() => Reply::List(s.leader.term, named_at.is_some()),
+            None => Reply::NoLimit,
+            Some(_) if now < n.leader.due_at && self.rules.paced => return (n != *s).then_some(n),
             Some(_) => {
-                n.leader.next = now + self.bounds.interval;
-                Word::Permit(LeaderTime {
+                n.leader.due_at = now + self.bounds.permit_interval;
+                Reply::Permit(LeaderTime {
                     term: s.leader.term,
                     at: now,
                 })
             }
         };
-        n.answers.insert(Answer { question: q, word });
+        n.answers.insert(Answer { request: q, reply });
         (n != *s).then_some(n)
     }
 
-    fn take_heard(&self, leader: &mut Leader, now: u8, asked: u8, known: Known) {
-        // By what the question tells of its age, so no earlier than it was.
-        let named = now - (asked - known.named);
-        let outdated = leader.ended.is_some_and(|ended| named <= ended);
-        if !outdated {
-            if leader.named.is_none() {
-                leader.next = now + u8::from(self.rules.new_leader_waits) * self.bounds.interval;
+    fn record_received(&self, leader: &mut Leader, now: u8, sent_at: u8, known: KnownLimit) {
+        // Computed from the age in the request, which leaves out the transit time, so it is
+        // never earlier than the real time.
+        let named_at = now - (sent_at - known.named_at);
+        let is_outdated = leader
+            .ending_permit
+            .is_some_and(|ending_permit| named_at <= ending_permit);
+        if !is_outdated {
+            if leader.named_at.is_none() {
+                leader.due_at =
+                    now + u8::from(self.rules.new_leader_waits) * self.bounds.permit_interval;
             }
-            leader.named = leader.named.max(Some(named));
+            leader.named_at = leader.named_at.max(Some(named_at));
         }
         let Some(none) = known.none_named else {
             return;
         };
-        let own = none.term == leader.term || !self.rules.ended_by_own_time;
-        let later = leader.named.is_some_and(|named| none.at > named);
-        if own && (later || !self.rules.ended_by_later) {
-            leader.named = None;
-            leader.ended = Some(none.at);
+        let is_own_time = none.term == leader.term || !self.rules.end_by_own_time_only;
+        let is_later = leader.named_at.is_some_and(|named_at| none.at > named_at);
+        if is_own_time && (is_later || !self.rules.end_by_later_only) {
+            leader.named_at = None;
+            leader.ending_permit = Some(none.at);
         }
     }
 
-    /// A router takes what the leader answered.
-    fn take(&self, s: &LimitState, answer: Answer) -> Option<LimitState> {
-        let q = answer.question;
+    /// Delivers an answer of the leader to a router.
+    fn receive_leader_answer(&self, s: &LimitState, answer: Answer) -> Option<LimitState> {
+        let q = answer.request;
         let mut n = s.clone();
         n.answers.remove(&answer);
         let r = &mut n.routers[usize::from(q.router)];
         if r.boot != q.boot {
             return Some(n);
         }
-        let ends = |k: Known| k.heard < q.asked || !self.rules.over_as_asked;
-        match answer.word {
-            Word::Permit(issued) => {
-                let from = match self.rules.lasts_from_question {
-                    true => q.asked,
+        let ends = |k: KnownLimit| k.received_at < q.sent_at || !self.rules.end_older_only;
+        match answer.reply {
+            Reply::Permit(issued) => {
+                let from = match self.rules.lifetime_from_request {
+                    true => q.sent_at,
                     false => s.now,
                 };
-                let until = from + self.bounds.lasts;
+                let until = from + self.bounds.permit_lifetime;
                 if s.now < until {
                     r.permits.insert(Permit { issued, until });
                 }
             }
-            Word::NoLimit => r.known = r.known.filter(|k| !ends(*k)),
-            Word::List(..) if q.renewal != Some(r.renewals) && self.rules.one_renewal => {}
-            Word::List(term, names) => {
-                // It is answered now.
+            Reply::NoLimit => r.known = r.known.filter(|k| !ends(*k)),
+            Reply::List(..) if q.renewal != Some(r.renewals) && self.rules.last_renewal_only => {}
+            Reply::List(term, names_target) => {
+                // Later answers to the same renewal no longer match.
                 r.renewals += 1;
-                let same = r.list.is_none_or(|(of, _)| of == term);
-                let told = same || !self.rules.another_is_told_all;
-                r.list = Some((term, told.then_some(q.asked)));
-                if told && !names {
+                let same_leader = r.limit_list.is_none_or(|(of, _)| of == term);
+                let is_accepted = same_leader || !self.rules.full_report_to_new_leader;
+                r.limit_list = Some((term, is_accepted.then_some(q.sent_at)));
+                if is_accepted && !names_target {
                     r.known = r.known.filter(|k| !ends(*k));
                 }
             }
@@ -334,15 +346,15 @@
 }
 
 impl Router {
-    /// One to which the target has just named its limit.
-    fn told() -> Self {
+    /// Returns a router to which the target has just named its limit.
+    fn with_limit() -> Self {
         Self {
-            known: Some(Known {
-                named: 0,
-                heard: 0,
+            known: Some(KnownLimit {
+                named_at: 0,
+                received_at: 0,
                 none_named: None,
             }),
-            told: true,
+            knows_limit: true,
             ..Self::start(0)
         }
     }
@@ -352,9 +364,9 @@
             boot,
             known: None,
             permits: BTreeSet::new(),
-            list: None,
+            limit_list: None,
             renewals: 0,
-            told: false,
+            knows_limit: false,
         }
     }
 }
@@ -362,74 +374,84 @@
 impl Spec for LimitSpec {
     type State = LimitState;
 
-    fn start(&self) -> LimitState {
+    fn initial(&self) -> LimitState {
         LimitState {
             now: 0,
             limit: Some(0),
             leader: Leader {
                 term: 0,
-                named: Some(AHEAD),
-                ended: None,
-                next: AHEAD,
+                named_at: Some(CLOCK_OFFSET),
+                ending_permit: None,
+                due_at: CLOCK_OFFSET,
             },
-            routers: [Router::told(), Router::told()],
-            questions: BTreeSet::new(),
+            routers: [Router::with_limit(), Router::with_limit()],
+            leader_requests: BTreeSet::new(),
             answers: BTreeSet::new(),
-            served: BTreeSet::new(),
-            came: [0; MOST_SPAN],
-            asked: 0,
-            renewed: 0,
-            sent: 0,
-            changes: 0,
+            target_answers: BTreeSet::new(),
+            recent_requests: [0; MAX_WINDOW],
+            requested_permits: 0,
+            lease_renewals: 0,
+            target_requests: 0,
+            limit_changes: 0,
             restarts: 0,
         }
     }
 
-    fn next(&self, s: &LimitState) -> Vec<(String, LimitState)> {
+    fn successors(&self, s: &LimitState) -> Vec<(String, LimitState)> {
         let mut out = Vec::new();
-        let mut put = |name: String, n: Option<LimitState>| out.extend(n.map(|n| (name, n)));
-        put("time passes".to_string(), self.tick(s));
-        put(
-            "the target's limit begins or ends".to_string(),
-            self.change(s),
+        let mut push = |name: String, n: Option<LimitState>| out.extend(n.map(|n| (name, n)));
+        push("time passes".to_string(), self.tick(s));
+        push(
+            "the target's limit starts or ends".to_string(),
+            self.change_limit(s),
+        );
+        push(
+            "another replica becomes leader".to_string(),
+            self.change_leader(s),
         );
-        put("another replica leads".to_string(), self.lead(s));
         let routers = s.routers.iter().take(usize::from(self.bounds.routers));
         for (i, r) in routers.enumerate() {
-            put(
+            push(
                 format!("router {i} sends without a permit"),
-                self.send(s, i, None),
+                self.send_request(s, i, None),
             );
             for permit in &r.permits {
                 let name = format!("router {i} sends with {permit:?}");
-                put(name, self.send(s, i, Some(*permit)));
+                push(name, self.send_request(s, i, Some(*permit)));
             }
-            put(
+            push(
                 format!("router {i} asks for a permit"),
-                self.ask(s, i, true),
+                self.send_to_leader(s, i, true),
             );
-            put(
+            push(
                 format!("router {i} renews its lease"),
-                self.ask(s, i, false),
+                self.send_to_leader(s, i, false),
             );
-            put(format!("router {i} starts again"), self.restart(s, i));
+            push(format!("router {i} restarts"), self.restart(s, i));
         }
-        for served in &s.served {
-            put(format!("heard: {served:?}"), self.hear(s, *served));
+        for target_answer in &s.target_answers {
+            push(
+                format!("the router receives {target_answer:?}"),
+                self.receive_target_answer(s, *target_answer),
+            );
         }
-        for question in &s.questions {
-            let name = format!("the leader answers {question:?}");
-            put(name, self.answer(s, *question));
+        for request in &s.leader_requests {
+            let name = format!("the leader answers {request:?}");
+            push(name, self.handle_request(s, *request));
         }
         for answer in &s.answers {
-            put(format!("taken: {answer:?}"), self.take(s, *answer));
+            push(
+                format!("the router receives {answer:?}"),
+                self.receive_leader_answer(s, *answer),
+            );
         }
         out
     }
 
-    fn broken(&self, s: &LimitState) -> Option<String> {
-        let came: u8 = s.came.iter().sum();
-        let most = self.bounds.most();
-        (came > most).then(|| "more requests in a span than the target's limit".to_string())
+    fn violation(&self, s: &LimitState) -> Option<String> {
+        let recent_requests: u8 = s.recent_requests.iter().sum();
+        let max_requests = self.bounds.max_requests();
+        (recent_requests > max_requests)
+            .then(|| "more requests in a window than the target's limit".to_string())
     }
 }
