--- a/crates/deckwind-testkit/src/at_size/callers.rs
+++ b/crates/deckwind-testkit/src/at_size/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that ask at a set rate, whatever becomes of their requests.
+//! Open-loop load generator: sends requests at a set rate, however earlier requests end.
 
 use super::size::{KEY, Size};
 use bytes::Bytes;
@@ -18,30 +18,31 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// A caller leaves a stream after such a pause.
-const LEAVES_AFTER: Duration = Duration::from_secs(2);
+/// Longest pause in a stream before the caller disconnects.
+const MAX_STREAM_PAUSE: Duration = Duration::from_secs(2);
 
-/// Longest wait for a connection.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Timeout of a TCP connect.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Tries of one request: the first, and one more.
-const TRIES: u32 = 2;
+/// Maximum number of attempts of one request: the first and one retry.
+const MAX_ATTEMPTS: u32 = 2;
 
-/// Part of the time that is left for which a caller waits when it is asked to.
-const WAITS_PART: u32 = 3;
+/// A caller waits for `Retry-After`, but at most for this fraction (a third) of the time
+/// that is left.
+const RETRY_AFTER_DIVISOR: u32 = 3;
 
-/// What is asked for.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
-    /// A stream of an engine.
+pub enum RequestKind {
+    /// A streaming request to an engine.
     Stream,
-    /// A plain request that must run once.
+    /// A plain request that must run at most once.
     Once,
-    /// A plain request that may be repeated.
+    /// A plain request that may be retried.
     Safe,
 }
 
-impl Ask {
+impl RequestKind {
     fn route(self) -> &'static str {
         match self {
             Self::Stream => "stream",
@@ -50,7 +51,7 @@
         }
     }
 
-    fn patience(self) -> Duration {
+    fn timeout(self) -> Duration {
         Duration::from_millis(match self {
             Self::Stream => 20_000,
             Self::Once => 800,
@@ -59,18 +60,18 @@
     }
 }
 
-/// What came of all requests.
+/// Number of finished requests by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcomes {
-    /// Whole answers.
+    /// Complete answers.
     pub served: u64,
-    /// Refusals that say "not run".
+    /// Requests refused without being run (503 or 429).
     pub refused: u64,
-    /// Everything else.
+    /// All other requests: failed, timed out or interrupted.
     pub failed: u64,
 }
 
-/// What came of one.
+/// The outcome of one request.
 #[derive(Clone, Copy)]
 enum Outcome {
     Served,
@@ -78,35 +79,35 @@
     Failed,
 }
 
-/// When requests were sent, by pool.
+/// Times at which requests were sent, by pool.
 #[derive(Debug, Default)]
-pub struct Asked {
-    /// For engines.
+pub struct SendTimes {
+    /// Requests to engines.
     pub streams: Mutex<Vec<Instant>>,
-    /// For plain targets.
+    /// Requests to plain targets.
     pub plain: Mutex<Vec<Instant>>,
 }
 
-/// What all callers share.
+/// State shared by all callers.
 pub struct Callers {
     http: Client<HttpConnector, Full<Bytes>>,
     routers: Vec<SocketAddr>,
-    /// Whether a balancer would send callers there.
+    /// Whether a load balancer would send callers to the router, by router.
     pub ready: Vec<AtomicBool>,
-    /// Requests a second, in hundredths of the usual rate.
+    /// Request rate in percent of the usual one.
     pub rate_percent: AtomicU64,
     outcomes: Mutex<Outcomes>,
-    /// Requests that were sent.
-    pub asked: Asked,
-    next: AtomicU64,
+    /// Times of the requests that were sent.
+    pub send_times: SendTimes,
+    next_number: AtomicU64,
     stop: AtomicBool,
 }
 
 impl Callers {
-    /// Callers of these routers.
+    /// Creates callers of the routers at these addresses.
     pub fn new(routers: Vec<SocketAddr>) -> Arc<Self> {
         let mut connector = HttpConnector::new();
-        connector.set_connect_timeout(Some(CONNECT));
+        connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_nodelay(true);
         Arc::new(Self {
             http: Client::builder(TokioExecutor::new()).build(connector),
@@ -114,105 +115,108 @@
             routers,
             rate_percent: AtomicU64::new(100),
             outcomes: Mutex::default(),
-            asked: Asked::default(),
-            next: AtomicU64::new(0),
+            send_times: SendTimes::default(),
+            next_number: AtomicU64::new(0),
             stop: AtomicBool::new(false),
         })
     }
 
-    /// Asks at the deployment's rate until it is stopped.
+    /// Sends requests at the deployment's rate, with exponentially distributed gaps,
+    /// until [`Self::stop`] is called.
     pub fn start(self: &Arc<Self>, size: &Size, seed: u64) -> JoinHandle<()> {
         let callers = size.callers;
         let rates = [
-            (Ask::Stream, size.streams_per_s),
-            (Ask::Once, size.plain_per_s.0),
-            (Ask::Safe, size.plain_per_s.1),
+            (RequestKind::Stream, size.streams_per_s),
+            (RequestKind::Once, size.plain_per_s.0),
+            (RequestKind::Safe, size.plain_per_s.1),
         ];
         let shared = self.clone();
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         tokio::spawn(async move {
-            let all: f64 = rates.iter().map(|(_, rate)| rate).sum();
+            let total_rate: f64 = rates.iter().map(|(_, rate)| rate).sum();
             let mut due = Instant::now();
             while !shared.stop.load(Ordering::Relaxed) {
                 let percent = shared.rate_percent.load(Ordering::Relaxed).max(1);
                 let pause = -(1.0 - rng.random_range(0.0..1.0f64)).ln() * 100.0 / percent as f64;
-                due += Duration::from_secs_f64(pause / all);
+                due += Duration::from_secs_f64(pause / total_rate);
                 tokio::time::sleep_until(due).await;
-                let mut at = rng.random_range(0.0..all);
+                let mut at = rng.random_range(0.0..total_rate);
                 let drawn = rates.iter().find(|(_, rate)| {
                     at -= rate;
                     at < 0.0
                 });
-                let ask = drawn.map_or(Ask::Stream, |(ask, _)| *ask);
+                let kind = drawn.map_or(RequestKind::Stream, |(kind, _)| *kind);
                 let caller = rng.random_range(0..callers);
-                tokio::spawn(shared.clone().request(ask, caller));
+                tokio::spawn(shared.clone().request(kind, caller));
             }
         })
     }
 
-    /// Asks for nothing new.
+    /// Stops sending new requests.
     pub fn stop(&self) {
         self.stop.store(true, Ordering::Relaxed);
     }
 
-    /// What came of requests so far.
+    /// Returns the outcomes of the requests finished so far.
     pub fn outcomes(&self) -> Outcomes {
         *self.outcomes.lock().expect("no holder panics")
     }
 
-    /// Whether one stream is served.
+    /// Sends one streaming request and returns whether it is served.
     pub async fn is_served(&self) -> bool {
-        let id = self.next_id(Ask::Stream);
-        let sent = self.send(Ask::Stream, &id, 0, Ask::Stream.patience()).await;
+        let id = self.next_id(RequestKind::Stream);
+        let sent = self
+            .send(RequestKind::Stream, &id, 0, RequestKind::Stream.timeout())
+            .await;
         match sent {
-            Ok((StatusCode::OK, res)) => read(res).await,
+            Ok((StatusCode::OK, res)) => read_to_end(res).await,
             _ => false,
         }
     }
 
-    fn next_id(&self, ask: Ask) -> String {
+    fn next_id(&self, kind: RequestKind) -> String {
         format!(
             "{}-{}",
-            ask.route(),
-            self.next.fetch_add(1, Ordering::Relaxed)
+            kind.route(),
+            self.next_number.fetch_add(1, Ordering::Relaxed)
         )
     }
 
-    /// The caller's router, or the next one that is ready.
+    /// Returns the caller's own router, or the next ready one.
     fn router_of(&self, caller: usize) -> usize {
         let count = self.routers.len();
-        let mut all = (0..count).map(|i| (caller + i) % count);
-        let ready = all.find(|i| self.ready[*i].load(Ordering::Relaxed));
+        let mut candidates = (0..count).map(|i| (caller + i) % count);
+        let ready = candidates.find(|i| self.ready[*i].load(Ordering::Relaxed));
         ready.unwrap_or(caller % count)
     }
 
-    fn note_asked(&self, ask: Ask) {
-        let times = match ask {
-            Ask::Stream => &self.asked.streams,
-            Ask::Once | Ask::Safe => &self.asked.plain,
+    fn record_send(&self, kind: RequestKind) {
+        let times = match kind {
+            RequestKind::Stream => &self.send_times.streams,
+            RequestKind::Once | RequestKind::Safe => &self.send_times.plain,
         };
         times.lock().expect("no holder panics").push(Instant::now());
     }
 
-    async fn request(self: Arc<Self>, ask: Ask, caller: usize) {
-        let until = Instant::now() + ask.patience();
+    async fn request(self: Arc<Self>, kind: RequestKind, caller: usize) {
+        let deadline = Instant::now() + kind.timeout();
         let mut outcome = Outcome::Failed;
-        for again in 0..TRIES {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+        for attempt in 0..MAX_ATTEMPTS {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 break;
             }
-            let id = self.next_id(ask);
-            let router = self.router_of(caller + again as usize);
-            let Ok((status, res)) = self.send(ask, &id, router, left).await else {
-                if ask == Ask::Once {
+            let id = self.next_id(kind);
+            let router = self.router_of(caller + attempt as usize);
+            let Ok((status, res)) = self.send(kind, &id, router, remaining).await else {
+                if kind == RequestKind::Once {
                     break;
                 }
                 continue;
             };
             match status {
                 StatusCode::OK => {
-                    if read(res).await {
+                    if read_to_end(res).await {
                         outcome = Outcome::Served;
                         break;
                     }
@@ -220,53 +224,53 @@
                 }
                 StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
                     outcome = Outcome::Refused;
-                    let after = retry_after(&res).min(left / WAITS_PART);
-                    tokio::time::sleep(after).await;
+                    let delay = retry_after(&res).min(remaining / RETRY_AFTER_DIVISOR);
+                    tokio::time::sleep(delay).await;
                 }
                 _ => {
                     outcome = Outcome::Failed;
-                    if ask == Ask::Once {
+                    if kind == RequestKind::Once {
                         break;
                     }
                 }
             }
         }
-        self.note(outcome);
+        self.record_outcome(outcome);
     }
 
-    fn note(&self, outcome: Outcome) {
-        let mut all = self.outcomes.lock().expect("no holder panics");
+    fn record_outcome(&self, outcome: Outcome) {
+        let mut outcomes = self.outcomes.lock().expect("no holder panics");
         match outcome {
-            Outcome::Served => all.served += 1,
-            Outcome::Refused => all.refused += 1,
-            Outcome::Failed => all.failed += 1,
+            Outcome::Served => outcomes.served += 1,
+            Outcome::Refused => outcomes.refused += 1,
+            Outcome::Failed => outcomes.failed += 1,
         }
     }
 
     async fn send(
         &self,
-        ask: Ask,
+        kind: RequestKind,
         id: &str,
         router: usize,
-        left: Duration,
+        remaining: Duration,
     ) -> Result<(StatusCode, Response<Incoming>), ()> {
-        let route = ask.route();
+        let route = kind.route();
         let mut req = Request::post(format!("http://{}/{route}/{id}", self.routers[router]))
             .header(header::HOST, HOST)
             .header("x-deckwind-request-id", id)
-            .header("x-deckwind-deadline-ms", left.as_millis().to_string())
+            .header("x-deckwind-deadline-ms", remaining.as_millis().to_string())
             .header(header::AUTHORIZATION, format!("Bearer {KEY}"));
-        if ask == Ask::Stream {
+        if kind == RequestKind::Stream {
             req = req.header("x-deckwind-token-count", "400,150");
         }
         let req = req.body(Full::new(Bytes::from_static(b"body")));
-        self.note_asked(ask);
-        let within = match ask {
-            Ask::Stream => left.min(LEAVES_AFTER),
-            Ask::Once | Ask::Safe => left,
+        self.record_send(kind);
+        let timeout = match kind {
+            RequestKind::Stream => remaining.min(MAX_STREAM_PAUSE),
+            RequestKind::Once | RequestKind::Safe => remaining,
         };
         let sending = self.http.request(req.map_err(|_| ())?);
-        let res = tokio::time::timeout(within, sending).await;
+        let res = tokio::time::timeout(timeout, sending).await;
         let res = res.map_err(|_| ())?.map_err(|_| ())?;
         Ok((res.status(), res))
     }
@@ -280,11 +284,12 @@
     })
 }
 
-/// Reads an answer; whether it came whole, without a long pause.
-async fn read(res: Response<Incoming>) -> bool {
+/// Reads an answer to its end; returns whether it is complete and no pause in it was
+/// longer than [`MAX_STREAM_PAUSE`].
+async fn read_to_end(res: Response<Incoming>) -> bool {
     let mut body = res.into_body();
     loop {
-        match tokio::time::timeout(LEAVES_AFTER, body.frame()).await {
+        match tokio::time::timeout(MAX_STREAM_PAUSE, body.frame()).await {
             Ok(Some(Ok(_))) => {}
             Ok(None) => return true,
             Ok(Some(Err(_))) | Err(_) => return false,
--- a/crates/deckwind-testkit/src/at_size/mod.rs
+++ b/crates/deckwind-testkit/src/at_size/mod.rs
@@ -1,9 +1,10 @@
-//! The real programs at the size of a deployment: dozens of routers as separate processes,
-//! engines that depend on each other, callers at a set rate, and troubles that overlap.
-//! Counted at the targets: what all routers together send again.
+//! Load test of the real programs at the size of a deployment: dozens of router
+//! processes, engines that depend on each other, callers at a set rate, and faults that
+//! overlap.
 //!
-//! For: the sum of what many processes do, which no single one can see. Not for: figures
-//! of speed. A run repeats its troubles by its seed, not its schedule.
+//! The retries of all routers together are counted at the targets, since no single
+//! process sees their sum. The test doesn't measure performance. A seed reproduces the
+//! faults of a run, but not its schedule.
 
 mod callers;
 mod size;
@@ -11,8 +12,10 @@
 mod troubles;
 
 pub use callers::{Callers, Outcomes};
-pub use size::{Cards, Size};
-pub use tally::{FullestWindow, RepeatBound, Sent, beyond_attempts, fullest_window, unpaid};
+pub use size::{EngineGroup, Size};
+pub use tally::{
+    FullestWindow, ReceivedRequest, RetryBudget, beyond_attempts, fullest_window, unpaid,
+};
 pub use troubles::{Kind, Trouble, Troubles};
 
 use crate::layout::Layout;
@@ -36,52 +39,53 @@
 use tokio::task::{JoinHandle, JoinSet};
 use tokio::time::Instant;
 
-/// Between two announcements of a target.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(1_200);
+/// Interval between two announcements of a target.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// Longest wait for a replica's answer.
-const CALL_WITHIN: Duration = Duration::from_secs(1);
+/// Timeout of a call to a control replica.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest time until a fresh deployment serves.
-const SERVES_WITHIN: Duration = Duration::from_secs(60);
+/// Longest time until a fresh deployment serves requests.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Time without trouble at the start: more than the window, so that routers have the
-/// whole share of their requests.
-const CALM: Duration = Duration::from_secs(12);
+/// Time without faults at the start: longer than the window of the retry budget, so that
+/// routers have the whole share of their requests.
+const WARM_UP: Duration = Duration::from_secs(12);
 
-/// Time for what is under way at the end.
-const ENDS_WITHIN: Duration = Duration::from_secs(8);
+/// Time for requests in progress to finish at the end of a run.
+const FINISH_TIME: Duration = Duration::from_secs(8);
 
-/// What one run saw.
+/// Results of one run.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// Of engines.
+    /// The window with the most retries at engines.
     pub engines: Option<FullestWindow>,
-    /// Of plain targets.
+    /// The window with the most retries at plain targets.
     pub plain: Option<FullestWindow>,
-    /// Requests that ran at more targets than one try allows.
+    /// Number of requests that ran at more targets than `attempts` allows.
     pub beyond_attempts: usize,
-    /// Of these, those with most targets: id and targets.
+    /// The id of the request that ran at most targets, of those beyond the limit, and the
+    /// number of its targets.
     pub worst: Option<(String, usize)>,
-    /// Arrivals at engines past the first of their request.
+    /// Number of arrivals at engines after the first one of their request.
     pub repeats: usize,
-    /// Of these, those for which no router wrote that it had paid.
+    /// Number of these for which no router logged a retry paid from the budget.
     pub unpaid: usize,
-    /// What came of callers' requests.
+    /// Outcomes of the callers' requests.
     pub outcomes: Outcomes,
-    /// What was done, and when.
+    /// The faults that were injected, with their times since the callers started.
     pub troubles: Vec<(Duration, Trouble)>,
 }
 
 impl Report {
-    /// Whether more was sent again than is allowed.
+    /// Whether a retry budget or the limit on attempts was exceeded.
     pub fn is_broken(&self) -> bool {
         let pools = [self.engines, self.plain];
         pools.iter().flatten().any(|w| w.used() > 1.0) || self.beyond_attempts > 0
     }
 }
 
-/// One target and what announces it.
+/// A target and the state of its announcements.
 struct Target {
     id: String,
     pool: &'static str,
@@ -98,11 +102,11 @@
     targets: Arc<Vec<Target>>,
     fleet: Fleet,
     callers: Arc<Callers>,
-    operator: Operator,
+    control_client: ControlClient,
     version: u64,
 }
 
-/// The layout of such a deployment.
+/// Returns the layout of a deployment of this size.
 pub fn layout(size: &Size) -> Result<Layout> {
     let mut layout = Layout::new(size.control, size.routers)?;
     layout.repeats = size.repeats;
@@ -111,7 +115,7 @@
     Ok(layout)
 }
 
-/// Runs one seed for so long after a calm start.
+/// Runs one seed: a start without faults, then faults for `length`.
 pub async fn run(
     processes: Processes,
     size: Size,
@@ -120,25 +124,27 @@
     troubles: &Troubles,
 ) -> Result<Report> {
     let mut deployment = Deployment::start(processes, size).await?;
-    let announcing = deployment.announce();
-    deployment.serves().await?;
+    let announcer = deployment.announce();
+    deployment.wait_until_served().await?;
     let started = Instant::now();
-    let asking = deployment.callers.start(&deployment.size, seed);
-    tokio::time::sleep(CALM).await;
+    let load_generator = deployment.callers.start(&deployment.size, seed);
+    tokio::time::sleep(WARM_UP).await;
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut done = Vec::new();
+    let mut injected = Vec::new();
     let end = Instant::now() + length;
     while Instant::now() < end {
-        let trouble = troubles.next(done.len(), &mut rng);
-        done.push((started.elapsed(), trouble));
-        deployment.trouble(trouble, &mut rng).await?;
+        let trouble = troubles.next(injected.len(), &mut rng);
+        injected.push((started.elapsed(), trouble));
+        deployment.inject(trouble, &mut rng).await?;
         tokio::time::sleep(trouble.pause).await;
     }
     deployment.callers.stop();
-    asking.await.context("the callers ask")?;
-    tokio::time::sleep(ENDS_WITHIN).await;
-    announcing.abort();
-    deployment.report(done)
+    load_generator
+        .await
+        .context("the load generator panicked")?;
+    tokio::time::sleep(FINISH_TIME).await;
+    announcer.abort();
+    deployment.report(injected)
 }
 
 impl Deployment {
@@ -148,10 +154,10 @@
         let routers = (0..size.routers).map(|i| processes.router(i).map(Some));
         let routers = routers.collect::<Result<Vec<_>>>()?;
         let fleet = Fleet::new(size.pace);
-        let targets = targets(&size, &fleet).await?;
+        let targets = start_targets(&size, &fleet).await?;
         let layout = &processes.layout;
         let addresses = layout.routers.iter().map(|r| r.routes).collect();
-        let operator = Operator::new(layout.control_calls.clone());
+        let control_client = ControlClient::new(layout.control_calls.clone());
         Ok(Self {
             callers: Callers::new(addresses),
             processes,
@@ -160,16 +166,17 @@
             routers,
             targets: Arc::new(targets),
             fleet,
-            operator,
+            control_client,
             version: 0,
         })
     }
 
-    /// Has all targets announce themselves, for ever.
+    /// Starts a task that announces all targets until it is aborted.
     fn announce(&self) -> JoinHandle<()> {
-        let (targets, operator) = (self.targets.clone(), self.operator.clone());
+        let (targets, control_client) = (self.targets.clone(), self.control_client.clone());
         tokio::spawn(async move {
-            let announce = |i: usize| announce_again(targets.clone(), i, operator.clone());
+            let announce =
+                |i: usize| announce_repeatedly(targets.clone(), i, control_client.clone());
             let mut all: JoinSet<()> = (0..targets.len()).map(announce).collect();
             while all.join_next().await.is_some() {}
         })
@@ -178,46 +185,49 @@
     async fn publish(&mut self) -> bool {
         self.version += 1;
         let document = self.size.release(self.version);
-        self.operator.call("/v1/config/put", &document).await
+        self.control_client.call("/v1/config/put", &document).await
     }
 
-    /// Waits until the engines hold all layers and streams are served.
-    async fn serves(&mut self) -> Result<()> {
-        let end = Instant::now() + SERVES_WITHIN;
+    /// Waits until engines hold all layers and five streams in a row are served.
+    async fn wait_until_served(&mut self) -> Result<()> {
+        let end = Instant::now() + START_TIMEOUT;
         let mut published = false;
-        let mut in_a_row = 0;
+        let mut served_in_a_row = 0;
         while Instant::now() < end {
             published = published || self.publish().await;
-            in_a_row = match self.callers.is_served().await {
-                true => in_a_row + 1,
+            served_in_a_row = match self.callers.is_served().await {
+                true => served_in_a_row + 1,
                 false => 0,
             };
-            if in_a_row == 5 {
+            if served_in_a_row == 5 {
                 return Ok(());
             }
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
-        bail!("nothing is served within {SERVES_WITHIN:?}")
+        bail!("the deployment serves no requests within {START_TIMEOUT:?}")
     }
 
     fn report(&self, troubles: Vec<(Duration, Trouble)>) -> Result<Report> {
-        let bound = RepeatBound {
+        let budget = RetryBudget {
             share: self.size.repeats.0,
             beyond: f64::from(self.size.repeats.1),
             window: self.size.window,
         };
         let arrivals = self.fleet.arrivals();
-        let (engines, plain) = (sent(&arrivals, ENGINES), sent(&arrivals, PLAIN));
-        let asked = &self.callers.asked;
-        let streams = asked.streams.lock().expect("no holder panics").clone();
-        let calls = asked.plain.lock().expect("no holder panics").clone();
+        let (engines, plain) = (
+            sent_to_pool(&arrivals, ENGINES),
+            sent_to_pool(&arrivals, PLAIN),
+        );
+        let send_times = &self.callers.send_times;
+        let streams = send_times.streams.lock().expect("no holder panics").clone();
+        let plain_requests = send_times.plain.lock().expect("no holder panics").clone();
         let outages = self.fleet.outages();
         let outages: Vec<_> = outages.iter().map(|o| (o.address, o.at)).collect();
         let beyond = beyond_attempts(self.size.attempts as usize, &engines, &outages);
         let requests: HashSet<&str> = engines.iter().map(|s| s.request.as_str()).collect();
         Ok(Report {
-            engines: fullest_window(&bound, &streams, &engines),
-            plain: fullest_window(&bound, &calls, &plain),
+            engines: fullest_window(&budget, &streams, &engines),
+            plain: fullest_window(&budget, &plain_requests, &plain),
             beyond_attempts: beyond.len(),
             worst: beyond.into_iter().max_by_key(|(_, targets)| *targets),
             repeats: engines.len() - requests.len(),
@@ -228,35 +238,35 @@
     }
 }
 
-fn sent(arrivals: &[FleetArrival], pool: &str) -> Vec<Sent> {
+fn sent_to_pool(arrivals: &[FleetArrival], pool: &str) -> Vec<ReceivedRequest> {
     let of_pool = arrivals.iter().filter(|a| a.pool == pool);
-    let sent = of_pool.map(|a| Sent {
+    let requests = of_pool.map(|a| ReceivedRequest {
         request: a.request.clone(),
         address: a.address,
         at: a.at,
         ran: a.ran,
     });
-    sent.collect()
+    requests.collect()
 }
 
-async fn targets(size: &Size, fleet: &Fleet) -> Result<Vec<Target>> {
+async fn start_targets(size: &Size, fleet: &Fleet) -> Result<Vec<Target>> {
     let mut all = Vec::new();
-    for cards in &size.cards {
-        for (centre, count) in DATA_CENTRES.iter().zip(cards.engines) {
+    for group in &size.engine_groups {
+        for (centre, count) in DATA_CENTRES.iter().zip(group.engines) {
             for i in 0..count {
-                let id = format!("{}-{centre}-{i}", cards.kind);
-                all.push(target(&id, ENGINES, centre, Some(cards.kind), fleet).await?);
+                let id = format!("{}-{centre}-{i}", group.kind);
+                all.push(start_target(&id, ENGINES, centre, Some(group.kind), fleet).await?);
             }
         }
     }
     for i in 0..size.plain {
         let centre = DATA_CENTRES[i % DATA_CENTRES.len()];
-        all.push(target(&format!("plain-{i}"), PLAIN, centre, None, fleet).await?);
+        all.push(start_target(&format!("plain-{i}"), PLAIN, centre, None, fleet).await?);
     }
     Ok(all)
 }
 
-async fn target(
+async fn start_target(
     id: &str,
     pool: &'static str,
     data_centre: &'static str,
@@ -275,7 +285,7 @@
 }
 
 impl Target {
-    async fn announce(&self, operator: &Operator) {
+    async fn announce(&self, control_client: &ControlClient) {
         if !self.runner.listens() {
             return;
         }
@@ -283,33 +293,34 @@
         let runner = &self.runner;
         let body = runner.announcement(self.pool, self.data_centre, "ready", number);
         let path = format!("/v1/instances/{}/heartbeat", self.id);
-        operator.call(&path, &body).await;
+        control_client.call(&path, &body).await;
     }
 }
 
-/// Announces one target for ever; all of them spread over the time between two.
-async fn announce_again(targets: Arc<Vec<Target>>, i: usize, operator: Operator) {
-    tokio::time::sleep(ANNOUNCE_EVERY * i as u32 / targets.len() as u32).await;
+/// Announces one target until it is aborted. The first announcements of all targets are
+/// spread evenly over [`ANNOUNCE_INTERVAL`].
+async fn announce_repeatedly(targets: Arc<Vec<Target>>, i: usize, control_client: ControlClient) {
+    tokio::time::sleep(ANNOUNCE_INTERVAL * i as u32 / targets.len() as u32).await;
     loop {
-        targets[i].announce(&operator).await;
-        tokio::time::sleep(ANNOUNCE_EVERY).await;
+        targets[i].announce(&control_client).await;
+        tokio::time::sleep(ANNOUNCE_INTERVAL).await;
     }
 }
 
-/// Calls control replicas.
+/// HTTP client of the control replicas.
 #[derive(Clone)]
-struct Operator {
+struct ControlClient {
     http: Client<HttpConnector, Full<bytes::Bytes>>,
     control: Vec<SocketAddr>,
 }
 
-impl Operator {
+impl ControlClient {
     fn new(control: Vec<SocketAddr>) -> Self {
         let http = Client::builder(TokioExecutor::new()).build_http();
         Self { http, control }
     }
 
-    /// Asks replicas in turn until one answers with 200; whether one did.
+    /// Tries the replicas in turn until one answers with 200; returns whether one did.
     async fn call(&self, path: &str, body: &Value) -> bool {
         let body = bytes::Bytes::from(body.to_string());
         for address in &self.control {
@@ -317,8 +328,8 @@
             let Ok(req) = req.body(Full::new(body.clone())) else {
                 return false;
             };
-            let sent = tokio::time::timeout(CALL_WITHIN, self.http.request(req)).await;
-            if matches!(sent, Ok(Ok(res)) if res.status() == StatusCode::OK) {
+            let res = tokio::time::timeout(CALL_TIMEOUT, self.http.request(req)).await;
+            if matches!(res, Ok(Ok(res)) if res.status() == StatusCode::OK) {
                 return true;
             }
         }
--- a/crates/deckwind-testkit/src/at_size/size.rs
+++ b/crates/deckwind-testkit/src/at_size/size.rs
@@ -1,79 +1,81 @@
-//! How large a deployment is, and its release.
+//! Sizes of deployments and the release that they run.
 
 use deckwind_fakes::{FleetPace, HOST};
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Pool of the engines, and that of the plain targets.
+/// Pools of the engines and of the plain targets.
 pub const ENGINES: &str = "engines";
 pub const PLAIN: &str = "plain";
 
-/// The callers' key.
+/// API key of the callers.
 pub const KEY: &str = "a-key";
 
 /// Data centres of a deployment.
 pub const DATA_CENTRES: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
 
-/// Engines with one kind of card, in each data centre.
+/// Engines with one kind of accelerator.
 #[derive(Clone, Copy, Debug)]
-pub struct Cards {
-    /// Name of the kind.
+pub struct EngineGroup {
+    /// Name of the accelerator kind.
     pub kind: &'static str,
-    /// Memory, MB.
-    pub mb: f64,
-    /// How many times longer steps take than on the fastest.
-    pub pace: f64,
-    /// The same for prompts.
-    pub read: f64,
-    /// Engines by data centre.
+    /// Memory in MB.
+    pub memory_mb: f64,
+    /// Step time relative to the fastest kind.
+    pub step_factor: f64,
+    /// Time to read prompts, relative to the fastest kind.
+    pub read_factor: f64,
+    /// Number of engines in each data centre.
     pub engines: [usize; 3],
 }
 
-/// A deployment.
+/// Size and load of a deployment.
 #[derive(Clone, Debug)]
 pub struct Size {
-    /// Control replicas.
+    /// Number of control replicas.
     pub control: usize,
-    /// Routers.
+    /// Number of routers.
     pub routers: usize,
-    /// Engines.
-    pub cards: Vec<Cards>,
-    /// Plain targets.
+    /// Engines by kind of accelerator.
+    pub engine_groups: Vec<EngineGroup>,
+    /// Number of plain targets.
     pub plain: usize,
-    /// Streams a second.
+    /// Streams per second.
     pub streams_per_s: f64,
-    /// Plain requests a second that must run once, and that may be repeated.
+    /// Plain requests per second: those that must run at most once, and those that may be
+    /// retried.
     pub plain_per_s: (f64, f64),
-    /// Callers, each at one router while that serves.
+    /// Number of callers. Each uses one router while that is ready.
     pub callers: usize,
-    /// Share of its requests that a pool may be sent again, and how many more.
+    /// Retry budget of a pool: share of its requests that may be retried, and number of
+    /// retries beyond that share.
     pub repeats: (f64, u32),
-    /// The window of that bound.
+    /// Window of the retry budget.
     pub window: Duration,
-    /// Targets that may run one try of a request.
+    /// Maximum number of targets that may run one request.
     pub attempts: u32,
     /// How engines run streams.
     pub pace: FleetPace,
 }
 
 impl Size {
-    /// 59 routers, 5 replicas, 93 engines with three kinds of cards, 3 plain targets,
-    /// 296 requests a second.
+    /// The size of a large deployment: 59 routers, 5 replicas, 93 engines with three
+    /// kinds of accelerators, 3 plain targets, 296 requests per second.
     pub fn of_hundreds() -> Self {
-        let cards = |kind, mb, pace, read, engines| Cards {
+        let group = |kind, memory_mb, step_factor, read_factor, engines| EngineGroup {
             kind,
-            mb,
-            pace,
-            read,
+            memory_mb,
+            step_factor,
+            read_factor,
             engines,
         };
         Self {
             control: 5,
             routers: 59,
-            cards: vec![
-                cards("a100", 72_000.0, 2.4, 3.2, [4, 3, 2]),
-                cards("v100", 14_400.0, 5.3, 7.9, [10, 14, 24]),
-                cards("l4", 21_600.0, 16.0, 8.2, [11, 16, 9]),
+            engine_groups: vec![
+                group("a100", 72_000.0, 2.4, 3.2, [4, 3, 2]),
+                group("v100", 14_400.0, 5.3, 7.9, [10, 14, 24]),
+                group("l4", 21_600.0, 16.0, 8.2, [11, 16, 9]),
             ],
             plain: 3,
             streams_per_s: 264.0,
@@ -91,21 +93,21 @@
         }
     }
 
-    /// A tenth of it with short chains, for short runs: several paths are left where some
-    /// engines are down, and the bound leaves room for the repeats that they cost.
+    /// A tenth of that with short paths, for short runs: several paths remain while some
+    /// engines are down, and the retry budget suffices for the retries that this costs.
     pub fn of_tens() -> Self {
         let mut size = Self::of_hundreds();
         size.control = 3;
         size.routers = 6;
         size.callers = 24;
-        size.cards.truncate(1);
-        size.cards[0].engines = [6, 6, 6];
+        size.engine_groups.truncate(1);
+        size.engine_groups[0].engines = [6, 6, 6];
         size.streams_per_s = 20.0;
         size.plain_per_s = (3.0, 3.0);
         size
     }
 
-    /// Its release.
+    /// Returns the release document with this version.
     pub fn release(&self, version: u64) -> Value {
         let route = |name: &str, kind: &str, pool: &str, attempts: u32, timeout: u32| {
             json!({
@@ -115,9 +117,13 @@
                 "resumable": pool == ENGINES, "gap_aim_ms": 250,
             })
         };
-        let kind =
-            |c: &Cards| json!({"name": c.kind, "mb": c.mb, "pace": c.pace, "read_x": c.read});
-        let kinds: Vec<Value> = self.cards.iter().map(kind).collect();
+        let kind = |g: &EngineGroup| {
+            json!({
+                "name": g.kind, "mb": g.memory_mb,
+                "pace": g.step_factor, "read_x": g.read_factor,
+            })
+        };
+        let kinds: Vec<Value> = self.engine_groups.iter().map(kind).collect();
         json!({
             "version": version,
             "routes": [
--- a/crates/deckwind-testkit/src/at_size/tally.rs
+++ b/crates/deckwind-testkit/src/at_size/tally.rs
@@ -1,111 +1,114 @@
-//! What targets were sent again, against what all routers together may send again.
+//! Compares the retries that targets received with the retry budget of all routers.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The bound on what is sent again.
+/// Retry budget of a pool over all routers.
 #[derive(Clone, Copy, Debug)]
-pub struct RepeatBound {
-    /// Share of the requests.
+pub struct RetryBudget {
+    /// Share of the requests that may be retried.
     pub share: f64,
-    /// Repeats beyond it.
+    /// Number of retries beyond that share.
     pub beyond: f64,
-    /// The window.
+    /// Window that the budget applies to.
     pub window: Duration,
 }
 
-/// A request as its target saw it.
+/// A request as received by a target.
 #[derive(Clone, Debug)]
-pub struct Sent {
-    /// Its id: one try of a caller.
+pub struct ReceivedRequest {
+    /// Request id; each attempt of a caller has its own.
     pub request: String,
-    /// Where.
+    /// Address of the target.
     pub address: SocketAddr,
-    /// When.
+    /// Time of arrival.
     pub at: Instant,
-    /// Whether it was run there.
+    /// Whether the target ran the request.
     pub ran: bool,
 }
 
-/// The window in which most of the bound was used.
+/// The window in which the largest part of the retry budget was used.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FullestWindow {
-    /// Its end, after the first request.
+    /// End of the window, relative to the first request.
     pub until: Duration,
-    /// Arrivals in it past the first of each request.
+    /// Number of arrivals in the window after the first one of their request.
     pub repeats: usize,
-    /// Requests that earn them.
+    /// Number of requests that count towards the budget.
     pub requests: usize,
-    /// What the bound allows for these.
+    /// Number of retries that the budget allows.
     pub allowed: f64,
 }
 
 impl FullestWindow {
-    /// Part of the bound that was used; above 1 it is broken.
+    /// Returns the part of the budget that was used; above 1 it was exceeded.
     pub fn used(&self) -> f64 {
         self.repeats as f64 / self.allowed
     }
 }
 
-/// Finds the fullest window of one pool. `asked` are the times of callers' requests for
-/// it, in their order; they count in whichever has most of the window, the one before it
-/// and the one half a window before it.
+/// Finds the window of one pool that used most of the retry budget. `sent_at` holds the
+/// times of callers' requests for the pool in ascending order. The requests that count
+/// towards a window's budget are the largest number of those in the window itself, in the
+/// window before it and in the one half a window earlier.
 pub fn fullest_window(
-    bound: &RepeatBound,
-    asked: &[Instant],
-    sent: &[Sent],
+    budget: &RetryBudget,
+    sent_at: &[Instant],
+    received: &[ReceivedRequest],
 ) -> Option<FullestWindow> {
-    let first = *asked.first()?;
-    let repeats = repeats(sent);
-    let windows = repeats.iter().enumerate().map(|(i, until)| {
-        let from = *until - bound.window;
-        let before = repeats[..=i].iter().rev();
+    let first = *sent_at.first()?;
+    let retries = retry_times(received);
+    let windows = retries.iter().enumerate().map(|(i, until)| {
+        let from = *until - budget.window;
+        let before = retries[..=i].iter().rev();
         let count = before.take_while(|at| **at > from).count();
         let requests = [0, 1, 2].map(|halves| {
-            let back = bound.window / 2 * halves;
-            count_within(asked, from - back, *until - back)
+            let back = budget.window / 2 * halves;
+            count_within(sent_at, from - back, *until - back)
         });
         let requests = requests.into_iter().max().unwrap_or_default();
         FullestWindow {
             until: until.saturating_duration_since(first),
             repeats: count,
             requests,
-            allowed: bound.share * requests as f64 + bound.beyond,
+            allowed: budget.share * requests as f64 + budget.beyond,
         }
     });
     windows.max_by(|a, b| a.used().total_cmp(&b.used()))
 }
 
-/// When requests came that had come before, in order.
-fn repeats(sent: &[Sent]) -> Vec<Instant> {
-    let mut sent: Vec<&Sent> = sent.iter().collect();
-    sent.sort_by_key(|s| s.at);
-    let mut known = HashSet::new();
-    let again = sent.iter().filter(|s| !known.insert(&s.request));
-    again.map(|s| s.at).collect()
+/// Returns the times of arrivals after the first one of their request, in ascending
+/// order.
+fn retry_times(received: &[ReceivedRequest]) -> Vec<Instant> {
+    let mut received: Vec<&ReceivedRequest> = received.iter().collect();
+    received.sort_by_key(|s| s.at);
+    let mut seen = HashSet::new();
+    let repeated = received.iter().filter(|s| !seen.insert(&s.request));
+    repeated.map(|s| s.at).collect()
 }
 
 fn count_within(times: &[Instant], after: Instant, until: Instant) -> usize {
-    let upto = |limit: Instant| times.partition_point(|at| *at <= limit);
-    upto(until) - upto(after)
+    let count_until = |limit: Instant| times.partition_point(|at| *at <= limit);
+    count_until(until) - count_until(after)
 }
 
-/// Requests that ran at more than `most` targets, but for those that were down between
-/// the request's first arrival and its last.
+/// Returns the requests that ran at more than `max_targets` targets, with the number of
+/// these. A run at a target that went down between it and the request's last run isn't
+/// counted.
 pub fn beyond_attempts(
-    most: usize,
-    sent: &[Sent],
+    max_targets: usize,
+    received: &[ReceivedRequest],
     outages: &[(SocketAddr, Instant)],
 ) -> BTreeMap<String, usize> {
-    let mut by_request: HashMap<&str, Vec<&Sent>> = HashMap::new();
-    for one in sent.iter().filter(|s| s.ran) {
-        by_request.entry(&one.request).or_default().push(one);
+    let mut by_request: HashMap<&str, Vec<&ReceivedRequest>> = HashMap::new();
+    for run in received.iter().filter(|s| s.ran) {
+        by_request.entry(&run.request).or_default().push(run);
     }
     let runs = by_request.into_iter().map(|(request, runs)| {
         let last = runs.iter().map(|r| r.at).max();
-        let was_down = |run: &&Sent| {
+        let was_down = |run: &&ReceivedRequest| {
             let mut all = outages.iter();
             all.any(|(a, at)| *a == run.address && *at >= run.at && Some(*at) <= last)
         };
@@ -113,22 +116,22 @@
         let targets: HashSet<SocketAddr> = stayed.map(|r| r.address).collect();
         (request.to_string(), targets.len())
     });
-    runs.filter(|(_, targets)| *targets > most).collect()
+    runs.filter(|(_, targets)| *targets > max_targets).collect()
 }
 
-/// Arrivals past the first of each request for which none of these lines of routers says
-/// that a repeat was paid.
-pub fn unpaid(sent: &[Sent], paid: &[String]) -> usize {
-    let mut left: HashMap<&str, usize> = HashMap::new();
+/// Returns the number of arrivals after the first one of their request that no paid retry
+/// in the routers' log lines `paid` accounts for.
+pub fn unpaid(received: &[ReceivedRequest], paid: &[String]) -> usize {
+    let mut paid_by_request: HashMap<&str, usize> = HashMap::new();
     for line in paid {
         let mut words = line.split(' ');
         if let Some(request) = words.find_map(|w| w.strip_prefix("request=")) {
-            *left.entry(request).or_default() += 1;
+            *paid_by_request.entry(request).or_default() += 1;
         }
     }
-    let mut known = HashSet::new();
-    let again = sent.iter().filter(|s| !known.insert(&s.request));
-    let unpaid = again.filter(|s| match left.get_mut(s.request.as_str()) {
+    let mut seen = HashSet::new();
+    let repeated = received.iter().filter(|s| !seen.insert(&s.request));
+    let unpaid = repeated.filter(|s| match paid_by_request.get_mut(s.request.as_str()) {
         Some(paid) if *paid > 0 => {
             *paid -= 1;
             false
--- a/crates/deckwind-testkit/src/bin/testkit-cli.rs
+++ b/crates/deckwind-testkit/src/bin/testkit-cli.rs
@@ -1,4 +1,4 @@
-//! `deckwind`, built beside the tests so that they find it.
+//! Builds `deckwind` in this package, so that tests find the program.
 
 use std::process::ExitCode;
 
--- a/crates/deckwind-testkit/src/bin/testkit-daemon.rs
+++ b/crates/deckwind-testkit/src/bin/testkit-daemon.rs
@@ -1,30 +1,30 @@
-//! `deckwindd`, built beside the tests so that they find it. By SIGUSR1 its VM wakes
-//! from a suspension.
+//! Builds `deckwindd` in this package, so that tests find the program. On SIGUSR1 the
+//! program's clock advances as if its VM had been suspended.
 
 use deckwind_testkit::VmTime;
-use deckwind_testkit::soak::SUSPENDED_FOR;
+use deckwind_testkit::soak::SUSPENSION_TIME;
 use std::process::ExitCode;
 use tokio::signal::unix::{SignalKind, signal};
 
 fn main() -> ExitCode {
     let time = VmTime::new();
     std::thread::spawn(move || {
-        if let Err(e) = suspend_by_signals(time) {
-            eprintln!("error: suspensions can't be played: {e}");
+        if let Err(e) = suspend_on_signals(time) {
+            eprintln!("error: can't receive SIGUSR1: {e}");
         }
     });
     deckwindd::commands::main_by(time.clock())
 }
 
-/// For ever.
-fn suspend_by_signals(time: &'static VmTime) -> std::io::Result<()> {
+/// Advances the clock on each SIGUSR1; returns only on errors.
+fn suspend_on_signals(time: &'static VmTime) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     runtime.block_on(async {
         let mut signals = signal(SignalKind::user_defined1())?;
         while signals.recv().await.is_some() {
-            time.was_suspended(SUSPENDED_FOR);
+            time.was_suspended(SUSPENSION_TIME);
         }
         Ok(())
     })
--- a/crates/deckwind-testkit/src/bin/testkit-fake.rs
+++ b/crates/deckwind-testkit/src/bin/testkit-fake.rs
@@ -1,4 +1,4 @@
-//! `deckwind-fake`, built beside the tests so that they find it.
+//! Builds `deckwind-fake` in this package, so that tests find the program.
 
 fn main() -> anyhow::Result<()> {
     deckwind_fakes::command::main()
--- a/crates/deckwind-testkit/src/caller.rs
+++ b/crates/deckwind-testkit/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: JSON over HTTP/1.1, one connection a request.
+//! HTTP/1.1 client with JSON bodies and one connection per request.
 
 use anyhow::{Result, anyhow};
 use bytes::Bytes;
@@ -11,21 +11,21 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// How long a caller comes back where no control replica answered: as long as
-/// tests wait for a condition.
-const COME_BACK_FOR: Duration = Duration::from_secs(30);
+/// How long requests are retried while no control replica answers: as long as tests wait
+/// for a condition.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Pause before it does.
-const COME_BACK_AFTER: Duration = Duration::from_millis(50);
+/// Delay before a retry.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// A caller with a bearer key.
+/// Client with a bearer key.
 #[derive(Clone, Debug)]
 pub struct Caller {
     address: SocketAddr,
     key: String,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// HTTP status.
@@ -37,30 +37,30 @@
 }
 
 impl Answer {
-    /// The body as JSON; null if it is none.
+    /// The body as JSON; null if it can't be parsed.
     pub fn json(&self) -> serde_json::Value {
         serde_json::from_slice(&self.body).unwrap_or_default()
     }
 
-    /// The code of an error.
+    /// The code of an error answer; empty if there is none.
     pub fn code(&self) -> String {
         let code = self.json()["error"]["code"].clone();
         code.as_str().unwrap_or_default().to_string()
     }
 
-    /// A header's text.
+    /// The value of a header, if it is text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// Text of a whole chat answer.
+    /// Text of a chat answer that isn't streamed.
     pub fn content(&self) -> String {
         let content = self.json()["choices"][0]["message"]["content"].clone();
         content.as_str().unwrap_or_default().to_string()
     }
 }
 
-/// A streamed answer that is being read.
+/// A streamed answer, read token by token.
 pub struct Streaming {
     /// HTTP status.
     pub status: u16,
@@ -70,10 +70,10 @@
 }
 
 impl Streaming {
-    /// Text of the next token; nothing at the end of the answer.
+    /// Returns the text of the next token, or `None` at the end of the answer.
     pub async fn token(&mut self) -> Result<Option<String>> {
         loop {
-            let event = self.event().await?;
+            let event = self.next_event().await?;
             if event.contains("event: error") {
                 return Err(anyhow!("{event}"));
             }
@@ -91,7 +91,7 @@
         }
     }
 
-    async fn event(&mut self) -> Result<String> {
+    async fn next_event(&mut self) -> Result<String> {
         loop {
             if let Some(end) = self.buf.windows(2).position(|w| w == b"\n\n") {
                 let event: Vec<u8> = self.buf.drain(..end + 2).collect();
@@ -100,7 +100,10 @@
             let frame = self.body.frame().await;
             let frame = frame.ok_or_else(|| {
                 let rest = String::from_utf8_lossy(&self.buf);
-                anyhow!("the stream (status {}) broke off: {rest}", self.status)
+                anyhow!(
+                    "the stream (status {}) ended early; unread bytes: {rest}",
+                    self.status
+                )
             })??;
             if let Ok(data) = frame.into_data() {
                 self.buf.extend_from_slice(&data);
@@ -108,7 +111,7 @@
         }
     }
 
-    /// Reads to the end.
+    /// Reads the answer to its end and returns its text.
     pub async fn text(mut self) -> Result<String> {
         let mut text = String::new();
         while let Some(token) = self.token().await? {
@@ -117,21 +120,21 @@
         Ok(text)
     }
 
-    /// Reads to the end; answers with the time of the first token since
-    /// `began`, and the gaps after it.
-    pub async fn timed(mut self, began: Instant) -> Result<(Duration, Vec<Duration>)> {
+    /// Reads the answer to its end and returns the time from `start` to the first token,
+    /// and the gaps between the later ones.
+    pub async fn timed(mut self, start: Instant) -> Result<(Duration, Vec<Duration>)> {
         let mut gaps = Vec::new();
         let mut first = None;
-        let mut last = began;
+        let mut last = start;
         while self.token().await?.is_some() {
             let now = Instant::now();
             match first {
-                None => first = Some(now - began),
+                None => first = Some(now - start),
                 Some(_) => gaps.push(now - last),
             }
             last = now;
         }
-        let first = first.ok_or_else(|| anyhow!("no token came"))?;
+        let first = first.ok_or_else(|| anyhow!("the answer ended without a token"))?;
         Ok((first, gaps))
     }
 }
@@ -143,7 +146,7 @@
 }
 
 impl Caller {
-    /// A caller of the router at an address.
+    /// Creates a client of the router at `address`.
     pub fn new(address: SocketAddr, key: &str) -> Self {
         Self {
             address,
@@ -165,9 +168,9 @@
         Ok((tx.send_request(req).await?, connection))
     }
 
-    /// Posts a body; `headers` are added. Comes back, as callers do, where it was
-    /// refused as not run for want of a lease or of a control replica: the only
-    /// replica of a test loses its lease when its VM is busy for half a second.
+    /// Posts a body with these headers in addition. Retries, as callers do, requests that
+    /// were refused without being run for lack of a lease or of a control replica: the
+    /// only replica of a test loses its lease when its VM is busy for half a second.
     pub async fn post(
         &self,
         path: &str,
@@ -175,19 +178,19 @@
         headers: &[(&str, &str)],
     ) -> Result<Answer> {
         let body = body.into();
-        let until = Instant::now() + COME_BACK_FOR;
+        let deadline = Instant::now() + RETRY_TIMEOUT;
         loop {
             let answer = self.post_once(path, body.clone(), headers).await?;
-            let not_run = answer.header("deckwind-ran") == Some("not-run");
-            let leaderless = matches!(answer.code().as_str(), "no-control" | "no-lease");
-            if !(leaderless && not_run) || Instant::now() > until {
+            let is_not_run = answer.header("deckwind-ran") == Some("not-run");
+            let is_unavailable = matches!(answer.code().as_str(), "no-control" | "no-lease");
+            if !(is_unavailable && is_not_run) || Instant::now() > deadline {
                 return Ok(answer);
             }
-            tokio::time::sleep(COME_BACK_AFTER).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// The same, once.
+    /// Posts a body like [`Self::post`], without retries.
     pub async fn post_once(
         &self,
         path: &str,
@@ -220,7 +223,7 @@
         Ok(req.body(Full::new(body))?)
     }
 
-    /// A chat that is answered whole.
+    /// Sends a chat request whose answer isn't streamed.
     pub async fn chat(
         &self,
         template: &str,
@@ -232,12 +235,12 @@
         self.post("/v1/chat/completions", body, headers).await
     }
 
-    /// A chat that is streamed.
+    /// Sends a chat request whose answer is streamed.
     pub async fn stream(&self, template: &str, prompt: &str, max_tokens: u32) -> Result<Streaming> {
         self.stream_with(template, prompt, max_tokens, &[]).await
     }
 
-    /// A chat that is streamed, with headers of its own.
+    /// Sends a chat request whose answer is streamed, with these headers in addition.
     pub async fn stream_with(
         &self,
         template: &str,
--- a/crates/deckwind-testkit/src/cluster.rs
+++ b/crates/deckwind-testkit/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A cluster of real daemons in this process.
+//! A cluster of real daemons in the test's process.
 
 use crate::layout::Layout;
 use crate::vm_time::VmTime;
@@ -13,13 +13,13 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How long a change is sent again whose answer was lost: as long as tests wait
-/// for a condition.
-const SEND_AGAIN_FOR: Duration = Duration::from_secs(30);
+/// How long a change with an unknown outcome is retried: as long as tests wait for a
+/// condition.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Daemons that run in this process, over loopback.
+/// Control replicas and routers that run in this process and communicate over loopback.
 pub struct Cluster {
-    /// Their folder and addresses.
+    /// Folder and addresses of the daemons.
     pub layout: Layout,
     controls: Vec<Option<Daemon>>,
     routers: Vec<Option<Daemon>>,
@@ -32,12 +32,12 @@
 }
 
 impl Cluster {
-    /// Starts so many control replicas and routers, and waits until they serve.
+    /// Starts this number of control replicas and routers, and waits until they serve.
     pub async fn start(control: usize, routers: usize) -> Result<Self> {
         Self::start_with(Layout::new(control, routers)?).await
     }
 
-    /// Starts what a layout names.
+    /// Starts the replicas and routers of a layout, and waits until they serve.
     pub async fn start_with(layout: Layout) -> Result<Self> {
         let (control, routers) = (layout.control.len(), layout.routers.len());
         let mut cluster = Self {
@@ -88,37 +88,38 @@
         .await;
     }
 
-    /// A router's VM was suspended for so long, and has just woken.
+    /// Advances a router's clock as if its VM had been suspended for this time.
     pub fn router_was_suspended(&self, i: usize, time: Duration) {
         self.router_times[i].was_suspended(time);
     }
 
-    /// A control replica's VM was.
+    /// Advances a control replica's clock as if its VM had been suspended for this time.
     pub fn control_was_suspended(&self, slot: usize, time: Duration) {
         self.control_times[slot].was_suspended(time);
     }
 
-    /// A router's daemon.
+    /// Returns a router's daemon.
     pub fn router(&self, i: usize) -> &Daemon {
-        self.routers[i].as_ref().expect("it runs")
+        self.routers[i].as_ref().expect("the daemon runs")
     }
 
-    /// Takes a router's daemon out, to close it.
+    /// Removes a router's daemon from the cluster, so that the test can close it.
     pub fn take_router(&mut self, i: usize) -> Daemon {
-        self.routers[i].take().expect("it runs")
+        self.routers[i].take().expect("the daemon runs")
     }
 
-    /// Takes a control replica's daemon out, to close it.
+    /// Removes a control replica's daemon from the cluster, so that the test can close
+    /// it.
     pub fn take_control(&mut self, slot: usize) -> Daemon {
-        self.controls[slot].take().expect("it runs")
+        self.controls[slot].take().expect("the daemon runs")
     }
 
-    /// Where callers reach a router.
+    /// The address at which a router accepts callers.
     pub fn callers(&self, i: usize) -> SocketAddr {
         self.layout.routers[i].callers
     }
 
-    /// The operators' interface.
+    /// Returns a client of the operators' interface.
     pub fn api(&self) -> Result<ControlApi> {
         let token = std::fs::read_to_string(self.layout.token_file())?;
         Ok(ControlApi::new(
@@ -130,18 +131,19 @@
     /// Makes a change and waits until it is in force.
     pub async fn apply(&self, change: Change) -> Result<AppliedAnswer> {
         let id = new_request_id();
-        let until = Instant::now() + SEND_AGAIN_FOR;
+        let deadline = Instant::now() + RETRY_TIMEOUT;
         loop {
-            // A change whose answer was lost is sent again, as operators are told to.
+            // Operators are advised to retry a change with an unknown outcome under the
+            // same id.
             let applied = self.apply_with(change.clone(), None, &id).await;
-            let unknown = applied.as_ref().is_err_and(|e| exit_of(e) == Exit::Unknown);
-            if !unknown || Instant::now() > until {
+            let is_unknown = applied.as_ref().is_err_and(|e| exit_of(e) == Exit::Unknown);
+            if !is_unknown || Instant::now() > deadline {
                 return applied;
             }
         }
     }
 
-    /// Makes a change with a revision and a request id.
+    /// Makes a change with an expected revision and a request id, without retries.
     pub async fn apply_with(
         &self,
         change: Change,
--- a/crates/deckwind-testkit/src/fan_out.rs
+++ b/crates/deckwind-testkit/src/fan_out.rs
@@ -1,11 +1,12 @@
-//! One leader and hundreds of routers in virtual time, with the leader's link.
+//! Simulation of one leader and hundreds of routers in virtual time, with the leader's
+//! network link.
 //!
-//! The control node is the daemon's own; routers are a lease and a renewal in
-//! flight each. Every answer goes through the leader's link, byte by byte, so
-//! what a change costs there and how long the queue grows can be told.
+//! The control node is the daemon's own; a router consists of a lease and a renewal in
+//! flight. Every answer is sent over the simulated link byte by byte, to measure what a
+//! change costs there and how long the send queue becomes.
 
-use crate::made_up_fleet::{CENTRES, POOL};
-pub use crate::made_up_fleet::{engine, engine_fleet, engine_release, release};
+use crate::synthetic_fleet::{DATA_CENTRES, POOL};
+pub use crate::synthetic_fleet::{engine, engine_fleet, engine_release, release};
 use anyhow::{Context, Result, ensure};
 use deckwind_core::control::{
     ControlEvent, ControlLimits, ControlReply, ControlRequest, EngineUse, LimitReport, Looks,
@@ -24,68 +25,68 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Step of the virtual time.
+/// Step of virtual time.
 const STEP: Duration = Duration::from_millis(1);
 
-/// One way between a router and the leader.
-const ONE_WAY: Duration = Duration::from_millis(1);
+/// One-way delay between a router and the leader.
+const ONE_WAY_DELAY: Duration = Duration::from_millis(1);
 
-/// How long a replica gathers what it passes on.
-const GATHER_MICROS: u64 = 20_000;
-const GATHER: Duration = Duration::from_micros(GATHER_MICROS);
+/// Time for which a replica collects requests before it relays them.
+const RELAY_INTERVAL_MICROS: u64 = 20_000;
+const RELAY_INTERVAL: Duration = Duration::from_micros(RELAY_INTERVAL_MICROS);
 
-/// Headers of IP, UDP and QUIC for one message, bytes.
-const HEADERS: usize = 60;
+/// Bytes of IP, UDP and QUIC headers per packet.
+const HEADER_BYTES: usize = 60;
 
-/// Bytes of a message that go into one packet.
-const PACKET: usize = 1_200;
+/// Bytes of a message that fit into one packet.
+const PACKET_PAYLOAD: usize = 1_200;
 
-/// Time in which an engine loads layers.
-const LOADS_IN: Duration = Duration::from_millis(30);
+/// Time that an engine takes to load layers.
+const LOAD_TIME: Duration = Duration::from_millis(30);
 
-/// Length of a lease.
-const LEASE: Duration = Duration::from_millis(2_800);
+/// Duration of a lease.
+const LEASE_DURATION: Duration = Duration::from_millis(2_800);
 
 fn lease_timing() -> LeaseTiming {
     LeaseTiming {
-        ttl: LEASE,
+        ttl: LEASE_DURATION,
         ..LeaseTiming::default()
     }
 }
 
 struct Router {
     lease: RouterLeaseState,
-    /// When the renewal on its way was sent.
-    asked: Option<Instant>,
+    /// Time at which the renewal in flight was sent.
+    sent_at: Option<Instant>,
     was_live: bool,
-    /// Up to where it has heard what streams hold.
+    /// Last update of the engines' load that the router has received.
     use_known: Option<UseNumber>,
 }
 
 enum Arrival {
-    Asked(usize, Box<Renewal>),
-    Answered(usize, Box<ControlReply>),
-    /// An engine has carried out an order.
+    Renewal(usize, Box<Renewal>),
+    Reply(usize, Box<ControlReply>),
+    /// An engine has completed an order.
     Placed(PlaceOrder),
 }
 
-/// What the leader's link has carried.
+/// Traffic of the leader's link and time that the leader worked.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Carried {
-    /// Renewals that came.
+    /// Renewals received.
     pub renewals: u64,
-    /// Messages with answers.
+    /// Messages with answers sent.
     pub messages: u64,
-    /// Their bytes, headers included.
+    /// Bytes of these messages, headers included.
     pub bytes: u64,
-    /// Longest time for which bytes stood in the link's queue.
+    /// Longest time that bytes waited in the link's queue.
     pub longest_queue: Duration,
-    /// Leases that ran out.
+    /// Leases that expired.
     pub leases_lost: u64,
-    /// Time that the leader worked, by this machine's clock.
+    /// Time that the leader spent on batches, by this machine's clock.
     pub worked: Duration,
-    /// The longest of its batches, by this machine's clock: what a heartbeat
-    /// may wait for.
+    /// Time spent on the longest batch, by this machine's clock: the longest delay that a
+    /// heartbeat may see.
     pub longest_batch: Duration,
 }
 
@@ -96,22 +97,24 @@
     start: Instant,
     routers: Vec<Router>,
     engines_in_use: usize,
-    /// Replicas that pass the routers' requests on; none if routers ask the leader.
+    /// Number of replicas that relay the routers' requests; 0 if routers call the leader
+    /// directly.
     relays: u32,
-    /// Most repeats that all routers may be given; nothing if they want none.
+    /// Maximum number of retries that all routers may be granted; `None` if they request
+    /// none.
     repeats: Option<u64>,
     bytes_per_s: f64,
     link_free_at: Instant,
-    on_the_way: BTreeMap<(Instant, u64), Arrival>,
-    asked_by: BTreeMap<u64, usize>,
+    in_flight: BTreeMap<(Instant, u64), Arrival>,
+    requesting_routers: BTreeMap<u64, usize>,
     next_number: u64,
-    operator: Vec<ControlEvent>,
+    operator_events: Vec<ControlEvent>,
     carried: Carried,
 }
 
 impl FanOut {
-    /// A leader that leads, and routers with live leases. Each router's streams
-    /// hold something at a quarter of `engines_in_use` engines.
+    /// Creates an elected leader and routers with valid leases. Each router reports load
+    /// at a quarter of `engines_in_use` engines.
     pub fn new(routers: usize, engines_in_use: usize, link_mbps: f64) -> Result<Self> {
         let id = ReplicaId {
             slot: 0,
@@ -124,15 +127,15 @@
             state_bytes_per_s: ControlLimits::state_pace(link_mbps),
             ..ControlLimits::default()
         };
-        let cfg = ReplicaConfig::new(id, [0], 1);
+        let replica_config = ReplicaConfig::new(id, [0], 1);
         let router = |_| Router {
             lease: RouterLeaseState::new(lease),
-            asked: None,
+            sent_at: None,
             was_live: false,
             use_known: None,
         };
         let mut fan_out = Self {
-            node: ControlNode::new(cfg, lease, limits, store, opened, start)?,
+            node: ControlNode::new(replica_config, lease, limits, store, opened, start)?,
             now: start,
             start,
             routers: (0..routers).map(router).collect(),
@@ -141,50 +144,54 @@
             repeats: None,
             bytes_per_s: link_mbps * 125_000.0,
             link_free_at: start,
-            on_the_way: BTreeMap::new(),
-            asked_by: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            requesting_routers: BTreeMap::new(),
             next_number: 1,
-            operator: Vec::new(),
+            operator_events: Vec::new(),
             carried: Carried::default(),
         };
         fan_out.run_for(Duration::from_secs(5))?;
-        ensure!(fan_out.routers.iter().all(|r| r.was_live), "no lease");
+        ensure!(
+            fan_out.routers.iter().all(|r| r.was_live),
+            "not all routers hold a lease"
+        );
         fan_out.carried = Carried::default();
         Ok(fan_out)
     }
 
-    /// From now on so many replicas pass the routers' requests on.
+    /// Has this number of replicas relay the routers' requests from now on.
     pub fn pass_on(&mut self, relays: u32) {
         self.relays = relays;
     }
 
-    /// From now on each router's streams hold something at a quarter of so many engines.
+    /// Has each router report load at a quarter of this number of engines from now on.
     pub fn hold_at(&mut self, engines: usize) {
         self.engines_in_use = engines;
     }
 
-    /// What the leader has looked at so far.
+    /// Returns the rows that the leader has scanned so far.
     pub fn looks(&self) -> Looks {
         self.node.core().looks()
     }
 
-    /// From now on all routers serve the pool, and hold repeats ahead of need.
+    /// Has all routers serve the pool and hold retries in reserve from now on; they may
+    /// be granted this number of retries.
     pub fn serve(&mut self, repeats: u64) {
         self.repeats = Some(repeats);
     }
 
-    /// What the link has carried since this was last asked.
+    /// Returns the traffic since the last call and resets it.
     pub fn take_carried(&mut self) -> Carried {
         std::mem::take(&mut self.carried)
     }
 
-    /// All routers start anew at once: without a lease, and with no state.
+    /// Restarts all routers at once, without leases and state.
     pub fn restart_routers(&mut self) {
-        self.on_the_way.clear();
-        self.asked_by.clear();
+        self.in_flight.clear();
+        self.requesting_routers.clear();
         for r in &mut self.routers {
             r.lease = RouterLeaseState::new(lease_timing());
-            r.asked = None;
+            r.sent_at = None;
             r.was_live = false;
             r.use_known = None;
         }
@@ -195,66 +202,77 @@
         let document = Vec::new();
         let published = Published { release, document };
         let request = OperatorRequest::Publish(Box::new(published));
-        self.operator
+        self.operator_events
             .push(ControlEvent::Operator { token: 0, request });
     }
 
-    /// A target announces itself.
+    /// Announces a target.
     pub fn announce(&mut self, instance: Instance) {
         let request = OperatorRequest::Announce(Box::new(instance));
-        self.operator
+        self.operator_events
             .push(ControlEvent::Operator { token: 0, request });
     }
 
-    /// Routers that have not applied all that is agreed.
+    /// Returns the number of routers that haven't applied the committed revision.
     pub fn lagging(&self) -> usize {
-        let agreed = self.revision();
-        let lags = |r: &&Router| r.lease.applied() < agreed;
-        self.routers.iter().filter(lags).count()
+        let committed = self.revision();
+        let is_lagging = |r: &&Router| r.lease.applied() < committed;
+        self.routers.iter().filter(is_lagging).count()
     }
 
-    /// The revision that is agreed.
+    /// Returns the committed revision.
     pub fn revision(&self) -> Revision {
         self.node.core().machine().configuration().revision()
     }
 
-    /// The release at each router.
+    /// Returns the releases that routers have applied.
     pub fn releases(&self) -> impl Iterator<Item = &Release> {
-        let cfgs = self.routers.iter().map(|r| r.lease.configuration());
-        cfgs.filter_map(|cfg| cfg.release().map(|r| &**r))
+        let configurations = self.routers.iter().map(|r| r.lease.configuration());
+        configurations.filter_map(|cfg| cfg.release().map(|r| &**r))
     }
 
-    /// Routers that may serve though they have not applied all that is agreed.
+    /// Returns the number of routers that may serve though they haven't applied the
+    /// committed revision.
     pub fn serving_behind(&self) -> usize {
-        let agreed = self.revision();
-        let serves = |r: &&Router| r.lease.is_live(self.now) && r.lease.applied() < agreed;
-        self.routers.iter().filter(serves).count()
+        let committed = self.revision();
+        let is_serving_behind =
+            |r: &&Router| r.lease.is_live(self.now) && r.lease.applied() < committed;
+        self.routers.iter().filter(is_serving_behind).count()
     }
 
-    /// Layers that the engine holds as agreed.
+    /// Returns the layers that an engine holds according to the committed state.
     pub fn held_by(&self, id: &str) -> LayerRange {
         let instances = self.node.core().machine().configuration().instances();
         instances.get(id).map(|i| i.layers).unwrap_or_default()
     }
 
-    /// Engines that hold layers.
+    /// Returns the number of engines that hold layers.
     pub fn holding(&self) -> usize {
         let instances = self.node.core().machine().configuration().instances();
         instances.iter().filter(|i| !i.layers.is_empty()).count()
     }
 
-    /// Runs until all routers have applied what is agreed; the time it took.
-    pub fn run_until_applied(&mut self, most: Duration) -> Result<Duration> {
+    /// Runs until all routers have applied the committed revision; returns the time that
+    /// this took.
+    ///
+    /// # Errors
+    ///
+    /// Fails if routers still lag after `timeout`.
+    pub fn run_until_applied(&mut self, timeout: Duration) -> Result<Duration> {
         let begun = self.now;
         self.step()?;
         while self.lagging() > 0 {
-            ensure!(self.now.since(begun) < most, "{} lag", self.lagging());
+            ensure!(
+                self.now.since(begun) < timeout,
+                "{} routers still lag",
+                self.lagging()
+            );
             self.step()?;
         }
         Ok(self.now.since(begun))
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time.
     pub fn run_for(&mut self, time: Duration) -> Result<()> {
         let until = self.now + time;
         while self.now < until {
@@ -265,14 +283,16 @@
 
     fn step(&mut self) -> Result<()> {
         self.now = self.now + STEP;
-        let mut batch = std::mem::take(&mut self.operator);
-        while let Some(entry) = self.on_the_way.first_entry() {
+        let mut batch = std::mem::take(&mut self.operator_events);
+        while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 > self.now {
                 break;
             }
             match entry.remove() {
-                Arrival::Asked(router, renewal) => batch.push(self.request(router, *renewal)),
-                Arrival::Answered(router, reply) => self.take_answer(router, *reply)?,
+                Arrival::Renewal(router, renewal) => {
+                    batch.push(self.receive_renewal(router, *renewal))
+                }
+                Arrival::Reply(router, reply) => self.handle_reply(router, *reply)?,
                 Arrival::Placed(order) => batch.push(ControlEvent::Placed {
                     life: order.life(),
                     held: Some(order.layers),
@@ -289,18 +309,18 @@
         let took = begun.elapsed();
         self.carried.worked += took;
         self.carried.longest_batch = self.carried.longest_batch.max(took);
-        let mut passed_back: BTreeMap<u32, Vec<(u64, ControlReply)>> = BTreeMap::new();
+        let mut relayed: BTreeMap<u32, Vec<(u64, ControlReply)>> = BTreeMap::new();
         for effect in effects {
             match effect {
                 Effect::Reply(token, reply) => match self.relay_of(token) {
-                    Some(relay) => passed_back.entry(relay).or_default().push((token, reply)),
+                    Some(relay) => relayed.entry(relay).or_default().push((token, reply)),
                     None => self.send_answers(vec![(token, reply)])?,
                 },
-                Effect::Place(order) => self.put(self.now + LOADS_IN, Arrival::Placed(order)),
+                Effect::Place(order) => self.schedule(self.now + LOAD_TIME, Arrival::Placed(order)),
                 _ => {}
             }
         }
-        for (_, answers) in passed_back {
+        for (_, answers) in relayed {
             self.send_answers(answers)?;
         }
         for router in 0..self.routers.len() {
@@ -309,16 +329,16 @@
         Ok(())
     }
 
-    /// The replica that passed this request on.
+    /// Returns the replica that relayed this request, if one did.
     fn relay_of(&self, token: u64) -> Option<u32> {
-        let router = self.asked_by.get(&token)?;
+        let router = self.requesting_routers.get(&token)?;
         (self.relays > 0).then(|| *router as u32 % self.relays)
     }
 
-    fn request(&mut self, router: usize, renewal: Renewal) -> ControlEvent {
+    fn receive_renewal(&mut self, router: usize, renewal: Renewal) -> ControlEvent {
         self.next_number += 1;
         let token = self.next_number;
-        self.asked_by.insert(token, router);
+        self.requesting_routers.insert(token, router);
         self.carried.renewals += 1;
         let request = ControlRequest::Renew(renewal);
         let Some(relay) = self.relay_of(token) else {
@@ -330,7 +350,7 @@
             waited,
             request,
         };
-        // Slot 0 is the leader's.
+        // The leader has slot 0.
         let from = relay + 1;
         ControlEvent::Relayed {
             token,
@@ -340,15 +360,15 @@
     }
 
     fn renew(&mut self, router: usize) {
-        let in_use = self.in_use_of(router);
+        let in_use = self.engine_load_of(router);
         let r = &mut self.routers[router];
-        let live = r.lease.is_live(self.now);
-        self.carried.leases_lost += u64::from(r.was_live && !live);
-        r.was_live = live;
-        if r.asked.is_some() {
+        let is_live = r.lease.is_live(self.now);
+        self.carried.leases_lost += u64::from(r.was_live && !is_live);
+        r.was_live = is_live;
+        if r.sent_at.is_some() {
             return;
         }
-        r.asked = Some(self.now);
+        r.sent_at = Some(self.now);
         let renewal = Renewal {
             holder: Holder {
                 vm: format!("router-{router}").as_str().into(),
@@ -357,23 +377,26 @@
             applied: r.lease.applied(),
             admin: SocketAddr::from(([127, 0, 0, 1], 1)),
             demand: Vec::new(),
-            data_centre: CENTRES[router % CENTRES.len()].into(),
+            data_centre: DATA_CENTRES[router % DATA_CENTRES.len()].into(),
             in_use,
             use_known: r.use_known,
             failing: Vec::new(),
             held_bytes: 0,
-            repeats: self.repeats.map(repeat_report),
+            repeats: self.repeats.map(retry_report),
             limits: LimitReport::default(),
         };
-        let arrival = Arrival::Asked(router, Box::new(renewal));
-        let gathered = match self.relays {
+        let arrival = Arrival::Renewal(router, Box::new(renewal));
+        let departure = match self.relays {
             0 => self.now,
-            _ => self.now + GATHER - Duration::from_micros(self.now.as_micros() % GATHER_MICROS),
+            _ => {
+                self.now + RELAY_INTERVAL
+                    - Duration::from_micros(self.now.as_micros() % RELAY_INTERVAL_MICROS)
+            }
         };
-        self.put(gathered + ONE_WAY, arrival);
+        self.schedule(departure + ONE_WAY_DELAY, arrival);
     }
 
-    fn in_use_of(&self, router: usize) -> Vec<EngineUse> {
+    fn engine_load_of(&self, router: usize) -> Vec<EngineUse> {
         let held = Held {
             layer_tokens: 40_000,
             begun: 1,
@@ -382,62 +405,65 @@
             let address = SocketAddr::from(([127, 0, 1, 1], e as u16 + 1));
             EngineUse::new(address, held)
         };
-        let own = (0..self.engines_in_use).filter(|e| e % 4 == router % 4);
-        own.map(engine).collect()
+        let own_engines = (0..self.engines_in_use).filter(|e| e % 4 == router % 4);
+        own_engines.map(engine).collect()
     }
 
-    /// Sends answers that go together: to one router, or for those that asked one
-    /// replica.
+    /// Sends answers in one message: to one router, or to the replica that relayed the
+    /// requests.
     fn send_answers(&mut self, answers: Vec<(u64, ControlReply)>) -> Result<()> {
         let bytes = match &answers[..] {
             [(_, reply)] if self.relays == 0 => encode(reply).len(),
             answers => {
-                let mut passed_back = RelayedReplies::new(0);
+                let mut relayed = RelayedReplies::new(0);
                 for (token, reply) in answers {
-                    passed_back.push(*token, reply.clone());
+                    relayed.push(*token, reply.clone());
                 }
-                encode(&passed_back).len()
+                encode(&relayed).len()
             }
         };
-        let on_link = bytes + HEADERS * (1 + bytes / PACKET);
-        let begins = self.link_free_at.max(self.now);
-        let takes = Duration::from_secs_f64(on_link as f64 / self.bytes_per_s);
-        self.link_free_at = begins + takes;
-        let queued = self.link_free_at.since(self.now);
-        self.carried.longest_queue = self.carried.longest_queue.max(queued);
+        let link_bytes = bytes + HEADER_BYTES * (1 + bytes / PACKET_PAYLOAD);
+        let transfer_start = self.link_free_at.max(self.now);
+        let transfer_time = Duration::from_secs_f64(link_bytes as f64 / self.bytes_per_s);
+        self.link_free_at = transfer_start + transfer_time;
+        let queue_time = self.link_free_at.since(self.now);
+        self.carried.longest_queue = self.carried.longest_queue.max(queue_time);
         self.carried.messages += 1;
-        self.carried.bytes += on_link as u64;
+        self.carried.bytes += link_bytes as u64;
         for (token, reply) in answers {
-            // What was asked before a restart is answered to nobody.
-            if let Some(router) = self.asked_by.remove(&token) {
-                let arrival = Arrival::Answered(router, Box::new(reply));
-                self.put(self.link_free_at + ONE_WAY, arrival);
+            // Answers to requests from before a restart are dropped.
+            if let Some(router) = self.requesting_routers.remove(&token) {
+                let arrival = Arrival::Reply(router, Box::new(reply));
+                self.schedule(self.link_free_at + ONE_WAY_DELAY, arrival);
             }
         }
         Ok(())
     }
 
-    fn take_answer(&mut self, router: usize, reply: ControlReply) -> Result<()> {
+    fn handle_reply(&mut self, router: usize, reply: ControlReply) -> Result<()> {
         let r = &mut self.routers[router];
-        let asked = r.asked.take().context("an answer to no question")?;
+        let sent_at = r
+            .sent_at
+            .take()
+            .context("a reply without a renewal in flight")?;
         if let ControlReply::Granted(grant) = reply {
             let delta = grant.changes(r.lease.applied())?;
-            r.lease.granted(grant.lease(asked), delta);
-            r.use_known = grant.in_use.map(|news| news.upto).or(r.use_known);
+            r.lease.granted(grant.lease(sent_at), delta);
+            r.use_known = grant.in_use.map(|update| update.upto).or(r.use_known);
         }
         Ok(())
     }
 
-    fn put(&mut self, at: Instant, arrival: Arrival) {
+    fn schedule(&mut self, at: Instant, arrival: Arrival) {
         self.next_number += 1;
-        self.on_the_way.insert((at, self.next_number), arrival);
+        self.in_flight.insert((at, self.next_number), arrival);
     }
 }
 
-/// Of a router that serves the pool and has used none.
-fn repeat_report(most: u64) -> RepeatReport {
+/// Report of a router that serves the pool and has used no retries.
+fn retry_report(max_retries: u64) -> RepeatReport {
     RepeatReport {
-        most,
+        most: max_retries,
         window: Duration::from_secs(10),
         pools: vec![PoolReport {
             pool: POOL.to_string(),
--- a/crates/deckwind-testkit/src/lab.rs
+++ b/crates/deckwind-testkit/src/lab.rs
@@ -1,10 +1,10 @@
-//! Control replicas in virtual time: the real core and store, on disks in
-//! memory, over a network that loses, doubles, delays and cuts.
+//! Simulation of control replicas in virtual time: the real core and store, on in-memory
+//! disks, over a network that loses, duplicates and delays messages and can be
+//! partitioned.
 //!
-//! Every run repeats by its seed. After each step the invariants of `lab_checks`
-//! are checked.
+//! A seed reproduces its run. The invariants of `lab_checks` are checked during the run.
 
-use crate::lab_net::{Asked, Flying};
+use crate::lab_net::{InFlight, Requester};
 use crate::lab_routers::LabRouter;
 use deckwind_core::control::{ControlEvent, ControlLimits, OperatorReply, OperatorRequest};
 use deckwind_core::membership::{InForce, LeaseTiming};
@@ -20,21 +20,21 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What the network does, in parts of 1,000.
+/// Faults of the network; rates are in parts per 1,000.
 #[derive(Clone, Copy, Debug)]
 pub struct NetFaults {
-    /// Messages lost.
+    /// Rate of lost messages.
     pub lost: u32,
-    /// Messages that come twice.
+    /// Rate of duplicated messages.
     pub doubled: u32,
-    /// Orders whose answer is lost: they are given again.
+    /// Rate of orders whose confirmation is lost, so that the leader repeats them.
     pub orders_unanswered: u32,
-    /// Longest delay.
+    /// Maximum delay of a message.
     pub max_delay: Duration,
 }
 
 impl NetFaults {
-    /// A quiet network.
+    /// A network without faults.
     pub const NONE: NetFaults = NetFaults {
         lost: 0,
         doubled: 0,
@@ -42,7 +42,7 @@
         max_delay: Duration::from_millis(1),
     };
 
-    /// A bad one.
+    /// A network with many faults.
     pub const BAD: NetFaults = NetFaults {
         lost: 100,
         doubled: 50,
@@ -51,16 +51,16 @@
     };
 }
 
-/// A control VM.
+/// A control VM of the simulation.
 pub(crate) struct LabNode {
     disk: MemoryDisk,
     pub(crate) node: Option<ControlNode>,
     frozen: bool,
     pub(crate) inbox: Vec<ControlEvent>,
-    /// Entries whose agreement was checked.
-    pub(crate) checked: Index,
-    /// Its clock runs this much faster, parts in 1,000.
-    fast_per_mille: i64,
+    /// Index up to which committed entries were checked.
+    pub(crate) checked_up_to: Index,
+    /// Drift of the VM's clock in parts per 1,000; positive if it runs fast.
+    drift_per_mille: i64,
 }
 
 impl LabNode {
@@ -82,24 +82,24 @@
     }
 }
 
-/// The laboratory.
+/// Control replicas, routers and the network between them.
 pub struct Lab {
     pub(crate) now: Instant,
     pub(crate) rng: StdRng,
     pub(crate) faults: NetFaults,
     pub(crate) nodes: Vec<LabNode>,
-    /// Routers; see [`LabRouter`].
+    /// The routers.
     pub routers: Vec<LabRouter>,
-    pub(crate) cut: BTreeSet<(u32, u32)>,
-    pub(crate) flying: BTreeMap<(Instant, u64), Flying>,
+    pub(crate) partitions: BTreeSet<(u32, u32)>,
+    pub(crate) in_flight: BTreeMap<(Instant, u64), InFlight>,
     pub(crate) sequence: u64,
-    pub(crate) asked: BTreeMap<u64, Asked>,
+    pub(crate) pending: BTreeMap<u64, Requester>,
     pub(crate) next_token: u64,
     pub(crate) leaders: BTreeMap<Term, ReplicaId>,
     pub(crate) committed: BTreeMap<Index, Entry>,
     pub(crate) accepted: Revision,
     pub(crate) ordered: BTreeMap<TargetName, Term>,
-    /// Operators' replies, by request id.
+    /// Replies to operators and targets, by request or instance id.
     pub replies: BTreeMap<String, Vec<OperatorReply>>,
     limits: ControlLimits,
     lease: LeaseTiming,
@@ -109,13 +109,14 @@
 const STEP: Duration = Duration::from_millis(5);
 
 impl Lab {
-    /// So many replicas and routers.
+    /// Creates a simulation with this number of replicas and routers, and the default
+    /// interval of announcements.
     pub fn new(replicas: usize, routers: usize, seed: u64, faults: NetFaults) -> Self {
         let period = ControlLimits::default().announce_every;
         Self::with_period(replicas, routers, seed, faults, period)
     }
 
-    /// The same with targets that announce themselves this often.
+    /// Creates a simulation with targets that announce themselves at this interval.
     pub fn with_period(
         replicas: usize,
         routers: usize,
@@ -129,10 +130,10 @@
             faults,
             nodes: Vec::new(),
             routers: Vec::new(),
-            cut: BTreeSet::new(),
-            flying: BTreeMap::new(),
+            partitions: BTreeSet::new(),
+            in_flight: BTreeMap::new(),
             sequence: 0,
-            asked: BTreeMap::new(),
+            pending: BTreeMap::new(),
             next_token: 1,
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
@@ -148,14 +149,14 @@
             lease: LeaseTiming::default(),
         };
         for _ in 0..replicas {
-            let fast_per_mille = lab.rng.random_range(-10..=10);
+            let drift_per_mille = lab.rng.random_range(-10..=10);
             lab.nodes.push(LabNode {
                 disk: MemoryDisk::default(),
                 node: None,
                 frozen: false,
                 inbox: Vec::new(),
-                checked: Index(0),
-                fast_per_mille,
+                checked_up_to: Index(0),
+                drift_per_mille,
             });
         }
         for slot in 0..replicas {
@@ -167,90 +168,90 @@
         lab
     }
 
-    /// Now.
+    /// The current virtual time.
     pub fn now(&self) -> Instant {
         self.now
     }
 
-    /// Random numbers of the run's seed.
+    /// Random number generator with the run's seed.
     pub fn rng(&mut self) -> &mut StdRng {
         &mut self.rng
     }
 
-    /// Disk of a replica.
+    /// Returns a replica's disk.
     pub fn disk(&self, slot: usize) -> &MemoryDisk {
         &self.nodes[slot].disk
     }
 
-    /// Replica at a slot, if it is up.
+    /// Returns the replica in a slot, if it runs.
     pub fn node(&self, slot: usize) -> Option<&ControlNode> {
         self.nodes[slot].node.as_ref()
     }
 
-    fn local(&self, slot: usize) -> Now {
+    fn local_time(&self, slot: usize) -> Now {
         let micros = self.now.as_micros() as i64;
-        let fast = micros * self.nodes[slot].fast_per_mille / 1_000;
-        let local = (micros + fast) as u64;
+        let drift = micros * self.nodes[slot].drift_per_mille / 1_000;
+        let reading = (micros + drift) as u64;
         Now {
-            at: Instant::from_micros(local),
-            wall_ms: local / 1_000,
+            at: Instant::from_micros(reading),
+            wall_ms: reading / 1_000,
         }
     }
 
-    /// Starts a replica on whatever its disk holds.
+    /// Starts a replica from the contents of its disk.
     pub fn start(&mut self, slot: usize) {
-        let now = self.local(slot).at;
+        let now = self.local_time(slot).at;
         let fresh = ReplicaId {
             slot: slot as u32,
             identity: self.rng.random(),
         };
         let disk = Box::new(self.nodes[slot].disk.clone());
         let opened = Store::open(disk, fresh);
-        let (store, opened) = opened.expect("a crash never leaves a folder that can't be opened");
+        let (store, opened) = opened.expect("the store can be opened after any crash");
         let seed = self.rng.random();
         let cfg = ReplicaConfig::new(opened.id, 0..self.nodes.len() as u32, seed);
         let node = ControlNode::new(cfg, self.lease, self.limits, store, opened, now);
         let lab_node = &mut self.nodes[slot];
         lab_node.node = Some(node.expect("the snapshot can be read"));
-        lab_node.checked = Index(0);
+        lab_node.checked_up_to = Index(0);
         lab_node.inbox.clear();
     }
 
-    /// Power goes: what was not synced is lost, but for `torn` bytes.
+    /// Simulates a power loss: data that wasn't synced is lost, except for `torn` bytes.
     pub fn crash(&mut self, slot: usize, torn: usize) {
         self.nodes[slot].node = None;
         self.nodes[slot].frozen = false;
         self.nodes[slot].disk.crash(torn);
     }
 
-    /// The disk is lost with the VM.
+    /// Simulates the loss of a VM with its disk.
     pub fn lose_disk(&mut self, slot: usize) {
         self.crash(slot, 0);
         self.nodes[slot].disk.wipe();
     }
 
-    /// The VM stops or goes on without noticing; messages wait for it.
+    /// Suspends or resumes a VM. Messages to a suspended VM wait until it is resumed.
     pub fn freeze(&mut self, slot: usize, frozen: bool) {
         self.nodes[slot].frozen = frozen;
     }
 
-    /// Cuts a replica off from the others, or heals that.
-    pub fn cut_off(&mut self, slot: usize, cut: bool) {
+    /// Partitions a replica from the others, or removes the partition.
+    pub fn cut_off(&mut self, slot: usize, is_cut_off: bool) {
         for other in 0..self.nodes.len() as u32 {
             let slot = slot as u32;
             for pair in [(slot, other), (other, slot)] {
-                if cut {
-                    self.cut.insert(pair);
+                if is_cut_off {
+                    self.partitions.insert(pair);
                 } else {
-                    self.cut.remove(&pair);
+                    self.partitions.remove(&pair);
                 }
             }
         }
     }
 
-    /// Heals all cuts and starts whatever is down.
+    /// Removes all partitions and disk failures, and starts the replicas that are down.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.partitions.clear();
         for slot in 0..self.nodes.len() {
             self.nodes[slot].frozen = false;
             self.nodes[slot].disk.mend();
@@ -261,33 +262,33 @@
         }
     }
 
-    /// Slot of the replica that may answer now.
+    /// Returns the slot of the replica that may answer now.
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len()).find(|slot| self.may_answer(*slot))
     }
 
     pub(crate) fn may_answer(&self, slot: usize) -> bool {
         let node = self.nodes[slot].node.as_ref();
-        node.is_some_and(|n| n.core().replica().may_answer(self.local(slot).at))
+        node.is_some_and(|n| n.core().replica().may_answer(self.local_time(slot).at))
     }
 
-    /// Runs until some replica may answer.
+    /// Runs until a replica may answer; returns its slot.
     pub fn run_until_led(&mut self) -> usize {
-        const PATIENCE: usize = 8_000;
-        for _ in 0..PATIENCE {
+        const MAX_STEPS: usize = 8_000;
+        for _ in 0..MAX_STEPS {
             self.step();
             if let Some(slot) = self.leader() {
                 return slot;
             }
         }
         let states: Vec<String> = self.nodes.iter().map(LabNode::describe).collect();
-        panic!("no replica ever led: {states:#?}");
+        panic!("no replica became leader: {states:#?}");
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time.
     pub fn run_for(&mut self, time: Duration) {
-        let until = self.now + time;
-        while self.now < until {
+        let end = self.now + time;
+        while self.now < end {
             self.step();
         }
     }
@@ -303,64 +304,68 @@
         let request = OperatorRequest::Apply { request, wait };
         let token = self.next_token;
         self.next_token += 1;
-        self.asked.insert(token, Asked::Operator(id.to_string()));
+        self.pending
+            .insert(token, Requester::Operator(id.to_string()));
         self.nodes[slot]
             .inbox
             .push(ControlEvent::Operator { token, request });
     }
 
-    /// A target announces itself at a replica; the reply is found under its id.
+    /// Announces a target at a replica; replies are recorded under the target's id.
     pub fn announce(&mut self, slot: usize, instance: Instance) {
         let id = instance.id.clone();
         self.ask(slot, &id, OperatorRequest::Announce(Box::new(instance)));
     }
 
-    /// Sends an operator's request to a replica; the reply is found under `id`.
+    /// Sends an operator's request to a replica; replies are recorded under `id`.
     pub fn ask(&mut self, slot: usize, id: &str, request: OperatorRequest) {
         let token = self.next_token;
         self.next_token += 1;
-        self.asked.insert(token, Asked::Operator(id.to_string()));
+        self.pending
+            .insert(token, Requester::Operator(id.to_string()));
         self.nodes[slot]
             .inbox
             .push(ControlEvent::Operator { token, request });
     }
 
-    /// A life of a target leaves, at a replica; the reply is found under its id.
+    /// Reports at a replica that an incarnation of a target leaves; replies are recorded
+    /// under the incarnation's id.
     pub fn leave(&mut self, slot: usize, life: Life) {
         let token = self.next_token;
         self.next_token += 1;
-        self.asked.insert(token, Asked::Operator(life.id.clone()));
+        self.pending
+            .insert(token, Requester::Operator(life.id.clone()));
         let request = OperatorRequest::Leave(life);
         self.nodes[slot]
             .inbox
             .push(ControlEvent::Operator { token, request });
     }
 
-    /// Something happens at a replica.
+    /// Adds an event to a replica's inbox.
     pub fn happens(&mut self, slot: usize, event: ControlEvent) {
         self.nodes[slot].inbox.push(event);
     }
 
-    /// The last reply to a target or operator.
+    /// Returns the last reply to a target or operator.
     pub fn last_reply(&self, id: &str) -> Option<&OperatorReply> {
         self.replies.get(id)?.last()
     }
 
-    /// Applies a change at whichever replica leads, as an operator does: sent
-    /// again with the same id until it is accepted or rejected.
+    /// Applies a change at the current leader. Retries with the same id, as operators do,
+    /// until the change is accepted or rejected.
     pub fn apply_and_wait(
         &mut self,
         id: &str,
         expected: Option<Revision>,
         change: Change,
     ) -> OperatorReply {
-        const TRIES: usize = 10;
-        const STEPS: usize = 2_500;
-        for _ in 0..TRIES {
+        const MAX_ATTEMPTS: usize = 10;
+        const STEPS_PER_ATTEMPT: usize = 2_500;
+        for _ in 0..MAX_ATTEMPTS {
             let slot = self.run_until_led();
             let before = self.replies.get(id).map_or(0, Vec::len);
             self.apply(slot, id, expected, change.clone());
-            for _ in 0..STEPS {
+            for _ in 0..STEPS_PER_ATTEMPT {
                 self.step();
                 let replies = self.replies.get(id).map_or(&[][..], Vec::as_slice);
                 match replies.get(before) {
@@ -373,7 +378,8 @@
         panic!("no reply to {id}");
     }
 
-    /// One step of time: messages arrive, routers act, replicas take batches.
+    /// Advances the time by one step: delivers messages, then lets routers and replicas
+    /// act.
     pub fn step(&mut self) {
         self.now = self.now + STEP;
         self.deliver();
@@ -385,7 +391,7 @@
     }
 
     fn step_node(&mut self, slot: usize) {
-        let now = self.local(slot);
+        let now = self.local_time(slot);
         let lab_node = &mut self.nodes[slot];
         let Some(node) = &mut lab_node.node else {
             lab_node.inbox.clear();
@@ -400,16 +406,16 @@
             lab_node.node = None;
         }
         for effect in effects {
-            self.take_effect(slot, effect);
+            self.apply_effect(slot, effect);
         }
     }
 
-    /// Newest term whose order each target has got.
+    /// Newest leader term of the orders that each target has received.
     pub fn ordered(&self) -> &BTreeMap<TargetName, Term> {
         &self.ordered
     }
 
-    pub(crate) fn note_reply(&mut self, id: &str, reply: OperatorReply) {
+    pub(crate) fn record_reply(&mut self, id: &str, reply: OperatorReply) {
         if let OperatorReply::Accepted { revision, in_force } = &reply {
             self.accepted = self.accepted.max(*revision);
             if *in_force == InForce::Yes {
--- a/crates/deckwind-testkit/src/lab_checks.rs
+++ b/crates/deckwind-testkit/src/lab_checks.rs
@@ -1,37 +1,40 @@
-//! What must hold in the laboratory after each step:
+//! Invariants of the simulation. Those in this module are checked after each step, 7 on
+//! delivery in `lab_net`, and 6 by tests with [`LabRouter::ran`](crate::LabRouter::ran).
 //!
-//! 1. at most one leader a term;
+//! 1. at most one leader per term;
 //! 2. at most one replica may answer at a time;
-//! 3. committed entries are the same everywhere, and stay;
-//! 4. whoever may answer knows every change that was accepted;
-//! 5. when an operator was told "in force", no router that may serve is older;
+//! 3. committed entries are the same on all replicas and never change;
+//! 4. a replica that may answer has applied every accepted change;
+//! 5. when an operator's change is reported as in force, no router that may serve has an
+//!    older revision;
 //! 6. a claimed key runs at most once;
-//! 7. no target gets an older leader's order after a newer one's, also where it
-//!    does not check fences;
-//! 8. all routers together use no more repeats in a window than the bound.
+//! 7. no target receives an older leader's order after a newer one's, even if it doesn't
+//!    check fences;
+//! 8. the retries of all routers in a window stay within the retry budget.
 
 use crate::lab::Lab;
-use crate::lab_routers::REPEATS;
+use crate::lab_routers::RETRY_LIMITS;
 use deckwind_core::state::Revision;
 
-/// Part of the bound that routers use.
-const USED: f64 = 0.8;
+/// Part of the retry budget that routers may use.
+const USABLE_SHARE: f64 = 0.8;
 
 impl Lab {
-    /// Whoever may serve has applied what was called in force.
+    /// Checks that all routers that may serve have applied a revision that was reported
+    /// as in force.
     pub(super) fn check_in_force(&self, revision: Revision) {
         for router in &self.routers {
             let serves = router.serves(self.now);
             assert!(
                 !serves || router.applied() >= revision,
-                "revision {revision} was called in force, router {} serves {}",
+                "revision {revision} was reported as in force, but router {} serves {}",
                 router.name(),
                 router.applied()
             );
         }
     }
 
-    /// Checks everything; called after each step.
+    /// Checks all invariants; called after each step.
     pub(super) fn check(&mut self) {
         let answering: Vec<usize> = (0..self.nodes.len())
             .filter(|s| self.may_answer(*s))
@@ -47,15 +50,18 @@
         if let Some(slot) = answering.first() {
             self.check_knows_accepted(*slot);
         }
-        self.check_repeats();
+        self.check_retries();
     }
 
-    fn check_repeats(&self) {
+    fn check_retries(&self) {
         let used = self.routers.iter().flat_map(|r| &r.repeated);
-        let used = used.filter(|at| self.now.since(**at) < REPEATS.window);
+        let used = used.filter(|at| self.now.since(**at) < RETRY_LIMITS.window);
         let used = used.count();
-        let most = USED * REPEATS.beyond;
-        assert!(used as f64 <= most, "{used} repeats in a window");
+        let max_retries = USABLE_SHARE * RETRY_LIMITS.beyond;
+        assert!(
+            used as f64 <= max_retries,
+            "{used} retries in a window, allowed are {max_retries}"
+        );
     }
 
     fn check_leader(&mut self, slot: usize) {
@@ -80,7 +86,7 @@
         };
         let replica = node.core().replica();
         let from = self.nodes[slot]
-            .checked
+            .checked_up_to
             .next()
             .max(replica.log().base().index.next());
         for entry in replica.log().range(from, replica.commit()) {
@@ -88,17 +94,17 @@
                 .committed
                 .entry(entry.at.index)
                 .or_insert_with(|| entry.clone());
-            assert_eq!(first, entry, "slot {slot} committed another entry");
+            assert_eq!(first, entry, "slot {slot} committed a different entry");
         }
-        self.nodes[slot].checked = replica.commit();
+        self.nodes[slot].checked_up_to = replica.commit();
     }
 
     fn check_knows_accepted(&self, slot: usize) {
-        let node = self.nodes[slot].node.as_ref().expect("it answers");
+        let node = self.nodes[slot].node.as_ref().expect("the replica runs");
         let revision = node.core().machine().configuration().revision();
         assert!(
             revision >= self.accepted,
-            "slot {slot} answers at revision {revision}, accepted was {}",
+            "slot {slot} answers at revision {revision}, but {} was accepted",
             self.accepted
         );
     }
--- a/crates/deckwind-testkit/src/lab_net.rs
+++ b/crates/deckwind-testkit/src/lab_net.rs
@@ -1,5 +1,5 @@
-//! The laboratory's network: what is under way between its replicas, routers and targets,
-//! and what becomes of what replicas want done.
+//! The simulated network: messages in flight between replicas, routers and targets, and
+//! the effects that replicas request.
 
 use crate::lab::Lab;
 use deckwind_core::control::{
@@ -12,113 +12,113 @@
 use rand::RngExt;
 use std::time::Duration;
 
-/// Who asked for what, by token.
+/// Sender of a request, recorded by the request's token.
 #[derive(Clone, Debug)]
-pub(crate) enum Asked {
-    /// A router's request, and when it was asked.
+pub(crate) enum Requester {
+    /// A router, with its request and the time at which it was sent.
     Router(usize, Box<ControlRequest>, Instant),
     Operator(String),
-    /// The replica of this slot passed it on, under its own token.
+    /// The slot of the replica that relayed the request, and the token there.
     Replica(u32, u64),
 }
 
-/// Something under way.
-pub(crate) enum Flying {
+/// A message in flight.
+pub(crate) enum InFlight {
     Message(Message),
-    /// To the replica of this slot.
+    /// To the replica in this slot.
     Heard(u32, HeardTargets),
-    /// From the replica of the first slot to that of the second.
-    PassedOn(u32, u32, Vec<RelayedRequest>),
-    /// To the replica of this slot.
-    Answers(u32, RelayedReplies),
+    /// From the replica in the first slot to the one in the second.
+    Relayed(u32, u32, Vec<RelayedRequest>),
+    /// To the replica in this slot.
+    RelayedReplies(u32, RelayedReplies),
     Orders(usize, OrderBatch),
-    Ask(u32, u64, ControlRequest),
-    Answer(usize, ControlRequest, Instant, ControlReply),
+    Request(u32, u64, ControlRequest),
+    Reply(usize, ControlRequest, Instant, ControlReply),
 }
 
 impl Lab {
     pub(crate) fn deliver(&mut self) {
-        while let Some(((at, _), _)) = self.flying.first_key_value() {
+        while let Some(((at, _), _)) = self.in_flight.first_key_value() {
             if *at > self.now {
                 break;
             }
-            let (_, flying) = self.flying.pop_first().expect("just seen");
-            match flying {
-                Flying::Message(m) => {
+            let (_, in_flight) = self.in_flight.pop_first().expect("the map is not empty");
+            match in_flight {
+                InFlight::Message(m) => {
                     let event = ControlEvent::Replica(Event::Receive(m.clone()));
                     self.nodes[m.to_slot as usize].inbox.push(event);
                 }
-                Flying::Heard(slot, heard) => self.nodes[slot as usize]
+                InFlight::Heard(slot, heard) => self.nodes[slot as usize]
                     .inbox
                     .push(ControlEvent::Heard(heard)),
-                Flying::PassedOn(from, to, requests) => self.take_passed_on(from, to, requests),
-                Flying::Answers(slot, answers) => {
+                InFlight::Relayed(from, to, requests) => self.deliver_relayed(from, to, requests),
+                InFlight::RelayedReplies(slot, answers) => {
                     let event = ControlEvent::Answered(answers.into_answers());
                     self.nodes[slot as usize].inbox.push(event);
                 }
-                Flying::Orders(slot, batch) => self.take_orders(slot, batch),
-                Flying::Ask(slot, token, request) => self.nodes[slot as usize]
+                InFlight::Orders(slot, batch) => self.deliver_orders(slot, batch),
+                InFlight::Request(slot, token, request) => self.nodes[slot as usize]
                     .inbox
                     .push(ControlEvent::Request { token, request }),
-                Flying::Answer(router, request, asked, reply) => {
+                InFlight::Reply(router, request, sent_at, reply) => {
                     let now = self.now;
-                    self.routers[router].answered(now, asked, &request, reply);
+                    self.routers[router].handle_reply(now, sent_at, &request, reply);
                 }
             }
         }
     }
 
-    pub(crate) fn take_effect(&mut self, slot: usize, effect: Effect) {
+    pub(crate) fn apply_effect(&mut self, slot: usize, effect: Effect) {
         match effect {
             Effect::Send(m) => {
-                if !self.cut.contains(&(slot as u32, m.to_slot)) {
-                    self.fly(Flying::Message(m));
+                if !self.partitions.contains(&(slot as u32, m.to_slot)) {
+                    self.send(InFlight::Message(m));
                 }
             }
             Effect::TellHeard(to, heard) => {
-                if !self.cut.contains(&(slot as u32, to)) {
-                    self.fly(Flying::Heard(to, heard));
+                if !self.partitions.contains(&(slot as u32, to)) {
+                    self.send(InFlight::Heard(to, heard));
                 }
             }
             Effect::PassOn(to, requests) => {
-                if !self.cut.contains(&(slot as u32, to)) {
-                    self.fly(Flying::PassedOn(slot as u32, to, requests));
+                if !self.partitions.contains(&(slot as u32, to)) {
+                    self.send(InFlight::Relayed(slot as u32, to, requests));
                 }
             }
-            Effect::Reply(token, reply) => match self.asked.remove(&token) {
-                Some(Asked::Router(i, request, asked)) => {
-                    self.fly(Flying::Answer(i, *request, asked, reply));
+            Effect::Reply(token, reply) => match self.pending.remove(&token) {
+                Some(Requester::Router(i, request, sent_at)) => {
+                    self.send(InFlight::Reply(i, *request, sent_at, reply));
                 }
-                Some(Asked::Replica(to, token)) => {
+                Some(Requester::Replica(to, token)) => {
                     let mut answers = RelayedReplies::new(0);
                     answers.push(token, reply);
-                    if !self.cut.contains(&(slot as u32, to)) {
-                        self.fly(Flying::Answers(to, answers));
+                    if !self.partitions.contains(&(slot as u32, to)) {
+                        self.send(InFlight::RelayedReplies(to, answers));
                     }
                 }
-                Some(Asked::Operator(_)) | None => {}
+                Some(Requester::Operator(_)) | None => {}
             },
-            Effect::Order(batch) => self.fly_orders(slot, batch),
-            // Targets of the laboratory hold no layers and fail nobody.
+            Effect::Order(batch) => self.send_orders(slot, batch),
+            // The simulated targets hold no layers and never fail.
             Effect::Place(_)
             | Effect::Check(..)
             | Effect::NoteLife(_)
             | Effect::NoteLimit(_)
             | Effect::AskPace(_) => {}
             Effect::OperatorReply(token, reply) => {
-                if let Some(Asked::Operator(id)) = self.asked.remove(&token) {
-                    self.note_reply(&id, reply);
+                if let Some(Requester::Operator(id)) = self.pending.remove(&token) {
+                    self.record_reply(&id, reply);
                 }
             }
         }
     }
 
-    fn take_passed_on(&mut self, from: u32, to: u32, requests: Vec<RelayedRequest>) {
+    fn deliver_relayed(&mut self, from: u32, to: u32, requests: Vec<RelayedRequest>) {
         for request in requests {
             let token = self.next_token;
             self.next_token += 1;
-            let asked = Asked::Replica(from, request.token);
-            self.asked.insert(token, asked);
+            let requester = Requester::Replica(from, request.token);
+            self.pending.insert(token, requester);
             self.nodes[to as usize].inbox.push(ControlEvent::Relayed {
                 token,
                 from,
@@ -127,17 +127,17 @@
         }
     }
 
-    /// Orders arrive within their time; the leader hears that they were taken,
-    /// if it is still there.
-    fn fly_orders(&mut self, slot: usize, batch: OrderBatch) {
-        let within = batch.within.as_micros() as u64;
-        let delay = Duration::from_micros(self.rng.random_range(0..within));
-        self.put(self.now + delay, Flying::Orders(slot, batch));
+    /// Sends orders, which arrive within their timeout.
+    fn send_orders(&mut self, slot: usize, batch: OrderBatch) {
+        let timeout_micros = batch.within.as_micros() as u64;
+        let delay = Duration::from_micros(self.rng.random_range(0..timeout_micros));
+        self.schedule(self.now + delay, InFlight::Orders(slot, batch));
     }
 
-    /// A target that does not check fences must not get an older leader's order
-    /// after a newer one's.
-    fn take_orders(&mut self, slot: usize, batch: OrderBatch) {
+    /// Delivers orders to their target and reports to the replica whether they were
+    /// accepted. Checks that the target gets no older leader's order after a newer one's,
+    /// since it might not check fences.
+    fn deliver_orders(&mut self, slot: usize, batch: OrderBatch) {
         for order in &batch.orders {
             let term = order.fence.term;
             let newest = self.ordered.entry(batch.target.clone()).or_insert(term);
@@ -155,24 +155,24 @@
             .push(ControlEvent::OrdersDone { target, taken });
     }
 
-    fn fly(&mut self, flying: Flying) {
+    fn send(&mut self, in_flight: InFlight) {
         if self.rng.random_range(0..1_000) < self.faults.lost {
             return;
         }
         let micros = self.faults.max_delay.as_micros() as u64;
         let delay = Duration::from_micros(self.rng.random_range(0..=micros));
         if self.rng.random_range(0..1_000) < self.faults.doubled
-            && let Flying::Message(m) = &flying
+            && let InFlight::Message(m) = &in_flight
         {
-            let again = Flying::Message(m.clone());
-            self.put(self.now + delay + self.faults.max_delay, again);
+            let duplicate = InFlight::Message(m.clone());
+            self.schedule(self.now + delay + self.faults.max_delay, duplicate);
         }
-        self.put(self.now + delay, flying);
+        self.schedule(self.now + delay, in_flight);
     }
 
-    fn put(&mut self, at: Instant, flying: Flying) {
+    fn schedule(&mut self, at: Instant, in_flight: InFlight) {
         self.sequence += 1;
-        self.flying.insert((at, self.sequence), flying);
+        self.in_flight.insert((at, self.sequence), in_flight);
     }
 
     pub(crate) fn step_routers(&mut self) {
@@ -184,9 +184,9 @@
             let slot = self.routers[i].choose(self.now);
             let token = self.next_token;
             self.next_token += 1;
-            let asked = Asked::Router(i, Box::new(request.clone()), self.now);
-            self.asked.insert(token, asked);
-            self.fly(Flying::Ask(slot, token, request));
+            let requester = Requester::Router(i, Box::new(request.clone()), self.now);
+            self.pending.insert(token, requester);
+            self.send(InFlight::Request(slot, token, request));
         }
     }
 }
--- a/crates/deckwind-testkit/src/lab_routers.rs
+++ b/crates/deckwind-testkit/src/lab_routers.rs
@@ -1,5 +1,5 @@
-//! Routers of the laboratory: the real lease state, claims whose runs are counted,
-//! and repeats.
+//! Routers of the simulation: the real lease state, claims whose runs are counted, and
+//! retries.
 
 use deckwind_core::control::LimitReport;
 use deckwind_core::membership::{LeaseTiming, ReplicaChoice, RouterLeaseState};
@@ -14,74 +14,76 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What each router says that it holds for those that read slowly, bytes.
+/// Bytes that each router reports as held for slow readers.
 pub const HELD_BYTES: u64 = 4_096;
 
-/// A request of a router that was not answered yet.
+/// A request that hasn't been answered yet.
 #[derive(Clone, Debug)]
-struct Open {
+struct PendingRequest {
     request: ControlRequest,
-    asked: Instant,
+    sent_at: Instant,
 }
 
-/// A router.
+/// A simulated router.
 pub struct LabRouter {
     name: VmName,
     boot: u64,
     lease: RouterLeaseState,
-    renewal: Option<Open>,
-    /// A claim or its end, sent again until it is answered.
-    claim: Option<Open>,
+    renewal: Option<PendingRequest>,
+    /// A claim or its end, resent until it is answered.
+    claim: Option<PendingRequest>,
     claims_wanted: u32,
     nonce: u64,
     choice: ReplicaChoice,
-    /// Slot of the replica that was asked last.
-    asked: u32,
-    /// Keys that it ran, one entry a run.
+    /// Slot of the replica that the last request went to.
+    last_slot: u32,
+    /// Keys of the requests that it ran, with one entry per run.
     pub ran: Vec<String>,
     timing: LeaseTiming,
     budgets: Option<RepeatBudgets>,
-    /// When it last told that repeats run short.
-    short_at: Option<Instant>,
-    /// Repeats that its streams want.
-    repeats_wanted: u64,
-    /// When it used repeats, over all its starts.
+    /// Time of the last report that retries run short.
+    last_short_report: Option<Instant>,
+    /// Number of retries that its streams still need.
+    retries_wanted: u64,
+    /// Times of the retries, over all restarts of the router.
     pub repeated: Vec<Instant>,
 }
 
-/// A request that was not answered for this long is sent again.
-const RESEND: Duration = Duration::from_millis(700);
+/// Time without an answer after which a request is sent again.
+const RESEND_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Between two messages that repeats run short.
-const SHORT_EVERY: Duration = Duration::from_millis(80);
+/// Minimum interval between two reports that retries run short.
+const SHORT_REPORT_INTERVAL: Duration = Duration::from_millis(80);
 
-/// When routers start, as far as repeats care: not with the whole system.
-const STARTED: Started = Started {
+/// Start of each router as its retry budget sees it: not the first start of the whole
+/// system.
+const START: Started = Started {
     at: Instant::ZERO,
     first: false,
 };
 
-/// The bound on repeats: nothing for the routers' own requests.
-pub const REPEATS: RepeatLimits = RepeatLimits {
+/// Retry budget of all routers: no share of the routers' own requests, so that all
+/// retries must be granted.
+pub const RETRY_LIMITS: RepeatLimits = RepeatLimits {
     share: 0.0,
     beyond: 100.0,
     window: Duration::from_secs(10),
 };
 
-/// The pool that repeats are for.
+/// The pool that retries are for.
 const POOL: &str = "pool";
 
-/// Keys that all routers draw from.
+/// Number of keys that all routers draw from.
 const KEYS: u32 = 40;
 
 impl LabRouter {
-    /// The router of this number, before so many replicas.
+    /// Creates the router with number `i` of a cluster with this number of replicas.
     pub fn new(i: usize, replicas: usize, timing: LeaseTiming) -> Self {
         let name = VmName::from(format!("router-{i}"));
         let slots = (0..replicas as u32).collect();
         Self {
             choice: ReplicaChoice::new(name.clone(), slots),
-            asked: 0,
+            last_slot: 0,
             name,
             boot: 1,
             lease: RouterLeaseState::new(timing),
@@ -92,13 +94,13 @@
             ran: Vec::new(),
             timing,
             budgets: None,
-            short_at: None,
-            repeats_wanted: 0,
+            last_short_report: None,
+            retries_wanted: 0,
             repeated: Vec::new(),
         }
     }
 
-    /// Its name.
+    /// Name of the router's VM.
     pub fn name(&self) -> &VmName {
         &self.name
     }
@@ -110,67 +112,69 @@
         }
     }
 
-    /// Revision that it has applied.
+    /// The revision that it has applied.
     pub fn applied(&self) -> Revision {
         self.lease.applied()
     }
 
-    /// Whether it knows of no reason not to send a request of this content.
+    /// Whether the quarantine allows it to send a request with this content.
     pub fn may_send(&self, content: &ContentDigest) -> bool {
         let mut runs = CutRuns::default();
         runs.agreed(Instant::ZERO, self.lease.configuration().suspects());
         runs.may_send(Instant::ZERO, content)
     }
 
-    /// Whether it serves.
+    /// Whether its lease is valid, so that it serves.
     pub fn serves(&self, now: Instant) -> bool {
         self.lease.is_live(now)
     }
 
-    /// Makes it claim that many requests.
+    /// Adds this number of claims for it to make.
     pub fn want_claims(&mut self, claims: u32) {
         self.claims_wanted += claims;
     }
 
-    /// Has it serve a pool whose streams want so many repeats.
+    /// Has it serve a pool whose streams need this number of retries.
     pub fn want_repeats(&mut self, repeats: u64) {
-        self.repeats_wanted = repeats;
+        self.retries_wanted = repeats;
         self.budgets
-            .get_or_insert_with(|| RepeatBudgets::new(REPEATS, STARTED));
+            .get_or_insert_with(|| RepeatBudgets::new(RETRY_LIMITS, START));
     }
 
-    /// How many repeats it may use.
+    /// Returns the number of retries that it may use from its grants.
     pub fn repeats_left(&mut self, now: Instant) -> u64 {
         let budgets = self.budgets.as_mut();
         budgets.map_or(0, |b| b.of_pool(POOL).leased().left(now))
     }
 
-    /// Uses the repeats that it wants and may use.
-    fn repeat(&mut self, now: Instant) {
+    /// Uses the retries that its streams need, as far as the budget allows.
+    fn use_retries(&mut self, now: Instant) {
         let Some(budgets) = &mut self.budgets else {
             return;
         };
         let budget = budgets.of_pool(POOL);
         budget.requested(now);
-        while self.repeats_wanted > 0 {
-            let spent = budget.spend(now, Claim::Begun, self.repeats_wanted);
+        while self.retries_wanted > 0 {
+            let spent = budget.spend(now, Claim::Begun, self.retries_wanted);
             if spent.is_none() {
                 break;
             }
-            self.repeats_wanted -= 1;
+            self.retries_wanted -= 1;
             self.repeated.push(now);
         }
     }
 
-    fn next_short(&mut self, now: Instant) -> Option<ControlRequest> {
-        let due = self.short_at.is_none_or(|at| now.since(at) >= SHORT_EVERY);
+    fn next_short_report(&mut self, now: Instant) -> Option<ControlRequest> {
+        let due = self
+            .last_short_report
+            .is_none_or(|at| now.since(at) >= SHORT_REPORT_INTERVAL);
         let budgets = self.budgets.as_mut().filter(|b| due && b.runs_short(now))?;
         let report = budgets.report(now)?;
-        self.short_at = Some(now);
+        self.last_short_report = Some(now);
         Some(ControlRequest::Repeats(self.holder(), report))
     }
 
-    /// Kills it and starts it again, between any two of its steps.
+    /// Kills and restarts it; may be called between any two of its steps.
     pub fn restart(&mut self, timing: LeaseTiming) {
         self.boot += 1;
         self.lease = RouterLeaseState::new(timing);
@@ -179,32 +183,32 @@
         self.budgets = self
             .budgets
             .as_ref()
-            .map(|_| RepeatBudgets::new(REPEATS, STARTED));
+            .map(|_| RepeatBudgets::new(RETRY_LIMITS, START));
     }
 
-    /// Slot of the replica that it asks now.
+    /// Chooses the replica for the next request and returns its slot.
     pub fn choose(&mut self, now: Instant) -> u32 {
-        self.asked = self.choice.next(now).unwrap_or_default();
-        self.asked
+        self.last_slot = self.choice.next(now).unwrap_or_default();
+        self.last_slot
     }
 
-    /// Slot of the replica that it asked last.
+    /// Slot of the replica that the last request went to.
     pub fn asked(&self) -> usize {
-        self.asked as usize
+        self.last_slot as usize
     }
 
-    /// What it sends now, if anything.
+    /// Returns the next request to send, if any.
     pub fn next_request(&mut self, now: Instant, rng: &mut impl Rng) -> Option<ControlRequest> {
-        self.repeat(now);
+        self.use_retries(now);
         let next = self.next_claim(now, rng);
         let next = next.or_else(|| self.next_renewal(now));
-        next.or_else(|| self.next_short(now))
+        next.or_else(|| self.next_short_report(now))
     }
 
     fn next_renewal(&mut self, now: Instant) -> Option<ControlRequest> {
         match &self.renewal {
-            Some(open) if now.since(open.asked) < RESEND => return None,
-            Some(_) => self.choice.failed(now, self.asked),
+            Some(pending) if now.since(pending.sent_at) < RESEND_TIMEOUT => return None,
+            Some(_) => self.choice.failed(now, self.last_slot),
             None => {}
         }
         let repeats = self.budgets.as_mut().and_then(|b| b.report(now));
@@ -221,20 +225,20 @@
             repeats,
             limits: LimitReport::default(),
         });
-        self.renewal = Some(Open {
+        self.renewal = Some(PendingRequest {
             request: request.clone(),
-            asked: now,
+            sent_at: now,
         });
         Some(request)
     }
 
     fn next_claim(&mut self, now: Instant, rng: &mut impl Rng) -> Option<ControlRequest> {
-        if let Some(open) = &mut self.claim {
-            if now.since(open.asked) < RESEND {
+        if let Some(pending) = &mut self.claim {
+            if now.since(pending.sent_at) < RESEND_TIMEOUT {
                 return None;
             }
-            open.asked = now;
-            return Some(open.request.clone());
+            pending.sent_at = now;
+            return Some(pending.request.clone());
         }
         if self.claims_wanted == 0 {
             return None;
@@ -251,61 +255,62 @@
             digest: 0,
             nonce: self.nonce,
         });
-        self.claim = Some(Open {
+        self.claim = Some(PendingRequest {
             request: request.clone(),
-            asked: now,
+            sent_at: now,
         });
         Some(request)
     }
 
-    /// Takes the answer to a request that was sent at `asked`.
-    pub fn answered(
+    /// Handles the reply to a request that was sent at `sent_at`.
+    pub fn handle_reply(
         &mut self,
         now: Instant,
-        asked: Instant,
+        sent_at: Instant,
         request: &ControlRequest,
         reply: ControlReply,
     ) {
         match (request, reply) {
             (ControlRequest::Renew(renewal), ControlReply::Granted(grant)) => {
                 self.renewal = None;
-                self.choice.answered(self.asked);
+                self.choice.answered(self.last_slot);
                 if renewal.holder.boot == self.boot {
                     let delta = grant
                         .changes(self.lease.applied())
-                        .expect("nothing is damaged here");
-                    self.lease.granted(grant.lease(asked), delta);
+                        .expect("the delta is intact");
+                    self.lease.granted(grant.lease(sent_at), delta);
                     let budgets = self.budgets.as_mut();
-                    budgets.map(|b| b.told(asked, self.timing.ttl, &grant.repeats));
+                    budgets.map(|b| b.told(sent_at, self.timing.ttl, &grant.repeats));
                 }
             }
             (ControlRequest::Renew(_), ControlReply::AskAgain) => self.renewal = None,
             (_, ControlReply::NotLeader { leader }) => {
-                self.choice.not_passed_on(now, self.asked, leader);
+                self.choice.not_passed_on(now, self.last_slot, leader);
                 if matches!(request, ControlRequest::Renew(_)) {
                     self.renewal = None;
                 }
             }
             (ControlRequest::Claim(claim), ControlReply::Claim(verdict))
-                if self.is_open(request) =>
+                if self.is_pending(request) =>
             {
                 self.claim = None;
                 if verdict == ClaimVerdict::Granted {
                     self.send_once(now, claim);
                 }
             }
-            (ControlRequest::Finish(_), ControlReply::Done) if self.is_open(request) => {
+            (ControlRequest::Finish(_), ControlReply::Done) if self.is_pending(request) => {
                 self.claim = None;
             }
             _ => {}
         }
     }
 
-    fn is_open(&self, request: &ControlRequest) -> bool {
+    fn is_pending(&self, request: &ControlRequest) -> bool {
         self.claim.as_ref().is_some_and(|o| o.request == *request)
     }
 
-    /// Sends what was granted, once: some targets run it, others refuse.
+    /// Sends a granted request to a target exactly once: some targets run it, others
+    /// refuse it.
     fn send_once(&mut self, now: Instant, claim: &ClaimRequest) {
         let outcome = self.send_to_target(&claim.key.key, claim.nonce);
         let request = ControlRequest::Finish(FinishRequest {
@@ -314,9 +319,9 @@
             nonce: claim.nonce,
             outcome,
         });
-        self.claim = Some(Open {
+        self.claim = Some(PendingRequest {
             request,
-            asked: now - RESEND,
+            sent_at: now - RESEND_TIMEOUT,
         });
     }
 
--- a/crates/deckwind-testkit/src/layout.rs
+++ b/crates/deckwind-testkit/src/layout.rs
@@ -11,58 +11,60 @@
 
 /// Addresses of one router.
 #[derive(Clone, Copy, Debug)]
-pub struct Placement {
-    /// For callers.
+pub struct RouterAddresses {
+    /// For callers of templates.
     pub callers: SocketAddr,
-    /// UDP.
+    /// For peers, over UDP.
     pub peers: SocketAddr,
     /// For operators.
     pub admin: SocketAddr,
     /// For callers of published routes.
     pub routes: SocketAddr,
-    /// For balancers.
+    /// For readiness checks of load balancers.
     pub ready: SocketAddr,
 }
 
-/// A cluster's folder: keys, settings files, data folders.
+/// A cluster's folder, with keys, settings files and data folders, and its addresses.
 pub struct Layout {
     folder: TempDir,
-    _ports: HeldPorts,
+    _reserved_ports: ReservedPorts,
     token_sha256: String,
     /// UDP addresses of the control replicas, by slot.
     pub control: Vec<SocketAddr>,
-    /// Operators' addresses of the control replicas, by slot.
+    /// Addresses of the control replicas for operators, by slot.
     pub control_admin: Vec<SocketAddr>,
-    /// Where the control replicas take releases and announcements, by slot.
+    /// Addresses at which the control replicas accept releases and announcements, by
+    /// slot.
     pub control_calls: Vec<SocketAddr>,
     /// The routers.
-    pub routers: Vec<Placement>,
-    /// The platform's list, if there is one.
+    pub routers: Vec<RouterAddresses>,
+    /// Address of the platform's list of VMs, if there is one.
     pub platform: Option<SocketAddr>,
-    /// Share of the requests that routers may repeat, and repeats beyond it.
+    /// Retry budget of the routers: share of the requests that may be retried, and number
+    /// of retries beyond that share.
     pub repeats: (f64, u32),
-    /// Memory of a router's VM, MB.
+    /// Memory of a router's VM in MB.
     pub memory_mb: Option<f64>,
-    /// Data centres, over which the VMs are spread in turn.
+    /// Data centres that VMs are assigned to in turn.
     pub data_centres: Vec<&'static str>,
-    /// Length of a lease, where it is not the usual one.
+    /// Duration of a lease, if it isn't the default.
     pub lease: Option<&'static str>,
 }
 
-/// Ports of the OS's choice that nobody else gets while this lives.
+/// Ports chosen by the OS and reserved while this value lives.
 ///
-/// A TCP port stays bound here without listening, which lets a daemon that sets
-/// `SO_REUSEADDR` listen on it and keeps the OS from giving it to another. A UDP
-/// port can't be shared so; it is remembered for the life of the process.
+/// A TCP port stays bound here without listening. A daemon that sets `SO_REUSEADDR` can
+/// listen on it, and the OS gives it to no other process. A UDP port can't be shared like
+/// this, so it is only recorded, to not be given out twice by this process.
 #[derive(Default)]
-struct HeldPorts {
+struct ReservedPorts {
     tcp: Vec<TcpSocket>,
 }
 
-/// UDP ports that were given out by this process.
-static UDP_GIVEN: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
+/// UDP ports that this process has given out.
+static USED_UDP_PORTS: Mutex<BTreeSet<u16>> = Mutex::new(BTreeSet::new());
 
-impl HeldPorts {
+impl ReservedPorts {
     fn tcp(&mut self) -> Result<SocketAddr> {
         let socket = TcpSocket::new_v4()?;
         socket.set_reuseaddr(true)?;
@@ -73,30 +75,30 @@
     }
 
     fn udp(&mut self) -> Result<SocketAddr> {
-        let mut tried = Vec::new();
+        let mut duplicates = Vec::new();
         loop {
             let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
             let address = socket.local_addr()?;
-            let mut given = UDP_GIVEN.lock().expect("no holder panics");
-            if given.insert(address.port()) {
+            let mut used = USED_UDP_PORTS.lock().expect("no holder panics");
+            if used.insert(address.port()) {
                 return Ok(address);
             }
-            tried.push(socket);
+            duplicates.push(socket);
         }
     }
 }
 
 impl Layout {
-    /// Keys and addresses for so many replicas and routers.
+    /// Creates keys and addresses for this number of replicas and routers.
     pub fn new(control: usize, routers: usize) -> Result<Self> {
         let folder = TempDir::new()?;
         let ip = IpAddr::V4(Ipv4Addr::LOCALHOST);
         new_keys(&folder.path().join("keys"), &[("vm".to_string(), ip)])?;
         let token_sha256 = new_token(&folder.path().join("token"))?;
-        let mut ports = HeldPorts::default();
-        let mut placements = Vec::new();
+        let mut ports = ReservedPorts::default();
+        let mut router_addresses = Vec::new();
         for _ in 0..routers {
-            placements.push(Placement {
+            router_addresses.push(RouterAddresses {
                 callers: ports.tcp()?,
                 peers: ports.udp()?,
                 admin: ports.tcp()?,
@@ -115,29 +117,29 @@
             control: control.collect::<Result<_>>()?,
             control_admin,
             control_calls,
-            routers: placements,
-            // A router that has just started uses none of what is beyond the
-            // share, so the share alone must allow the repeats of a short test.
+            routers: router_addresses,
+            // A router that has just started can't use the retries beyond the share, so
+            // the share alone must allow the retries of a short test.
             repeats: (8.0, 100),
             platform: None,
             memory_mb: None,
             data_centres: vec!["recife-a"],
             lease: None,
-            _ports: ports,
+            _reserved_ports: ports,
         })
     }
 
-    /// Has the folder stay when this is dropped.
+    /// Keeps the folder when this is dropped.
     pub fn keep_folder(&mut self) {
         self.folder.disable_cleanup(true);
     }
 
-    /// The folder.
+    /// Path of the folder.
     pub fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    /// File with the operators' token.
+    /// Path of the file with the operators' token.
     pub fn token_file(&self) -> PathBuf {
         self.folder().join("token")
     }
@@ -147,7 +149,7 @@
         self.folder().join(format!("data-{slot}"))
     }
 
-    fn common(&self, vm: &str, number: usize) -> serde_json::Value {
+    fn common_settings(&self, vm: &str, index: usize) -> serde_json::Value {
         let control_vms: Vec<serde_json::Value> = self
             .control
             .iter()
@@ -156,7 +158,7 @@
             .collect();
         serde_json::json!({
             "vm": vm,
-            "data_centre": self.data_centres[number % self.data_centres.len()],
+            "data_centre": self.data_centres[index % self.data_centres.len()],
             "keys": { "ca": "keys/ca.pem", "certificate": "keys/vm.pem", "key": "keys/vm.key" },
             "control_vms": control_vms,
             "log": { "level": "info" },
@@ -178,7 +180,7 @@
     /// Writes the settings of a control replica.
     pub fn control_settings(&self, slot: usize) -> Result<PathBuf> {
         let name = format!("control-{slot}");
-        let mut settings = self.common(&name, slot);
+        let mut settings = self.common_settings(&name, slot);
         settings["control"] = serde_json::json!({
             "slot": slot,
             "data_folder": self.data_folder(slot),
@@ -190,17 +192,17 @@
         self.write(&name, &settings)
     }
 
-    /// Writes the settings of the first control replica, found by its address
-    /// alone and without a token for operators.
+    /// Writes the settings of the first control replica, with seeds in place of a list of
+    /// control VMs and without a token for operators.
     pub fn open_control_settings(&self) -> Result<PathBuf> {
-        let at = self.control[0];
+        let address = self.control[0];
         let settings = serde_json::json!({
             "vm": "open",
             "data_centre": "recife-a",
             "seeds": {
-                "ip": at.ip(),
-                "peer_port": at.port(),
-                "control": [at],
+                "ip": address.ip(),
+                "peer_port": address.port(),
+                "control": [address],
                 "first_start": true,
             },
             "control": {
@@ -215,14 +217,14 @@
     /// Writes the settings of a router.
     pub fn router_settings(&self, i: usize) -> Result<PathBuf> {
         let name = format!("router-{i}");
-        let mut settings = self.common(&name, i);
-        let at = self.routers[i];
+        let mut settings = self.common_settings(&name, i);
+        let addresses = self.routers[i];
         settings["router"] = serde_json::json!({
-            "callers": at.callers,
-            "peers": at.peers,
-            "admin": at.admin,
-            "routes": at.routes,
-            "ready": at.ready,
+            "callers": addresses.callers,
+            "peers": addresses.peers,
+            "admin": addresses.admin,
+            "routes": addresses.routes,
+            "ready": addresses.ready,
             "accelerators": { "fake": "50us" },
             "repeats": { "share": self.repeats.0, "beyond": self.repeats.1, "window": "10s" },
         });
--- a/crates/deckwind-testkit/src/lib.rs
+++ b/crates/deckwind-testkit/src/lib.rs
@@ -1,8 +1,7 @@
-//! Builders for tests, the quick start and measurements.
+//! Test support: builders and small clusters for tests, the quick start and measurements.
 //!
-//! For: a small cluster of real daemons on loopback, with fakes behind it, in
-//! one process ([`Cluster`]) or as processes ([`Processes`]). Not for:
-//! production.
+//! Starts real daemons on loopback with fake targets, in one process ([`Cluster`]) or as
+//! separate processes ([`Processes`]). Not for use in production.
 
 pub mod at_size;
 mod caller;
@@ -13,11 +12,11 @@
 mod lab_net;
 mod lab_routers;
 mod layout;
-mod made_up_fleet;
 mod objects;
 pub mod placing;
 mod processes;
 pub mod soak;
+mod synthetic_fleet;
 mod vm_time;
 mod wait;
 
@@ -25,7 +24,7 @@
 pub use cluster::Cluster;
 pub use lab::{Lab, NetFaults};
 pub use lab_routers::{HELD_BYTES, LabRouter};
-pub use layout::{Layout, Placement};
+pub use layout::{Layout, RouterAddresses};
 pub use objects::{account, chat_template, engine_target, service_target, service_template};
 pub use processes::{Process, Processes};
 pub use vm_time::VmTime;
--- a/crates/deckwind-testkit/src/objects.rs
+++ b/crates/deckwind-testkit/src/objects.rs
@@ -10,7 +10,7 @@
 /// Model of all fake engines.
 pub const MODEL: &str = "fake-model";
 
-/// Its version.
+/// Version of that model.
 pub const VERSION: &str = "1";
 
 /// A chat template over a model of `layers` layers.
@@ -59,7 +59,7 @@
     }
 }
 
-/// An engine at an address that holds layers `first..last`.
+/// An engine that holds layers `first..last`.
 pub fn engine_target(name: &str, address: SocketAddr, first: u32, last: u32) -> Target {
     Target {
         name: name.into(),
@@ -78,7 +78,7 @@
     }
 }
 
-/// A plain service at an address.
+/// A plain service that serves a template.
 pub fn service_target(name: &str, address: SocketAddr, template: &str) -> Target {
     Target {
         name: name.into(),
--- a/crates/deckwind-testkit/src/placing.rs
+++ b/crates/deckwind-testkit/src/placing.rs
@@ -1,8 +1,8 @@
-//! Layers on engines in virtual time, without a network: the leader's desk looks
-//! each 100 ms, loads take as long as they do, engines die and come back empty.
+//! Simulation of layer placement in virtual time, without a network: the leader plans
+//! every 100 ms, loads take their usual time, and engines crash and come back empty.
 //!
-//! A path needs a range for each layer, so what a data centre carries is bounded
-//! by the layer whose engines keep fewest tokens: the narrowest.
+//! A path needs a range for each layer, so the capacity of a data centre is bounded by
+//! the layer with the smallest token capacity: the narrowest one.
 
 use deckwind_core::control::{PlaceOrder, PlacementDesk};
 use deckwind_core::routing::placement::{common, tokens_beside};
@@ -14,13 +14,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Between two looks of the leader.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval between two runs of the leader's planner.
+const PLANNING_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The pool of all engines.
 const POOL: &str = "engines";
 
-/// Accelerators: name, memory in MB, how many times slower a step is.
+/// Kinds of accelerators: name, memory in MB, and step time relative to the reference.
 pub const KINDS: [(&str, f64, f64); 5] = [
     ("large", 72_000.0, 2.4),
     ("half", 36_000.0, 3.1),
@@ -29,8 +29,8 @@
     ("weak", 14_400.0, 15.0),
 ];
 
-/// A model of 80 layers over accelerators of these kinds: name, memory in MB, how
-/// many times slower a step and reading are than on the reference.
+/// A model of 80 layers over these kinds of accelerators: name, memory in MB, and time of
+/// a step and of reading prompts relative to the reference.
 pub fn model_over(kinds: &[(&str, f64, f64)]) -> EngineModel {
     let kind = |(name, memory_mb, step_factor): &(&str, f64, f64)| AcceleratorKind {
         name: name.to_string(),
@@ -53,10 +53,10 @@
     }
 }
 
-/// Engines of each kind in each data centre, in the order of [`KINDS`].
+/// Number of engines of each kind in each data centre, in the order of [`KINDS`].
 pub type Mix = [[usize; 5]];
 
-/// Engines by kind in three data centres.
+/// Fleets over three data centres, with their names.
 pub const MIXES: [(&str, &Mix); 4] = [
     (
         "93 engines, large small slow",
@@ -76,32 +76,32 @@
     ),
 ];
 
-/// Tokens that the engines of a layer keep.
+/// Token capacity of the engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Room {
-    /// At the narrowest layer of each data centre, summed over them.
+    /// Capacity at the narrowest layer of each data centre, summed over the data centres.
     pub narrowest: f64,
-    /// The same at the mean layer.
+    /// Mean capacity over the layers of each data centre, summed over the data centres.
     pub mean: f64,
-    /// Engines that hold nothing.
+    /// Number of engines that hold no layers.
     pub empty: usize,
 }
 
-/// Engines and the desk that places layers on them.
+/// Engines and the leader's placement of layers on them.
 #[derive(Clone)]
 pub struct Placing {
-    desk: PlacementDesk,
+    manager: PlacementDesk,
     machine: StateMachine,
     release: Release,
     now: Instant,
-    /// Orders that are being carried out, by when they end.
+    /// Orders in progress, by the time at which they end.
     loading: BTreeMap<(Instant, String), PlaceOrder>,
-    /// Orders given.
+    /// Number of orders given so far.
     pub orders: usize,
-    lives: usize,
+    incarnations: usize,
 }
 
-/// A model of 80 layers over the accelerators.
+/// A model of 80 layers over the accelerators of [`KINDS`].
 pub fn model() -> EngineModel {
     EngineModel {
         step_ms: 1.02,
@@ -110,7 +110,7 @@
 }
 
 impl Placing {
-    /// Empty engines that have just announced themselves.
+    /// Creates engines without layers that have just announced themselves.
     pub fn new(mix: &Mix) -> Self {
         let pool = Pool {
             name: POOL.to_string(),
@@ -123,28 +123,28 @@
             ..Release::default()
         };
         let mut placing = Self {
-            desk: PlacementDesk::default(),
+            manager: PlacementDesk::default(),
             machine: StateMachine::default(),
             release,
             now: Instant::from_millis(1_000),
             loading: BTreeMap::new(),
             orders: 0,
-            lives: 0,
+            incarnations: 0,
         };
         for (dc, counts) in mix.iter().enumerate() {
             for (kind, count) in counts.iter().enumerate() {
-                (0..*count).for_each(|_| placing.join(dc, kind));
+                (0..*count).for_each(|_| placing.add_engine(dc, kind));
             }
         }
         placing
     }
 
-    fn join(&mut self, dc: usize, kind: usize) {
-        self.lives += 1;
+    fn add_engine(&mut self, dc: usize, kind: usize) {
+        self.incarnations += 1;
         let instance = Instance {
-            id: format!("{dc}-{kind}-{}", self.lives),
+            id: format!("{dc}-{kind}-{}", self.incarnations),
             pool: POOL.to_string(),
-            address: ([127, 0, 0, 1], self.lives as u16).into(),
+            address: ([127, 0, 0, 1], self.incarnations as u16).into(),
             data_centre: format!("dc-{dc}").as_str().into(),
             slots: 192,
             state: InstanceState::Ready,
@@ -166,75 +166,76 @@
         self.machine.apply(Command { at_ms: 0, body });
     }
 
-    /// Engines as agreed.
+    /// The engines of the committed state.
     pub fn instances(&self) -> &Instances {
         self.machine.configuration().instances()
     }
 
-    /// Engines that are there, in the order of their ids.
+    /// Ids of the ready engines, in ascending order.
     pub fn ready(&self) -> Vec<String> {
         let ready = self.instances().iter();
         let ready = ready.filter(|i| i.state == InstanceState::Ready);
         ready.map(|i| i.id.clone()).collect()
     }
 
-    /// These engines die; the leader knows it at once.
+    /// Simulates the crash of engines; the leader is informed at once.
     pub fn lose(&mut self, ids: &BTreeSet<String>) {
         self.loading.retain(|(_, id), _| !ids.contains(id));
-        let gone = ids
+        let left = ids
             .iter()
             .map(|id| InstanceChange::Left(Life::from(id.as_str())));
-        self.apply(gone.collect());
+        self.apply(left.collect());
         for id in ids {
-            self.desk.ended(self.now, &Life::from(id.as_str()), false);
+            self.manager
+                .ended(self.now, &Life::from(id.as_str()), false);
         }
     }
 
-    /// Others of the same kinds come in their places, empty.
+    /// Replaces crashed engines by empty ones of the same kinds.
     pub fn replace(&mut self, ids: &BTreeSet<String>) {
         for id in ids {
             let mut parts = id.split('-').map(|p| p.parse().expect("a number"));
             let (dc, kind) = (parts.next(), parts.next());
-            self.join(dc.expect("a data centre"), kind.expect("a kind"));
+            self.add_engine(dc.expect("a data centre"), kind.expect("a kind"));
         }
     }
 
-    /// So many engines, taken evenly from all, are replaced one after the other;
-    /// the rooms of each look.
+    /// Replaces this number of engines, spread evenly over all, one after the other.
+    /// Returns the capacity after each run of the planner.
     pub fn replace_in_turn(&mut self, count: usize, gap: Duration) -> Vec<Room> {
         let all = self.ready();
-        let every = all.len().div_ceil(count.max(1)).max(1);
-        let mut rooms = Vec::new();
-        for id in all.iter().step_by(every) {
-            let one = BTreeSet::from([id.clone()]);
-            self.lose(&one);
-            rooms.extend(self.run_for(gap / 2));
-            self.replace(&one);
-            rooms.extend(self.run_for(gap / 2));
+        let stride = all.len().div_ceil(count.max(1)).max(1);
+        let mut capacities = Vec::new();
+        for id in all.iter().step_by(stride) {
+            let lost = BTreeSet::from([id.clone()]);
+            self.lose(&lost);
+            capacities.extend(self.run_for(gap / 2));
+            self.replace(&lost);
+            capacities.extend(self.run_for(gap / 2));
         }
-        rooms
+        capacities
     }
 
-    /// Lets time pass; the rooms of each look.
+    /// Advances the time; returns the capacity after each run of the planner.
     pub fn run_for(&mut self, time: Duration) -> Vec<Room> {
-        let until = self.now + time;
-        let mut rooms = Vec::new();
-        while self.now < until {
-            self.now = self.now + LOOK_EVERY;
-            self.end_orders();
-            self.look();
-            rooms.push(self.room());
+        let end = self.now + time;
+        let mut capacities = Vec::new();
+        while self.now < end {
+            self.now = self.now + PLANNING_INTERVAL;
+            self.complete_orders();
+            self.run_planner();
+            capacities.push(self.room());
         }
-        rooms
+        capacities
     }
 
-    fn end_orders(&mut self) {
+    fn complete_orders(&mut self) {
         while let Some(entry) = self.loading.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
             let order = entry.remove();
-            self.desk.ended(self.now, &order.life(), true);
+            self.manager.ended(self.now, &order.life(), true);
             self.apply(vec![InstanceChange::Holds {
                 life: order.life(),
                 layers: order.layers,
@@ -243,45 +244,52 @@
         }
     }
 
-    fn look(&mut self) {
+    fn run_planner(&mut self) {
         let instances = self.instances().clone();
-        let work = self.desk.work(self.now, &self.release, &instances);
-        self.apply(work.changes);
-        let at_once = model().loads_at_once as usize;
-        for order in work.orders {
+        let step = self.manager.work(self.now, &self.release, &instances);
+        self.apply(step.changes);
+        let max_concurrent = model().loads_at_once as usize;
+        for order in step.orders {
             self.orders += 1;
             let layers = order.layers.len() - common(order.layers, order.believed).len();
             let share = f64::from(layers) / f64::from(model().layers);
-            let waits = (self.loading.len() + 1).div_ceil(at_once) as f64;
-            let takes = Duration::from_secs_f64(model().load_ms / 1e3 * share * waits);
-            let ends = self.now + takes.max(LOOK_EVERY);
-            self.loading.insert((ends, order.id.clone()), order);
+            let rounds = (self.loading.len() + 1).div_ceil(max_concurrent) as f64;
+            let duration = Duration::from_secs_f64(model().load_ms / 1e3 * share * rounds);
+            let end = self.now + duration.max(PLANNING_INTERVAL);
+            self.loading.insert((end, order.id.clone()), order);
         }
     }
 
-    /// Most tokens that the engines that are there could keep at every layer, in whole
-    /// chains of each data centre's own that keep as many each: however many layers an
-    /// engine holds, it keeps so many tokens of each. Paths across data centres and
-    /// chains that keep different numbers are not counted.
+    /// Maximum token capacity that the ready engines could reach at every layer. Counts
+    /// whole chains within a data centre whose engines all keep the same number of
+    /// tokens; an engine's token capacity is the same for each of the layers that it
+    /// holds. Paths across data centres and chains with unequal capacities aren't
+    /// counted.
     pub fn most_room(&self) -> f64 {
-        let mut by_centre: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
+        let mut by_data_centre: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         let ready = self.instances().iter();
         for i in ready.filter(|i| i.state == InstanceState::Ready) {
             let kind = KINDS.iter().find(|k| Some(k.0) == i.accelerator.as_deref());
             let memory_mb = kind.expect("a known kind").1;
-            let centre = i.data_centre.as_str();
-            by_centre.entry(centre).or_default().push(memory_mb);
+            let data_centre = i.data_centre.as_str();
+            by_data_centre
+                .entry(data_centre)
+                .or_default()
+                .push(memory_mb);
         }
-        by_centre.values().map(|cards| most_of_cards(cards)).sum()
+        by_data_centre
+            .values()
+            .map(|memories_mb| max_chain_tokens(memories_mb))
+            .sum()
     }
 
-    /// What the engines keep now.
+    /// The current token capacity.
     pub fn room(&self) -> Room {
-        let mut by_centre: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
+        let mut by_data_centre: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         let mut room = Room::default();
         let ready = self.instances().iter();
         for i in ready.filter(|i| i.state == InstanceState::Ready) {
-            let layers = by_centre
+            let layers = by_data_centre
                 .entry(i.data_centre.as_str())
                 .or_insert_with(|| vec![0.0; model().layers as usize]);
             if i.layers.is_empty() {
@@ -295,7 +303,7 @@
                 layers[layer as usize] += tokens;
             }
         }
-        for layers in by_centre.values() {
+        for layers in by_data_centre.values() {
             room.narrowest += layers.iter().copied().fold(f64::INFINITY, f64::min);
             room.mean += layers.iter().sum::<f64>() / layers.len() as f64;
         }
@@ -303,22 +311,23 @@
     }
 }
 
-/// Layers that a card can hold while it keeps so many tokens of each.
-fn most_layers(memory_mb: f64, tokens: f64) -> u32 {
+/// Maximum number of layers that an accelerator can hold while it keeps this number of
+/// tokens of each.
+fn max_layers(memory_mb: f64, tokens: f64) -> u32 {
     let model = model();
     let holds = |layers: &u32| tokens_beside(&model, memory_mb, *layers) >= tokens;
     (1..=model.layers).take_while(holds).last().unwrap_or(0)
 }
 
-/// Most tokens of all chains that these cards make, over all numbers of tokens that a
-/// chain may keep.
-fn most_of_cards(cards: &[f64]) -> f64 {
-    const STEP: u64 = 500;
+/// Maximum total tokens of the chains that these accelerators can form, over all numbers
+/// of tokens that a chain may keep.
+fn max_chain_tokens(memories_mb: &[f64]) -> f64 {
+    const TOKEN_STEP: u64 = 500;
     let model = model();
-    let of = |tokens: f64| {
-        let layers: u32 = cards.iter().map(|mb| most_layers(*mb, tokens)).sum();
+    let total_tokens = |tokens: f64| {
+        let layers: u32 = memories_mb.iter().map(|mb| max_layers(*mb, tokens)).sum();
         f64::from(layers / model.layers) * tokens
     };
-    let steps = (1..=model.max_tokens / STEP).map(|i| (i * STEP) as f64);
-    steps.map(of).fold(0.0, f64::max)
+    let steps = (1..=model.max_tokens / TOKEN_STEP).map(|i| (i * TOKEN_STEP) as f64);
+    steps.map(total_tokens).fold(0.0, f64::max)
 }
--- a/crates/deckwind-testkit/src/processes.rs
+++ b/crates/deckwind-testkit/src/processes.rs
@@ -1,4 +1,4 @@
-//! A cluster of separate processes, killed for real.
+//! A cluster of separate processes, which tests can kill.
 
 use crate::layout::Layout;
 use anyhow::{Context, Result, bail};
@@ -9,24 +9,25 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::sync::{Arc, Mutex};
 
-/// A child process; killed when it is dropped.
+/// A child process that is killed on drop.
 pub struct Process {
     child: Child,
-    /// Whether it has not been waited for: until then its id is nobody else's.
-    is_there: Arc<Mutex<bool>>,
+    /// Whether the process hasn't been waited for. Until then its id can't be reused, so
+    /// signals reach the right process.
+    is_unreaped: Arc<Mutex<bool>>,
 }
 
-/// Wakes a process that stands still, if it is still there.
-pub struct Wake {
+/// Handle that resumes a suspended process if it hasn't been waited for.
+pub struct ResumeHandle {
     id: u32,
-    is_there: Arc<Mutex<bool>>,
+    is_unreaped: Arc<Mutex<bool>>,
 }
 
-impl Wake {
-    /// Sends the signal.
-    pub fn send(&self) -> Result<()> {
-        let is_there = self.is_there.lock().expect("no holder panics");
-        match *is_there {
+impl ResumeHandle {
+    /// Sends SIGCONT.
+    pub fn resume(&self) -> Result<()> {
+        let is_unreaped = self.is_unreaped.lock().expect("no holder panics");
+        match *is_unreaped {
             true => signal(self.id, "CONT"),
             false => Ok(()),
         }
@@ -41,53 +42,57 @@
             .stdout(out)
             .stderr(log)
             .spawn()
-            .with_context(|| format!("{} can't be started", program.display()))?;
+            .with_context(|| format!("can't start {}", program.display()))?;
         Ok(Self {
             child,
-            is_there: Arc::new(Mutex::new(true)),
+            is_unreaped: Arc::new(Mutex::new(true)),
         })
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Kills it at once.
+    /// Kills the process (SIGKILL) and waits for its end.
     pub fn kill(mut self) {
-        self.end();
+        self.kill_and_wait();
     }
 
-    fn end(&mut self) {
-        let mut is_there = self.is_there.lock().expect("no holder panics");
-        *is_there = false;
+    fn kill_and_wait(&mut self) {
+        let mut is_unreaped = self.is_unreaped.lock().expect("no holder panics");
+        *is_unreaped = false;
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Asks it to stop (SIGTERM) and waits; answers with its exit code.
+    /// Asks the process to stop (SIGTERM) and waits for its end; returns its exit code.
     pub fn terminate(mut self) -> Result<Option<i32>> {
         self.signal("TERM")?;
         let status = self.child.wait()?;
-        *self.is_there.lock().expect("no holder panics") = false;
+        *self.is_unreaped.lock().expect("no holder panics") = false;
         Ok(status.code())
     }
 
-    /// What wakes it later.
-    pub fn wakes(&self) -> Wake {
-        Wake {
+    /// Returns a handle that can resume the process later.
+    pub fn resume_handle(&self) -> ResumeHandle {
+        ResumeHandle {
             id: self.id(),
-            is_there: self.is_there.clone(),
+            is_unreaped: self.is_unreaped.clone(),
         }
     }
 
-    /// Sends it a signal, by its name without `SIG`.
+    /// Sends a signal, named without `SIG`.
     pub fn signal(&self, name: &str) -> Result<()> {
         signal(self.id(), name)
     }
 
     fn first_line(&mut self) -> Result<String> {
-        let out = self.child.stdout.take().context("its output is taken")?;
+        let out = self
+            .child
+            .stdout
+            .take()
+            .context("the process's output was taken already")?;
         let mut line = String::new();
         BufReader::new(out).read_line(&mut line)?;
         Ok(line)
@@ -96,23 +101,23 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        self.end();
+        self.kill_and_wait();
     }
 }
 
-/// Sends a process that this one started a signal, by its name without `SIG`.
+/// Sends a signal, named without `SIG`, to a process that this one started.
 fn signal(id: u32, name: &str) -> Result<()> {
     let id = id.to_string();
     let status = Command::new("kill").args(["-s", name, &id]).status()?;
     if !status.success() {
-        bail!("process {id} can't be signalled");
+        bail!("can't send SIG{name} to process {id}");
     }
     Ok(())
 }
 
-/// Paths of the programs, and the cluster's folder.
+/// The programs and the folder of a cluster.
 pub struct Processes {
-    /// Addresses and settings.
+    /// Addresses and settings of the cluster.
     pub layout: Layout,
     daemon: PathBuf,
     cli: PathBuf,
@@ -120,7 +125,7 @@
 }
 
 impl Processes {
-    /// With the programs at these paths.
+    /// Uses the programs at these paths.
     pub fn new(layout: Layout, daemon: &str, cli: &str, fake: &str) -> Self {
         Self {
             layout,
@@ -130,24 +135,26 @@
         }
     }
 
-    /// Its log, which goes on when it is started again.
+    /// Opens a process's log for appending, so that it continues after a restart.
     fn log(&self, name: &str) -> Result<File> {
         let path = self.layout.folder().join(format!("{name}.log"));
         let file = File::options().create(true).append(true).open(path)?;
         Ok(file)
     }
 
-    /// Errors in the logs of all processes, each with the name of its log.
+    /// Returns the errors in the logs of all processes, each prefixed by the name of its
+    /// log.
     pub fn errors(&self) -> Result<Vec<String>> {
-        self.lines_if(|l| l.contains("rror: ") || l.contains("level=error"))
+        self.matching_lines(|l| l.contains("rror: ") || l.contains("level=error"))
     }
 
-    /// Lines of all processes with this text, each with the name of its log.
+    /// Returns the log lines of all processes that contain `text`, each prefixed by the
+    /// name of its log.
     pub fn lines(&self, text: &str) -> Result<Vec<String>> {
-        self.lines_if(|l| l.contains(text))
+        self.matching_lines(|l| l.contains(text))
     }
 
-    fn lines_if(&self, wanted: impl Fn(&str) -> bool) -> Result<Vec<String>> {
+    fn matching_lines(&self, matches: impl Fn(&str) -> bool) -> Result<Vec<String>> {
         let mut found = Vec::new();
         for entry in std::fs::read_dir(self.layout.folder())? {
             let path = entry?.path();
@@ -156,7 +163,7 @@
             }
             let name = path.file_stem().unwrap_or_default().display().to_string();
             let log = std::fs::read_to_string(&path)?;
-            let lines = log.lines().filter(|l| wanted(l));
+            let lines = log.lines().filter(|l| matches(l));
             found.extend(lines.map(|l| format!("{name}: {l}")));
         }
         Ok(found)
@@ -175,7 +182,7 @@
         self.start_daemon(&format!("control-{slot}"), settings)
     }
 
-    /// Starts the first control replica without a token for operators.
+    /// Starts the first control replica with seeds and without a token for operators.
     pub fn open_control(&self) -> Result<Process> {
         self.start_daemon("open", self.layout.open_control_settings()?)
     }
@@ -186,7 +193,7 @@
         self.start_daemon(&format!("router-{i}"), settings)
     }
 
-    /// Starts a fake, and answers with its address.
+    /// Starts a fake target and returns its address.
     pub fn fake(&self, name: &str, args: &[&str]) -> Result<(Process, SocketAddr)> {
         let mut all: Vec<String> = args.iter().map(ToString::to_string).collect();
         all.push("--listen=127.0.0.1:0".to_string());
@@ -195,18 +202,18 @@
         let address = line.trim().rsplit('=').next().unwrap_or_default().parse();
         Ok((
             process,
-            address.with_context(|| format!("{line:?} names no address"))?,
+            address.with_context(|| format!("no address in the first line of output: {line:?}"))?,
         ))
     }
 
-    /// Runs the operators' command line.
+    /// Runs the operators' command line with the token's file.
     pub fn cli(&self, args: &[&str]) -> Result<Output> {
         let token = self.layout.token_file().display().to_string();
         let args = [&["--token-file", token.as_str()], args].concat();
         self.cli_without_token(&args)
     }
 
-    /// Runs it without naming the token's file.
+    /// Runs the operators' command line without the token's file.
     pub fn cli_without_token(&self, args: &[&str]) -> Result<Output> {
         let mut command = Command::new(&self.cli);
         for admin in &self.layout.control_admin {
@@ -215,13 +222,13 @@
         Ok(command.args(args).output()?)
     }
 
-    /// Lets the daemon check a settings file.
+    /// Runs the daemon's check of a settings file.
     pub fn daemon_check(&self, file: &str) -> Result<Output> {
         let args = ["--settings", file, "--check"];
         Ok(Command::new(&self.daemon).args(args).output()?)
     }
 
-    /// Applies an object from a file that is written for it.
+    /// Writes an object to a file and applies it with the command line.
     pub fn apply(&self, kind: &str, object: &impl serde::Serialize) -> Result<Output> {
         let file = self.layout.folder().join(format!("{kind}.jsonc"));
         std::fs::write(&file, serde_json::to_string_pretty(object)?)?;
--- a/crates/deckwind-testkit/src/soak/calls.rs
+++ b/crates/deckwind-testkit/src/soak/calls.rs
@@ -1,7 +1,7 @@
-//! Calls of callers and operators, and what their answers must be.
+//! Requests of callers and operators, and checks of their answers.
 
+use super::environment::Target;
 use super::notices::{Spans, id_at};
-use super::world::Target;
 use bytes::Bytes;
 use deckwind_fakes::{ENDS_ITS_TARGET, EVENTS, FakeCall, release_document};
 use http::{Request, StatusCode};
@@ -16,46 +16,48 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Longest wait for one answer.
-const ANSWER_WITHIN: Duration = Duration::from_secs(5);
+/// Timeout of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The callers' key.
+/// API key of the callers.
 pub const KEY: &str = "a-key";
 
-/// Caller ids begin with this where a request must not run twice.
+/// Kind of requests that must run at most once; their ids begin with it.
 pub const ONCE: &str = "once";
 
-/// Ids of requests for much, whose callers read slowly.
+/// Kind of requests with large answers that the caller reads slowly; their ids begin with
+/// it.
 pub const FLOOD: &str = "flood";
 
-/// Ids of requests that end each target that runs them; all have one content.
-pub const ENDS: &str = "ends";
+/// Kind of requests that crash each target that runs them (poison requests); their ids
+/// begin with it, and all have the same content.
+pub const POISON: &str = "ends";
 
-/// Events and bytes of such an answer: more than sockets hold at the pace at which
-/// it is read.
+/// Number of events in a [`FLOOD`] answer and bytes of each: more than socket buffers
+/// hold at the pace at which the caller reads.
 const FLOOD_SIZE: (u64, usize) = (300, 8_000);
 
-/// Between two pieces that a slow caller reads.
+/// Pause after each piece that a slow caller reads.
 const READ_PAUSE: Duration = Duration::from_millis(2);
 
 type Http = Client<HttpConnector, Full<Bytes>>;
 
-/// What all tasks share.
+/// State shared by all tasks.
 pub struct Shared {
     pub http: Http,
     pub control: Vec<SocketAddr>,
     pub routers: Vec<SocketAddr>,
     pub targets: Mutex<Vec<Arc<Target>>>,
-    /// Highest version that was acknowledged.
+    /// Highest release version that was acknowledged.
     pub acknowledged: AtomicU64,
-    pub asked: AtomicU64,
+    pub requests: AtomicU64,
     pub served: AtomicU64,
     pub refused: AtomicU64,
-    /// Requests whose answer promised that they have not run.
+    /// Requests whose answers said that they were not run.
     pub not_run: Mutex<BTreeSet<String>>,
-    pub broken: Mutex<Vec<String>>,
-    /// When each router was.
-    pub disturbed: Vec<Spans>,
+    pub violations: Mutex<Vec<String>>,
+    /// Times at which each router was killed, stopped or suspended.
+    pub router_faults: Vec<Spans>,
     pub stop: AtomicBool,
 }
 
@@ -68,22 +70,22 @@
 
 impl Shared {
     pub fn next_id(&self) -> u64 {
-        self.asked.fetch_add(1, Ordering::Relaxed)
+        self.requests.fetch_add(1, Ordering::Relaxed)
     }
 
-    pub fn broken(&self) -> Vec<String> {
-        self.broken.lock().expect("no holder panics").clone()
+    pub fn violations(&self) -> Vec<String> {
+        self.violations.lock().expect("no holder panics").clone()
     }
 
-    pub fn note_broken(&self, what: String) {
-        self.broken.lock().expect("no holder panics").push(what);
+    pub fn record_violation(&self, what: String) {
+        self.violations.lock().expect("no holder panics").push(what);
     }
 
     async fn send(&self, req: Request<Full<Bytes>>) -> Option<(StatusCode, Option<Bytes>)> {
         self.send_and_read(req, Duration::ZERO).await
     }
 
-    /// Pauses after each piece that it reads.
+    /// Sends a request and reads the answer with a pause after each piece.
     async fn send_and_read(
         &self,
         req: Request<Full<Bytes>>,
@@ -94,11 +96,11 @@
             let status = res.status();
             Some((status, read(res.into_body(), pause).await))
         };
-        tokio::time::timeout(ANSWER_WITHIN, sending).await.ok()?
+        tokio::time::timeout(REQUEST_TIMEOUT, sending).await.ok()?
     }
 
-    /// Asks control replicas in turn until one answers with 200.
-    pub async fn call(&self, method: &str, path: &str, body: &Value) -> Option<Bytes> {
+    /// Tries the replicas in turn until one answers with 200.
+    pub async fn call_control(&self, method: &str, path: &str, body: &Value) -> Option<Bytes> {
         for address in &self.control {
             let req = Request::builder()
                 .method(method)
@@ -114,19 +116,21 @@
 
     pub async fn publish(&self, version: u64) {
         let document = release_document(version, &[KEY]);
-        let put = self.call("POST", "/v1/config/put", &document).await;
+        let put = self.call_control("POST", "/v1/config/put", &document).await;
         if put.is_some() {
             self.acknowledged.fetch_max(version, Ordering::Relaxed);
         }
     }
 
-    pub async fn read(&self) -> Option<u64> {
-        let read = self.call("GET", "/v1/config/get", &Value::Null).await?;
+    pub async fn read_version(&self) -> Option<u64> {
+        let read = self
+            .call_control("GET", "/v1/config/get", &Value::Null)
+            .await?;
         let read: Value = serde_json::from_slice(&read).ok()?;
         read["version"].as_u64()
     }
 
-    pub async fn ask(&self, kind: &str, id: &str, router: usize) -> Outcome {
+    pub async fn request(&self, kind: &str, id: &str, router: usize) -> Outcome {
         let router = router % self.routers.len();
         let address = self.routers[router];
         let id = &id_at(id, router);
@@ -135,14 +139,14 @@
                 format!("/stream/flood-{}-{}", FLOOD_SIZE.0, FLOOD_SIZE.1),
                 READ_PAUSE,
             ),
-            ENDS => (format!("/stream{ENDS_ITS_TARGET}"), Duration::ZERO),
+            POISON => (format!("/stream{ENDS_ITS_TARGET}"), Duration::ZERO),
             _ => (format!("/{kind}/x"), Duration::ZERO),
         };
         let call = FakeCall {
             id,
             path: &path,
             key: KEY,
-            generation: matches!(kind, "stream" | FLOOD | ENDS),
+            generation: matches!(kind, "stream" | FLOOD | POISON),
             last_event: None,
         };
         let Ok(req) = call.request(address) else {
@@ -151,20 +155,26 @@
         let Some((status, body)) = self.send_and_read(req, pause).await else {
             return Outcome::Unknown;
         };
-        self.judge(kind, id, status, body)
+        self.check_answer(kind, id, status, body)
     }
 
-    fn judge(&self, kind: &str, id: &str, status: StatusCode, body: Option<Bytes>) -> Outcome {
+    fn check_answer(
+        &self,
+        kind: &str,
+        id: &str,
+        status: StatusCode,
+        body: Option<Bytes>,
+    ) -> Outcome {
         match (status.as_u16(), body) {
             (200, Some(body)) => {
-                let want = match kind {
-                    "stream" => whole_stream(),
-                    FLOOD => flood(),
+                let expected = match kind {
+                    "stream" => stream_body(),
+                    FLOOD => flood_body(),
                     _ => format!("answer to {id}"),
                 };
-                if body != want.as_bytes() {
+                if body != expected.as_bytes() {
                     let body = String::from_utf8_lossy(&body[..body.len().min(1_000)]);
-                    self.note_broken(format!("{id} was answered with {body:?}"));
+                    self.record_violation(format!("{id} has an unexpected answer: {body:?}"));
                 }
                 self.served.fetch_add(1, Ordering::Relaxed);
                 Outcome::Served
@@ -176,7 +186,7 @@
                 Outcome::Refused
             }
             (401 | 404, _) => {
-                self.note_broken(format!("{id} was denied with {status}"));
+                self.record_violation(format!("{id} was refused with {status}"));
                 Outcome::Refused
             }
             _ => Outcome::Unknown,
@@ -184,26 +194,26 @@
     }
 }
 
-fn whole_stream() -> String {
+fn stream_body() -> String {
     let event = |i| format!("id: {i}\ndata: token {i}\n\n");
     (1..=EVENTS).map(event).collect()
 }
 
-fn flood() -> String {
+fn flood_body() -> String {
     let text = "x".repeat(FLOOD_SIZE.1);
     let event = |i| format!("id: {i}\ndata: {text}\n\n");
     (1..=FLOOD_SIZE.0).map(event).collect()
 }
 
 async fn read(mut body: Incoming, pause: Duration) -> Option<Bytes> {
-    let mut whole = Vec::new();
+    let mut body_bytes = Vec::new();
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame.ok()?.into_data() {
-            whole.extend_from_slice(&data);
+            body_bytes.extend_from_slice(&data);
         }
         if !pause.is_zero() {
             tokio::time::sleep(pause).await;
         }
     }
-    Some(whole.into())
+    Some(body_bytes.into())
 }
--- a/crates/deckwind-testkit/src/soak/limits.rs
+++ b/crates/deckwind-testkit/src/soak/limits.rs
@@ -1,38 +1,46 @@
-//! What routers do about the limits that targets name: all of them together keep to them.
+//! Checks that all routers together keep to the rate limits that targets announce.
 
 use super::notices::{Spans, router_of};
 use anyhow::{Result, ensure};
 use deckwind_fakes::Arrival;
 use std::time::Duration;
 
-/// Limits that targets name, requests a second.
+/// Rate limits that targets announce, in requests per second.
 pub(super) const LIMITS: [&str; 5] = ["0", "0.5", "2", "5.9", "20"];
 
-/// Spans of this length are looked at.
+/// Length of the spans in which requests are counted.
 const SPAN: Duration = Duration::from_secs(4);
 
-/// Of what a limit allows in a span so much may come, and [`MORE`] requests.
-const PART: f64 = 1.5;
-const MORE: f64 = 5.0;
+/// Requests allowed in a span: this multiple of what the limit allows, and
+/// [`TOLERANCE_REQUESTS`] more.
+const TOLERANCE_FACTOR: f64 = 1.5;
+const TOLERANCE_REQUESTS: f64 = 5.0;
 
-/// A request that was under way when the target spoke arrives within this time.
-const UNDER_WAY: Duration = Duration::from_millis(500);
+/// Time within which requests arrive that were in flight when the target answered.
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
-/// Checks what one target was sent. `routers` are the times at which each router was
-/// killed, stopped or stood still, `harmed` those at which the target's connections were:
-/// the router need not know then what it had been told.
-pub fn check_limits(arrivals: &[Arrival], routers: &[Spans], harmed: &Spans) -> Result<()> {
-    let counts = |a: &&Arrival| a.limit.is_some() && was_told(a, arrivals, routers, harmed);
-    let counted: Vec<&Arrival> = arrivals.iter().filter(counts).collect();
+/// Checks the arrivals at one target. `router_faults` holds the times at which each
+/// router was killed, stopped or suspended, `connection_faults` those at which the
+/// target's connections were disturbed: a router may have missed a limit that was
+/// announced then.
+pub fn check_limits(
+    arrivals: &[Arrival],
+    router_faults: &[Spans],
+    connection_faults: &Spans,
+) -> Result<()> {
+    let is_counted = |a: &&Arrival| {
+        a.limit.is_some() && knew_limit(a, arrivals, router_faults, connection_faults)
+    };
+    let counted: Vec<&Arrival> = arrivals.iter().filter(is_counted).collect();
     for (i, first) in counted.iter().enumerate() {
         let in_span = |a: &&&Arrival| a.at - first.at < SPAN;
         let span: Vec<&&Arrival> = counted[i..].iter().take_while(in_span).collect();
         let limits = span.iter().filter_map(|a| a.limit);
         let highest = limits.fold(0.0, f64::max);
-        let allowed = PART * highest * SPAN.as_secs_f64() + MORE;
+        let allowed = TOLERANCE_FACTOR * highest * SPAN.as_secs_f64() + TOLERANCE_REQUESTS;
         ensure!(
             span.len() as f64 <= allowed,
-            "{} requests in {SPAN:?} from VMs that were told of {highest} a second, allowed {allowed}: {:?}",
+            "{} requests in {SPAN:?} from routers that knew the limit of {highest} per second, allowed are {allowed}: {:?}",
             span.len(),
             span.iter()
                 .map(|a| (&a.request, a.at - first.at))
@@ -42,20 +50,26 @@
     Ok(())
 }
 
-/// Whether a request is from a router that had passed on an answer that named a limit,
-/// with none later that named none.
-fn was_told(request: &Arrival, arrivals: &[Arrival], routers: &[Spans], harmed: &Spans) -> bool {
+/// Whether the request's router had received an answer with a limit, and none without a
+/// limit after it.
+fn knew_limit(
+    request: &Arrival,
+    arrivals: &[Arrival],
+    router_faults: &[Spans],
+    connection_faults: &Spans,
+) -> bool {
     let Some(router) = router_of(&request.request) else {
         return false;
     };
     let before = |a: &&Arrival| {
-        let known = request.at.saturating_duration_since(a.at) >= UNDER_WAY;
+        let known = request.at.saturating_duration_since(a.at) >= IN_FLIGHT_TIME;
         known && router_of(&a.request) == Some(router)
     };
-    let Some(told) = arrivals.iter().rev().find(before) else {
+    let Some(last_answer) = arrivals.iter().rev().find(before) else {
         return false;
     };
-    let (from, to) = (told.at.into_std(), request.at.into_std());
-    let excused = routers[router].meet(from, to) || harmed.meet(from, to);
-    told.limit.is_some() && !excused
+    let (from, to) = (last_answer.at.into_std(), request.at.into_std());
+    let may_have_missed =
+        router_faults[router].overlaps(from, to) || connection_faults.overlaps(from, to);
+    last_answer.limit.is_some() && !may_have_missed
 }
--- a/crates/deckwind-testkit/src/soak/mod.rs
+++ b/crates/deckwind-testkit/src/soak/mod.rs
@@ -1,65 +1,65 @@
-//! A randomized soak of the real programs, as separate processes: signals and a
-//! harmful proxy from outside, and the promises checked from what callers,
-//! operators and targets see.
+//! Randomized soak test of the real programs as separate processes: faults are injected
+//! by signals and a fault-injecting proxy, and guarantees are checked by what callers,
+//! operators and targets observe.
 //!
-//! For: finding what seeded schedules in virtual time can't. Not for: figures.
-//! A run repeats its faults by its seed, not its schedule.
+//! It is for faults that seeded schedules in virtual time can't reveal, not for
+//! measurements. A seed reproduces the faults of a run, but not its schedule.
 
 mod calls;
+mod environment;
 mod limits;
 mod notices;
 mod proxy;
-mod world;
 
 pub use limits::check_limits;
 pub use notices::{Spans, id_at};
-pub use proxy::{Harm, Proxy};
+pub use proxy::{Proxy, ProxyFault};
 
 use crate::processes::{Process, Processes};
 use anyhow::{Result, ensure};
+use environment::Environment;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::{Duration, Instant};
-use world::World;
 
-/// Replicas and routers.
-const CONTROL: usize = 3;
-const ROUTERS: usize = 2;
+/// Number of control replicas and of routers.
+const REPLICA_COUNT: usize = 3;
+const ROUTER_COUNT: usize = 2;
 
-/// Longest time after the last fault until everything is served again: an
-/// election, leases, the longest time a target is avoided, and restarts.
-const RECOVER_WITHIN: Duration = Duration::from_secs(20);
+/// Longest time from the last fault until everything is served again: an election,
+/// leases, the longest time that a target is avoided, and restarts.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What a VM is suspended at a time: longer than a lease.
-pub const SUSPENDED_FOR: Duration = Duration::from_secs(4);
+/// Time that a simulated suspension of a VM adds to its clock: longer than a lease.
+pub const SUSPENSION_TIME: Duration = Duration::from_secs(4);
 
-/// Beside how many faults a target turns all away.
-const TURNS_AWAY: f64 = 0.4;
+/// Probability that a fault comes with a target that refuses all requests for a while.
+const REFUSAL_PROBABILITY: f64 = 0.4;
 
-/// Part of the faults beside which a target names a limit for a while.
-const NAMES_LIMIT: f64 = 0.5;
+/// Probability that a fault comes with a target that announces a rate limit for a while.
+const LIMIT_PROBABILITY: f64 = 0.5;
 
-/// What one run saw.
+/// Results of one run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Seen {
-    /// Requests.
+    /// Number of requests.
     pub asked: u64,
-    /// Whole answers.
+    /// Number of complete answers.
     pub served: u64,
-    /// Refusals that say "not run".
+    /// Number of requests refused without being run.
     pub refused: u64,
-    /// Releases that were acknowledged.
+    /// Highest release version that was acknowledged.
     pub released: u64,
-    /// Faults.
+    /// Number of injected faults.
     pub faults: u64,
 }
 
-/// How a process ends.
+/// How a process is ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum End {
-    /// SIGKILL.
+enum StopKind {
+    /// Sends SIGKILL.
     Kill,
-    /// SIGTERM; waits until it is gone.
+    /// Sends SIGTERM and waits for the exit.
     Terminate,
 }
 
@@ -67,32 +67,38 @@
     processes: Processes,
     control: Vec<Option<Process>>,
     routers: Vec<Option<Process>>,
-    world: World,
+    environment: Environment,
     rng: ChaCha8Rng,
-    /// Draws for targets that turn all away, so that seeds draw the other faults as
-    /// they did before there were such.
-    words: ChaCha8Rng,
-    /// The same for targets that name limits.
-    limits: ChaCha8Rng,
+    /// Generator for targets that refuse all requests. It is separate so that each seed
+    /// still draws the same other faults as before these were added.
+    refusal_rng: ChaCha8Rng,
+    /// Generator for targets that announce rate limits, separate for the same reason.
+    limit_rng: ChaCha8Rng,
     faults: u64,
 }
 
-/// Runs one seed for so long; an error names the promise that was broken.
+/// Runs one seed for `length`.
+///
+/// # Errors
+///
+/// Fails if a guarantee was violated, and names it.
 pub async fn run(processes: Processes, seed: u64, length: Duration) -> Result<Seen> {
     let mut soak = Soak::start(processes, seed).await?;
-    soak.world.until_served(RECOVER_WITHIN).await?;
-    let work = soak.world.work();
+    soak.environment.wait_until_served(RECOVERY_TIMEOUT).await?;
+    let workload = soak.environment.start_workload();
     let end = Instant::now() + length;
     while Instant::now() < end {
-        soak.fault().await?;
+        soak.inject_fault().await?;
         let pause = soak.rng.random_range(50..1_200);
         tokio::time::sleep(Duration::from_millis(pause)).await;
     }
     soak.heal()?;
-    soak.world.until_served(RECOVER_WITHIN).await?;
-    work.stop().await;
-    soak.world.check_ends(RECOVER_WITHIN).await?;
-    let seen = soak.world.check(RECOVER_WITHIN).await?;
+    soak.environment.wait_until_served(RECOVERY_TIMEOUT).await?;
+    workload.stop().await;
+    soak.environment
+        .check_poison_requests(RECOVERY_TIMEOUT)
+        .await?;
+    let seen = soak.environment.check(RECOVERY_TIMEOUT).await?;
     soak.close()?;
     Ok(Seen {
         faults: soak.faults,
@@ -102,87 +108,87 @@
 
 impl Soak {
     async fn start(processes: Processes, seed: u64) -> Result<Self> {
-        let control = (0..CONTROL).map(|i| processes.control(i).map(Some));
+        let control = (0..REPLICA_COUNT).map(|i| processes.control(i).map(Some));
         let control = control.collect::<Result<Vec<_>>>()?;
-        let routers = (0..ROUTERS).map(|i| processes.router(i).map(Some));
+        let routers = (0..ROUTER_COUNT).map(|i| processes.router(i).map(Some));
         let routers = routers.collect::<Result<Vec<_>>>()?;
-        let world = World::start(&processes.layout, seed).await?;
+        let environment = Environment::start(&processes.layout, seed).await?;
         Ok(Self {
             processes,
             control,
             routers,
-            world,
+            environment,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            words: ChaCha8Rng::seed_from_u64(!seed),
-            limits: ChaCha8Rng::seed_from_u64(seed.rotate_left(32)),
+            refusal_rng: ChaCha8Rng::seed_from_u64(!seed),
+            limit_rng: ChaCha8Rng::seed_from_u64(seed.rotate_left(32)),
             faults: 0,
         })
     }
 
-    /// One fault. Kills and stops come to one replica at a time, so that most of
-    /// the run has a majority; pauses may overlap with them.
-    async fn fault(&mut self) -> Result<()> {
+    /// Injects one fault. At most one replica at a time is killed or stopped, so that
+    /// there is a majority for most of the run; pauses may overlap with that.
+    async fn inject_fault(&mut self) -> Result<()> {
         self.faults += 1;
-        if self.words.random_bool(TURNS_AWAY) {
-            let ms = Duration::from_millis(self.words.random_range(200..2_500));
-            self.world.turn_away_some(&mut self.words, ms);
+        if self.refusal_rng.random_bool(REFUSAL_PROBABILITY) {
+            let ms = Duration::from_millis(self.refusal_rng.random_range(200..2_500));
+            self.environment.refuse_requests(&mut self.refusal_rng, ms);
         }
-        if self.limits.random_bool(NAMES_LIMIT) {
-            let ms = Duration::from_millis(self.limits.random_range(1_000..6_000));
-            self.world.limit_some(&mut self.limits, ms);
+        if self.limit_rng.random_bool(LIMIT_PROBABILITY) {
+            let ms = Duration::from_millis(self.limit_rng.random_range(1_000..6_000));
+            self.environment.announce_limits(&mut self.limit_rng, ms);
         }
         let ms = Duration::from_millis(self.rng.random_range(50..2_500));
         match self.rng.random_range(0..10) {
-            0 => self.restart_control(End::Kill, ms).await,
-            1 => self.restart_control(End::Terminate, ms).await,
-            2 => self.restart_router(End::Kill, ms).await,
-            3 => self.restart_router(End::Terminate, ms).await,
+            0 => self.restart_control(StopKind::Kill, ms).await,
+            1 => self.restart_control(StopKind::Terminate, ms).await,
+            2 => self.restart_router(StopKind::Kill, ms).await,
+            3 => self.restart_router(StopKind::Terminate, ms).await,
             4 => self.pause(ms, false).await,
             9 => self.pause(ms, true).await,
             5 => {
-                self.world.harm_some(&mut self.rng, ms);
+                self.environment.disturb_connections(&mut self.rng, ms);
                 Ok(())
             }
             6 => {
-                self.world.harm_some(&mut self.rng, ms);
-                self.world.harm_some(&mut self.rng, ms / 2);
+                self.environment.disturb_connections(&mut self.rng, ms);
+                self.environment.disturb_connections(&mut self.rng, ms / 2);
                 Ok(())
             }
-            7 => self.world.replace_some(&mut self.rng).await,
+            7 => self.environment.replace_target(&mut self.rng).await,
             _ => {
-                self.world.start_some_again(&mut self.rng);
+                self.environment.restart_target(&mut self.rng);
                 Ok(())
             }
         }
     }
 
-    async fn restart_control(&mut self, how: End, down: Duration) -> Result<()> {
-        let i = self.rng.random_range(0..CONTROL);
+    async fn restart_control(&mut self, how: StopKind, down: Duration) -> Result<()> {
+        let i = self.rng.random_range(0..REPLICA_COUNT);
         if let Some(process) = self.control[i].take() {
-            end(process, how).await?;
+            stop_process(process, how).await?;
         }
         tokio::time::sleep(down / 2).await;
         self.control[i] = Some(self.processes.control(i)?);
         Ok(())
     }
 
-    async fn restart_router(&mut self, how: End, down: Duration) -> Result<()> {
-        let i = self.rng.random_range(0..ROUTERS);
-        self.world.router_was_disturbed(i);
+    async fn restart_router(&mut self, how: StopKind, down: Duration) -> Result<()> {
+        let i = self.rng.random_range(0..ROUTER_COUNT);
+        self.environment.record_router_fault(i);
         if let Some(process) = self.routers[i].take() {
-            end(process, how).await?;
+            stop_process(process, how).await?;
         }
         tokio::time::sleep(down / 2).await;
-        // The next process knows nothing of what the last one was told while it stopped.
-        self.world.router_was_disturbed(i);
+        // The new process knows nothing that the old one received while it stopped.
+        self.environment.record_router_fault(i);
         self.routers[i] = Some(self.processes.router(i)?);
         Ok(())
     }
 
-    /// A process stands still and wakes again. A suspended VM's timers have not gone
-    /// on meanwhile.
+    /// Suspends a process for `ms` and resumes it. With `suspended`, its clock also
+    /// advances without its timers, as when a VM is suspended.
     async fn pause(&mut self, ms: Duration, suspended: bool) -> Result<()> {
-        let i = self.rng.random_range(0..CONTROL + ROUTERS);
+        let i = self.rng.random_range(0..REPLICA_COUNT + ROUTER_COUNT);
         let all = self.control.iter().chain(&self.routers);
         let Some(Some(process)) = all.into_iter().nth(i) else {
             return Ok(());
@@ -192,16 +198,19 @@
         if suspended {
             process.signal("USR1")?;
         }
-        if let Some(router) = i.checked_sub(CONTROL) {
-            self.world.router_was_disturbed(router);
+        if let Some(router) = i.checked_sub(REPLICA_COUNT) {
+            self.environment.record_router_fault(router);
         }
         process.signal("CONT")
     }
 
     fn heal(&mut self) -> Result<()> {
-        self.world.heal();
+        self.environment.heal();
         let all = self.control.iter().chain(&self.routers);
-        ensure!(all.flatten().count() == CONTROL + ROUTERS, "all run again");
+        ensure!(
+            all.flatten().count() == REPLICA_COUNT + ROUTER_COUNT,
+            "not all processes run"
+        );
         Ok(())
     }
 
@@ -211,22 +220,25 @@
             let errors = self.processes.errors()?;
             ensure!(
                 code == Some(Some(0)),
-                "a planned stop ends with {code:?}: {errors:?}"
+                "a planned stop ended with exit code {code:?}: {errors:?}"
             );
         }
         Ok(())
     }
 }
 
-async fn end(process: Process, how: End) -> Result<()> {
-    let ended = tokio::task::spawn_blocking(move || match how {
-        End::Kill => {
+async fn stop_process(process: Process, how: StopKind) -> Result<()> {
+    let stopped = tokio::task::spawn_blocking(move || match how {
+        StopKind::Kill => {
             process.kill();
             Ok(Some(0))
         }
-        End::Terminate => process.terminate(),
+        StopKind::Terminate => process.terminate(),
     });
-    let code = ended.await??;
-    ensure!(code == Some(0), "a planned stop ends with {code:?}");
+    let code = stopped.await??;
+    ensure!(
+        code == Some(0),
+        "a planned stop ended with exit code {code:?}"
+    );
     Ok(())
 }
--- a/crates/deckwind-testkit/src/soak/notices.rs
+++ b/crates/deckwind-testkit/src/soak/notices.rs
@@ -1,49 +1,52 @@
-//! What routers do about the word of targets: those that ask for it are left alone,
-//! those that say that they leave are sent nothing new.
+//! Checks that routers send nothing to targets in their rest periods, and nothing new to
+//! targets that announced that they leave.
 
 use anyhow::{Result, ensure};
 use deckwind_fakes::Arrival;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// How long a target asks to be left alone with each refusal: longer than the longest
-/// time for which a router would avoid it by itself.
-pub const REST: Duration = Duration::from_secs(5);
+/// Rest period that a target asks for with each refusal: longer than the longest time for
+/// which a router avoids a target by itself.
+pub const REST_PERIOD: Duration = Duration::from_secs(5);
 
-/// A request that was under way when the target spoke arrives within this time.
-const UNDER_WAY: Duration = Duration::from_millis(500);
+/// Time within which requests arrive that were in flight when the target answered.
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(500);
 
-/// Requests that may come later in a rest; none may after the word of leaving.
-const IN_A_REST: usize = 2;
+/// Maximum number of requests that may arrive later in a rest period. After a target has
+/// announced that it leaves, none may.
+const MAX_DURING_REST: usize = 2;
 
-/// How much later than their harm ends requests may arrive that it held up.
-const HELD_UP: Duration = Duration::from_secs(2);
+/// Longest time after the end of a connection fault until requests arrive that it
+/// delayed.
+const MAX_DELAY: Duration = Duration::from_secs(2);
 
-/// Spans of time in which something was wrong.
+/// Spans of time in which a fault was active.
 #[derive(Default)]
 pub struct Spans(Mutex<Vec<(Instant, Instant)>>);
 
 impl Spans {
-    /// From now on for so long, and as long after it as requests may be held up.
+    /// Adds a span that begins now, lasts for `length`, and ends later by the time for
+    /// which requests may be delayed.
     pub fn add(&self, length: Duration) {
         let now = Instant::now();
         let mut all = self.0.lock().expect("no holder panics");
-        all.push((now, now + length + HELD_UP));
+        all.push((now, now + length + MAX_DELAY));
     }
 
-    /// This moment, and nothing after it.
+    /// Adds the current moment, without time after it.
     pub fn add_now(&self) {
         let now = Instant::now();
         self.0.lock().expect("no holder panics").push((now, now));
     }
 
-    pub(super) fn meet(&self, from: Instant, to: Instant) -> bool {
+    pub(super) fn overlaps(&self, from: Instant, to: Instant) -> bool {
         let all = self.0.lock().expect("no holder panics");
         all.iter().any(|(start, end)| *start <= to && *end >= from)
     }
 }
 
-/// The id of a request that is sent to this router.
+/// Returns the id of a request sent to this router, which ends with the router's number.
 pub fn id_at(id: &str, router: usize) -> String {
     format!("{id}@{router}")
 }
@@ -53,33 +56,42 @@
     router.parse().ok()
 }
 
-/// Checks what one target was sent. `routers` are the times at which each router was
-/// killed, stopped or stood still: it need not know what it had been told. `harmed` is
-/// when the target's connections were.
-pub fn check(arrivals: &[Arrival], routers: &[Spans], harmed: &Spans) -> Result<()> {
-    for told in arrivals {
-        let Some(router) = router_of(&told.request) else {
+/// Checks the arrivals at one target. `router_faults` holds the times at which each
+/// router was killed, stopped or suspended, `connection_faults` those at which the
+/// target's connections were disturbed: a router may have missed what the target
+/// announced then.
+pub fn check(
+    arrivals: &[Arrival],
+    router_faults: &[Spans],
+    connection_faults: &Spans,
+) -> Result<()> {
+    for notice in arrivals {
+        let Some(router) = router_of(&notice.request) else {
             continue;
         };
         let later = |a: &&Arrival, until: Option<Duration>| {
-            let since = a.at.saturating_duration_since(told.at);
-            let (from, to) = (told.at.into_std(), a.at.into_std());
-            let counts = since > UNDER_WAY && until.is_none_or(|u| since < u);
-            let excused = routers[router].meet(from, to) || harmed.meet(from, to);
-            counts && router_of(&a.request) == Some(router) && !excused
+            let since = a.at.saturating_duration_since(notice.at);
+            let (from, to) = (notice.at.into_std(), a.at.into_std());
+            let is_counted = since > IN_FLIGHT_TIME && until.is_none_or(|u| since < u);
+            let may_have_missed =
+                router_faults[router].overlaps(from, to) || connection_faults.overlaps(from, to);
+            is_counted && router_of(&a.request) == Some(router) && !may_have_missed
         };
-        let all_later = |until| {
+        let later_arrivals = |until| {
             let later = arrivals.iter().filter(|a| later(a, until));
-            let after = |a: &Arrival| (a.request.clone(), a.at - told.at);
+            let after = |a: &Arrival| (a.request.clone(), a.at - notice.at);
             later.map(after).collect::<Vec<_>>()
         };
-        if let Some(rest) = told.rest {
-            let sent = all_later(Some(rest));
-            ensure!(sent.len() <= IN_A_REST, "{told:?}, then {sent:?}");
+        if let Some(rest) = notice.rest {
+            let late = later_arrivals(Some(rest));
+            ensure!(
+                late.len() <= MAX_DURING_REST,
+                "{notice:?} was followed by {late:?}"
+            );
         }
-        if told.leaves {
-            let sent = all_later(None);
-            ensure!(sent.is_empty(), "{told:?}, then {sent:?}");
+        if notice.leaves {
+            let late = later_arrivals(None);
+            ensure!(late.is_empty(), "{notice:?} was followed by {late:?}");
         }
     }
     Ok(())
