--- a/crates/deckwind-testkit/src/soak/proxy.rs
+++ b/crates/deckwind-testkit/src/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy on loopback that harms what passes through it.
+//! A fault-injecting TCP proxy on loopback.
 
 use anyhow::Result;
 use std::net::SocketAddr;
@@ -9,80 +9,80 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What becomes of the bytes.
+/// Fault of the proxied connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Harm {
-    /// They pass.
+pub enum ProxyFault {
+    /// Bytes pass unchanged.
     None,
-    /// They pass later, each piece for itself.
+    /// Each piece is delayed by this time.
     Delayed(Duration),
-    /// They pass in small pieces with pauses, as at a target that reads and writes
+    /// Bytes pass in small pieces with pauses, as with a target that reads and writes
     /// slowly.
     Slow,
-    /// Those to the target pass; its answers wait.
+    /// Bytes to the target pass; its answers wait.
     OneWay,
-    /// None pass, and nobody is told; new connections hang too.
+    /// No bytes pass and connections stay open; new connections hang too.
     Silent,
-    /// Connections are closed, and new ones at once.
+    /// Connections are closed, and new ones are closed at once.
     Reset,
 }
 
-/// Size of a piece and the pause after it, for [`Harm::Slow`].
+/// Size of a piece and pause after it, for [`ProxyFault::Slow`].
 const SLOW: (usize, Duration) = (2_048, Duration::from_millis(2));
 
 /// A proxy in front of one target.
 pub struct Proxy {
-    /// Where it listens.
+    /// The address that the proxy listens on.
     pub address: SocketAddr,
-    harm: watch::Sender<Harm>,
+    fault: watch::Sender<ProxyFault>,
 }
 
 impl Proxy {
-    /// Starts one in front of `target`.
+    /// Starts a proxy in front of `target`.
     pub async fn start(target: SocketAddr) -> Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (harm, rx) = watch::channel(Harm::None);
+        let (fault, rx) = watch::channel(ProxyFault::None);
         tokio::spawn(accept(listener, target, rx));
-        Ok(Self { address, harm })
+        Ok(Self { address, fault })
     }
 
-    /// Begins or ends a harm.
-    pub fn set(&self, harm: Harm) {
-        self.harm.send_replace(harm);
+    /// Begins a fault, or ends it with [`ProxyFault::None`].
+    pub fn set(&self, fault: ProxyFault) {
+        self.fault.send_replace(fault);
     }
 }
 
-async fn accept(listener: TcpListener, target: SocketAddr, harm: watch::Receiver<Harm>) {
+async fn accept(listener: TcpListener, target: SocketAddr, fault: watch::Receiver<ProxyFault>) {
     while let Ok((stream, _)) = listener.accept().await {
-        if *harm.borrow() == Harm::Reset {
+        if *fault.borrow() == ProxyFault::Reset {
             continue;
         }
-        let harm = harm.clone();
+        let fault = fault.clone();
         tokio::spawn(async move {
-            if let Ok(other) = TcpStream::connect(target).await {
-                join(stream, other, harm).await;
+            if let Ok(upstream) = TcpStream::connect(target).await {
+                forward(stream, upstream, fault).await;
             }
         });
     }
 }
 
-async fn join(caller: TcpStream, target: TcpStream, harm: watch::Receiver<Harm>) {
+async fn forward(caller: TcpStream, target: TcpStream, fault: watch::Receiver<ProxyFault>) {
     let (from_caller, to_caller) = caller.into_split();
     let (from_target, to_target) = target.into_split();
     let closed = Arc::new(tokio::sync::Notify::new());
-    let there = copy(from_caller, to_target, harm.clone(), false);
-    let back = copy(from_target, to_caller, harm.clone(), true);
+    let to_target_copy = copy(from_caller, to_target, fault.clone(), false);
+    let to_caller_copy = copy(from_target, to_caller, fault.clone(), true);
     let reset = async {
-        let mut harm = harm;
-        while *harm.borrow_and_update() != Harm::Reset {
-            if harm.changed().await.is_err() {
+        let mut fault = fault;
+        while *fault.borrow_and_update() != ProxyFault::Reset {
+            if fault.changed().await.is_err() {
                 closed.notified().await;
             }
         }
     };
     tokio::select! {
-        () = async { tokio::join!(there, back); } => {}
+        () = async { tokio::join!(to_target_copy, to_caller_copy); } => {}
         () = reset => {}
     }
 }
@@ -90,7 +90,7 @@
 async fn copy(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut harm: watch::Receiver<Harm>,
+    mut fault: watch::Receiver<ProxyFault>,
     is_answer: bool,
 ) {
     let mut buf = vec![0; 16 * 1024];
@@ -98,20 +98,21 @@
         if length == 0 {
             return;
         }
-        let stops = |h: &Harm| *h == Harm::Silent || (*h == Harm::OneWay && is_answer);
-        if harm.wait_for(|h| !stops(h)).await.is_err() {
+        let is_blocked =
+            |h: &ProxyFault| *h == ProxyFault::Silent || (*h == ProxyFault::OneWay && is_answer);
+        if fault.wait_for(|h| !is_blocked(h)).await.is_err() {
             return;
         }
-        let now = *harm.borrow();
-        if let Harm::Delayed(by) = now {
-            tokio::time::sleep(by).await;
+        let current = *fault.borrow();
+        if let ProxyFault::Delayed(delay) = current {
+            tokio::time::sleep(delay).await;
         }
-        let (piece, pause) = match now {
-            Harm::Slow => SLOW,
+        let (piece, pause) = match current {
+            ProxyFault::Slow => SLOW,
             _ => (buf.len(), Duration::ZERO),
         };
-        for part in buf[..length].chunks(piece) {
-            if to.write_all(part).await.is_err() {
+        for piece_bytes in buf[..length].chunks(piece) {
+            if to.write_all(piece_bytes).await.is_err() {
                 return;
             }
             tokio::time::sleep(pause).await;
--- a/crates/deckwind-testkit/src/made_up_fleet.rs
+++ b/crates/deckwind-testkit/src/synthetic_fleet.rs
@@ -1,4 +1,4 @@
-//! Releases and engines of made-up fleets, for runs in virtual time.
+//! Releases and engines of synthetic fleets, for runs in virtual time.
 
 use crate::placing::model_over;
 use deckwind_core::state::{
@@ -8,7 +8,7 @@
 /// The pool of all routes and engines.
 pub(crate) const POOL: &str = "p";
 
-/// A release with so many routes, of which one differs in every version.
+/// A release with this number of routes, one of which differs between versions.
 pub fn release(version: u64, routes: u64) -> Release {
     let route = |i: u64| Route {
         name: format!("route-{i}"),
@@ -38,8 +38,8 @@
     }
 }
 
-/// An engine that announces itself for the `announced`th time, with its first
-/// `layers` layers.
+/// An engine with its first `layers` layers; `announced` is the number of its
+/// announcement.
 pub fn engine(number: u16, layers: u32, announced: u64) -> Instance {
     Instance {
         id: format!("engine-{number}"),
@@ -56,8 +56,8 @@
     }
 }
 
-/// Kinds of accelerators: name, memory in MB, how many times slower a step is,
-/// and how many of a hundred engines have one.
+/// Kinds of accelerators: name, memory in MB, step time relative to the reference, and
+/// percentage of engines that have it.
 const KINDS: [(&str, f64, f64, usize); 3] = [
     ("large", 72_000.0, 2.4, 10),
     ("small", 14_400.0, 5.3, 52),
@@ -65,9 +65,9 @@
 ];
 
 /// Data centres of the fleet.
-pub(crate) const CENTRES: [&str; 3] = ["a", "b", "c"];
+pub(crate) const DATA_CENTRES: [&str; 3] = ["a", "b", "c"];
 
-/// A release whose pool is one of engines of three kinds that hold 80 layers.
+/// A release with one pool of engines of three kinds, for a model of 80 layers.
 pub fn engine_release(version: u64, routes: u64) -> Release {
     let kinds = KINDS.map(|(name, memory_mb, step_factor, _)| (name, memory_mb, step_factor));
     let mut release = release(version, routes);
@@ -75,20 +75,20 @@
     release
 }
 
-/// Empty engines of three kinds, spread over three data centres.
+/// Engines of three kinds without layers, spread over three data centres.
 pub fn engine_fleet(count: usize) -> Vec<Instance> {
-    let of = |i: usize| {
-        let mut one = engine(i as u16, 0, 1);
-        let hundredth = i / CENTRES.len() % 100;
+    let engine_at = |i: usize| {
+        let mut instance = engine(i as u16, 0, 1);
+        let hundredth = i / DATA_CENTRES.len() % 100;
         let mut upto = 0;
         let kind = KINDS.iter().find(|k| {
             upto += k.3;
             hundredth < upto
         });
-        one.id = format!("engine-{:08x}", (i as u32).wrapping_mul(0x9e37_79b9));
-        one.accelerator = kind.map(|k| k.0.to_string());
-        one.data_centre = CENTRES[i % CENTRES.len()].into();
-        one
+        instance.id = format!("engine-{:08x}", (i as u32).wrapping_mul(0x9e37_79b9));
+        instance.accelerator = kind.map(|k| k.0.to_string());
+        instance.data_centre = DATA_CENTRES[i % DATA_CENTRES.len()].into();
+        instance
     };
-    (0..count).map(of).collect()
+    (0..count).map(engine_at).collect()
 }
--- a/crates/deckwind-testkit/src/vm_time.rs
+++ b/crates/deckwind-testkit/src/vm_time.rs
@@ -1,28 +1,29 @@
-//! A VM's time that a test moves on as a suspension does.
+//! A VM's clock that tests can advance as a suspension of the VM would.
 
 use deckwind_net::clock::{Clock, KernelTime, TimeSource};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// The kernel's time, and what the VM was suspended besides: the time since it booted
-/// goes on by that, and no timer does.
+/// Time source that adds simulated suspensions to the kernel's time: the time since boot
+/// advances by them, while timers don't.
 #[derive(Debug, Default)]
 pub struct VmTime {
     suspended_ms: AtomicU64,
 }
 
 impl VmTime {
-    /// A VM that was never suspended. It is never given back: a process has few.
+    /// Creates the time of a VM that was never suspended. It is leaked, since a process
+    /// has only few.
     pub fn new() -> &'static Self {
         Box::leak(Box::default())
     }
 
-    /// A clock that goes by it.
+    /// Returns a clock that uses this time source.
     pub fn clock(&'static self) -> Clock {
         Clock::by(self)
     }
 
-    /// The VM was suspended for so long, and has just woken.
+    /// Simulates a suspension of the VM that has just ended after this time.
     pub fn was_suspended(&self, time: Duration) {
         let ms = time.as_millis() as u64;
         self.suspended_ms.fetch_add(ms, Ordering::SeqCst);
