--- a/crates/deckwind-fakes/src/engine.rs
+++ b/crates/deckwind-fakes/src/engine.rs
@@ -1,4 +1,4 @@
-//! The fake engine.
+//! Fake engine that runs stages of the hash model, with faults.
 
 use crate::model::FakeModel;
 use deckwind_core::replication::Fence;
@@ -14,27 +14,29 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// What a fake engine is like.
+/// Properties of a fake engine.
 #[derive(Clone, Debug)]
 pub struct FakeEngineConfig {
-    /// Layers that it holds.
+    /// Layers that the engine holds.
     pub layers: LayerRange,
-    /// Layers of the whole model; the stage that ends it makes tokens.
+    /// Number of layers of the whole model; the stage with the last layer returns
+    /// tokens.
     pub model_layers: u32,
-    /// Time of a step, whatever its size.
+    /// Time that each step takes, independent of its number of positions.
     pub step_time: Duration,
-    /// How late its load report is.
+    /// Age of the data in its load reports.
     pub load_lag: Duration,
-    /// Whether it checks fences.
+    /// Whether it refuses orders with a stale fence.
     pub checks_fences: bool,
-    /// Prefixes that its cache keeps.
+    /// Maximum number of prefixes in its cache; the oldest is evicted first.
     pub cache_prefixes: usize,
-    /// Every n-th cache event is lost; 0 for none.
+    /// Omits every n-th cache event from the answers; 0 omits none.
     pub lose_event_every: u64,
 }
 
 impl FakeEngineConfig {
-    /// A fast engine for a range of a model's layers.
+    /// Creates the configuration of an engine without delays for a range of a
+    /// model's layers.
     pub fn new(layers: LayerRange, model_layers: u32) -> Self {
         Self {
             layers,
@@ -48,39 +50,40 @@
     }
 }
 
-/// What is wrong with a fake engine.
+/// The fault that a fake engine injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EngineFault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// It is gone: streams break, nothing is opened.
+    /// Crashed: streams break, and no stage can be opened.
     Dead,
-    /// It answers probes and opens stages, but no step ends.
+    /// Answers probes and opens stages, but completes no step until the fault
+    /// changes.
     Frozen,
-    /// It dies when it gets the step after this many more.
+    /// Completes this many more steps, then crashes on receipt of the next.
     DiesBeforeStep(u32),
-    /// It runs this many more steps, and dies before the answer of the last.
+    /// Runs this many more steps, then crashes before it answers the last of them.
     DiesAfterStep(u32),
-    /// Each step takes this much longer.
+    /// Adds this time to each step.
     Slow(Duration),
 }
 
-/// One run of a range of layers for one position.
+/// Record that a range of layers was run for one position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Run {
-    /// Session.
+    /// Session ID.
     pub session: String,
-    /// Position.
+    /// Position of the input in the session.
     pub position: u32,
-    /// Layers.
+    /// Layers that were run.
     pub layers: LayerRange,
-    /// Attempt.
+    /// Attempt number of the step order.
     pub attempt: u32,
-    /// Order of service.
+    /// Priority of the session.
     pub priority: Priority,
 }
 
-/// One position in a session's cache.
+/// Cache entry of one position of a session.
 #[derive(Clone, Debug)]
 struct CachedPosition {
     output: Activation,
@@ -91,7 +94,7 @@
 #[derive(Clone, Debug)]
 struct OpenSession {
     open: OpenStage,
-    empty: FakeModel,
+    initial_model: FakeModel,
     positions: Vec<CachedPosition>,
     attempt: u32,
 }
@@ -102,36 +105,36 @@
     sessions: BTreeMap<(String, LayerRange), OpenSession>,
     imported: BTreeMap<(String, LayerRange), KvExport>,
     runs: Vec<Run>,
-    loads: VecDeque<(Instant, u32, u32)>,
-    cached: VecDeque<u64>,
+    load_history: VecDeque<(Instant, u32, u32)>,
+    cached_prefixes: VecDeque<u64>,
     events: Vec<CacheEvent>,
     sequence: u64,
     fence: Fence,
     orders: Vec<TargetOrder>,
 }
 
-/// A fake engine; clones share it.
+/// A fake engine. Clones share its state.
 #[derive(Clone)]
 pub struct FakeEngine {
     cfg: FakeEngineConfig,
     state: Arc<Mutex<State>>,
-    woken: Arc<tokio::sync::Notify>,
+    fault_changed: Arc<tokio::sync::Notify>,
 }
 
-fn dead() -> TargetError {
+fn crashed() -> TargetError {
     TargetError::Broken("the engine died".to_string())
 }
 
 impl FakeEngine {
-    /// An engine in good health.
+    /// Creates an engine without a fault.
     pub fn new(cfg: FakeEngineConfig) -> Self {
         let state = State {
             fault: EngineFault::None,
             sessions: BTreeMap::new(),
             imported: BTreeMap::new(),
             runs: Vec::new(),
-            loads: VecDeque::from([(Instant::now(), 0, 0)]),
-            cached: VecDeque::new(),
+            load_history: VecDeque::from([(Instant::now(), 0, 0)]),
+            cached_prefixes: VecDeque::new(),
             events: Vec::new(),
             sequence: 0,
             fence: Fence::default(),
@@ -140,12 +143,12 @@
         Self {
             cfg,
             state: Arc::new(Mutex::new(state)),
-            woken: Arc::default(),
+            fault_changed: Arc::default(),
         }
     }
 
-    /// Makes something go wrong, or right again. Sessions of a dead engine are
-    /// lost.
+    /// Sets or clears the injected fault. [`EngineFault::Dead`] discards all
+    /// sessions.
     pub fn set_fault(&self, fault: EngineFault) {
         let mut s = self.lock();
         s.fault = fault;
@@ -153,25 +156,25 @@
             s.sessions.clear();
         }
         drop(s);
-        self.woken.notify_waiters();
+        self.fault_changed.notify_waiters();
     }
 
-    /// Runs so far; replays of what a cache held are none.
+    /// Returns all runs so far. Replays from the cache aren't counted as runs.
     pub fn runs(&self) -> Vec<Run> {
         self.lock().runs.clone()
     }
 
-    /// Whether it has died.
+    /// Whether the engine has crashed.
     pub fn is_dead(&self) -> bool {
         self.lock().fault == EngineFault::Dead
     }
 
-    /// Open stages.
+    /// Returns the number of open stages.
     pub fn open_stages(&self) -> usize {
         self.lock().sessions.len()
     }
 
-    /// Orders taken so far.
+    /// Returns the orders accepted so far.
     pub fn orders(&self) -> Vec<TargetOrder> {
         self.lock().orders.clone()
     }
@@ -180,7 +183,7 @@
         self.state.lock().expect("no holder panics")
     }
 
-    fn open_now(&self, open: OpenStage) -> Result<Box<dyn StageStream>, TargetError> {
+    fn open_stage(&self, open: OpenStage) -> Result<Box<dyn StageStream>, TargetError> {
         let mut s = self.lock();
         if s.fault == EngineFault::Dead {
             return Err(TargetError::NotSent("the engine is dead".to_string()));
@@ -195,7 +198,7 @@
         let imported = s.imported.remove(&key);
         let session = OpenSession::new(open, imported)?;
         s.sessions.insert(key.clone(), session);
-        s.note_load();
+        s.record_load();
         Ok(Box::new(FakeStage {
             engine: self.clone(),
             key,
@@ -206,7 +209,7 @@
     fn close(&self, key: &(String, LayerRange)) {
         let mut s = self.lock();
         s.sessions.remove(key);
-        s.note_load();
+        s.record_load();
     }
 
     async fn step(
@@ -214,26 +217,31 @@
         key: &(String, LayerRange),
         order: StepOrder,
     ) -> Result<StepOutput, TargetError> {
-        let woken = self.woken.notified();
-        let wait = self.lock().before_step(self.cfg.step_time)?;
-        match wait {
+        let fault_changed = self.fault_changed.notified();
+        let delay = self.lock().step_delay(self.cfg.step_time)?;
+        match delay {
             Some(time) if time.is_zero() => {}
             Some(time) => tokio::time::sleep(time).await,
-            None => woken.await,
+            None => fault_changed.await,
         }
         let mut s = self.lock();
-        let model_ends = key.1.last == self.cfg.model_layers;
-        s.run_step(key, order, model_ends)
+        let is_last_stage = key.1.last == self.cfg.model_layers;
+        s.run_step(key, order, is_last_stage)
     }
 
-    fn load_now(&self) -> Result<EngineLoad, TargetError> {
+    fn current_load(&self) -> Result<EngineLoad, TargetError> {
         let s = self.lock();
         if s.fault == EngineFault::Dead {
-            return Err(dead());
+            return Err(crashed());
         }
         let lag = self.cfg.load_lag;
-        let old_enough = |(at, _, _): &&(Instant, u32, u32)| at.elapsed() >= lag;
-        let seen = s.loads.iter().rev().find(old_enough).or(s.loads.front());
+        let is_old_enough = |(at, _, _): &&(Instant, u32, u32)| at.elapsed() >= lag;
+        let seen = s
+            .load_history
+            .iter()
+            .rev()
+            .find(is_old_enough)
+            .or(s.load_history.front());
         let (_, load, sessions) = seen.copied().unwrap_or((Instant::now(), 0, 0));
         Ok(EngineLoad {
             load,
@@ -242,20 +250,23 @@
         })
     }
 
-    fn events_from(&self, from: u64) -> CacheEvents {
+    fn cache_events_from(&self, from: u64) -> CacheEvents {
         let s = self.lock();
-        let lost = |e: &CacheEvent| {
-            let every = self.cfg.lose_event_every;
-            every > 0 && e.sequence.is_multiple_of(every)
+        let is_lost = |e: &CacheEvent| {
+            let interval = self.cfg.lose_event_every;
+            interval > 0 && e.sequence.is_multiple_of(interval)
         };
-        let events = s.events.iter().filter(|e| e.sequence >= from && !lost(e));
+        let events = s
+            .events
+            .iter()
+            .filter(|e| e.sequence >= from && !is_lost(e));
         CacheEvents {
             events: events.copied().collect(),
             next: s.sequence + 1,
         }
     }
 
-    fn export_now(&self, session: &str) -> Result<KvExport, TargetError> {
+    fn export_session(&self, session: &str) -> Result<KvExport, TargetError> {
         let s = self.lock();
         let found = s.sessions.iter().find(|((name, _), _)| name == session);
         let ((_, layers), open) =
@@ -268,7 +279,7 @@
         })
     }
 
-    fn order_now(&self, order: TargetOrder) -> Result<(), TargetError> {
+    fn apply_order(&self, order: TargetOrder) -> Result<(), TargetError> {
         let mut s = self.lock();
         if self.cfg.checks_fences && order.fence <= s.fence {
             return Err(TargetError::Refused("old fence".to_string()));
@@ -281,10 +292,10 @@
 
 impl OpenSession {
     fn new(open: OpenStage, imported: Option<KvExport>) -> Result<Self, TargetError> {
-        let empty = FakeModel::new(open.layers);
+        let initial_model = FakeModel::new(open.layers);
         let mut session = Self {
             open,
-            empty,
+            initial_model,
             positions: Vec::new(),
             attempt: 0,
         };
@@ -304,11 +315,11 @@
     }
 
     fn import(&mut self, kv: &KvExport) -> Result<(), TargetError> {
-        let damaged = || TargetError::Refused("the export can't be read".to_string());
+        let unreadable = || TargetError::Refused("the export can't be read".to_string());
         let rows: Vec<(String, Vec<u64>)> =
-            serde_json::from_str(&kv.data.0).map_err(|_| damaged())?;
+            serde_json::from_str(&kv.data.0).map_err(|_| unreadable())?;
         for (output, caches) in rows {
-            let model = FakeModel::from_caches(kv.layers, caches).ok_or_else(damaged)?;
+            let model = FakeModel::from_caches(kv.layers, caches).ok_or_else(unreadable)?;
             self.positions.push(CachedPosition {
                 output: Activation(output),
                 model,
@@ -317,7 +328,9 @@
         Ok(())
     }
 
-    /// Runs or replays the positions of an order.
+    /// Runs the positions of a step order, or replays them from the cache.
+    ///
+    /// Returns the outputs and the number of positions that were run.
     fn run(&mut self, order: &StepOrder) -> Result<(Vec<Activation>, u32), TargetError> {
         let refused = |why: &str| Err(TargetError::Refused(why.to_string()));
         if order.attempt < self.attempt {
@@ -340,7 +353,7 @@
         let mut model = self
             .positions
             .last()
-            .map_or(&self.empty, |p| &p.model)
+            .map_or(&self.initial_model, |p| &p.model)
             .clone();
         for input in &order.inputs {
             let output = model.run(input);
@@ -349,24 +362,25 @@
                 model: model.clone(),
             });
         }
-        let ran = self.positions[first..].iter();
+        let entries = self.positions[first..].iter();
         Ok((
-            ran.map(|p| p.output.clone()).collect(),
+            entries.map(|p| p.output.clone()).collect(),
             order.inputs.len() as u32,
         ))
     }
 }
 
 impl State {
-    /// How long the step takes; nothing for "until something changes".
-    fn before_step(&mut self, step_time: Duration) -> Result<Option<Duration>, TargetError> {
+    /// Returns the duration of the next step; `None` if it can't proceed until the
+    /// fault changes.
+    fn step_delay(&mut self, step_time: Duration) -> Result<Option<Duration>, TargetError> {
         match self.fault {
-            EngineFault::Dead => Err(dead()),
+            EngineFault::Dead => Err(crashed()),
             EngineFault::Frozen => Ok(None),
             EngineFault::Slow(more) => Ok(Some(step_time + more)),
             EngineFault::DiesBeforeStep(0) => {
-                self.die();
-                Err(dead())
+                self.crash();
+                Err(crashed())
             }
             EngineFault::DiesBeforeStep(n) => {
                 self.fault = EngineFault::DiesBeforeStep(n - 1);
@@ -376,22 +390,22 @@
         }
     }
 
-    fn die(&mut self) {
+    fn crash(&mut self) {
         self.fault = EngineFault::Dead;
         self.sessions.clear();
-        self.note_load();
+        self.record_load();
     }
 
     fn run_step(
         &mut self,
         key: &(String, LayerRange),
         order: StepOrder,
-        model_ends: bool,
+        is_last_stage: bool,
     ) -> Result<StepOutput, TargetError> {
-        let session = self.sessions.get_mut(key).ok_or_else(dead)?;
-        let (outputs, ran) = session.run(&order)?;
+        let session = self.sessions.get_mut(key).ok_or_else(crashed)?;
+        let (outputs, run_count) = session.run(&order)?;
         let priority = session.open.priority;
-        for i in 0..ran {
+        for i in 0..run_count {
             self.runs.push(Run {
                 session: key.0.clone(),
                 position: order.position + i,
@@ -403,47 +417,48 @@
         if let EngineFault::DiesAfterStep(n) = self.fault {
             self.fault = EngineFault::DiesAfterStep(n.saturating_sub(1));
             if n <= 1 {
-                self.die();
-                return Err(dead());
+                self.crash();
+                return Err(crashed());
             }
         }
-        let last = outputs.last().filter(|_| model_ends);
+        let last = outputs.last().filter(|_| is_last_stage);
         let token = last.map(FakeModel::token);
         Ok(StepOutput {
             attempt: order.attempt,
             position: order.position,
             outputs,
             token,
-            load: self.loads.back().map(|(_, load, _)| *load),
+            load: self.load_history.back().map(|(_, load, _)| *load),
         })
     }
 
-    fn note_load(&mut self) {
+    fn record_load(&mut self) {
         let load = self.sessions.keys().map(|(_, l)| l.len()).sum();
         let sessions = self.sessions.len() as u32;
-        self.loads.push_back((Instant::now(), load, sessions));
-        const KEPT: usize = 1_024;
-        if self.loads.len() > KEPT {
-            self.loads.pop_front();
+        self.load_history
+            .push_back((Instant::now(), load, sessions));
+        const MAX_LOADS: usize = 1_024;
+        if self.load_history.len() > MAX_LOADS {
+            self.load_history.pop_front();
         }
     }
 
     fn cache_prefixes(&mut self, prefixes: &[u64], cfg: &FakeEngineConfig) {
         for prefix in prefixes {
-            if self.cached.contains(prefix) {
+            if self.cached_prefixes.contains(prefix) {
                 continue;
             }
-            self.cached.push_back(*prefix);
-            self.event(CacheEventKind::Stored, *prefix);
-            if self.cached.len() > cfg.cache_prefixes
-                && let Some(old) = self.cached.pop_front()
+            self.cached_prefixes.push_back(*prefix);
+            self.push_event(CacheEventKind::Stored, *prefix);
+            if self.cached_prefixes.len() > cfg.cache_prefixes
+                && let Some(old) = self.cached_prefixes.pop_front()
             {
-                self.event(CacheEventKind::Removed, old);
+                self.push_event(CacheEventKind::Removed, old);
             }
         }
     }
 
-    fn event(&mut self, kind: CacheEventKind, prefix: u64) {
+    fn push_event(&mut self, kind: CacheEventKind, prefix: u64) {
         self.sequence += 1;
         self.events.push(CacheEvent {
             sequence: self.sequence,
@@ -455,19 +470,19 @@
 
 impl Engine for FakeEngine {
     fn open(&self, open: OpenStage) -> BoxFuture<'_, Result<Box<dyn StageStream>, TargetError>> {
-        Box::pin(async move { self.open_now(open) })
+        Box::pin(async move { self.open_stage(open) })
     }
 
     fn load(&self) -> BoxFuture<'_, Result<EngineLoad, TargetError>> {
-        Box::pin(async move { self.load_now() })
+        Box::pin(async move { self.current_load() })
     }
 
     fn cache_events(&self, from: u64) -> BoxFuture<'_, Result<CacheEvents, TargetError>> {
-        Box::pin(async move { Ok(self.events_from(from)) })
+        Box::pin(async move { Ok(self.cache_events_from(from)) })
     }
 
     fn export_kv(&self, session: String) -> BoxFuture<'_, Result<KvExport, TargetError>> {
-        Box::pin(async move { self.export_now(&session) })
+        Box::pin(async move { self.export_session(&session) })
     }
 
     fn import_kv(&self, kv: KvExport) -> BoxFuture<'_, Result<(), TargetError>> {
@@ -479,11 +494,11 @@
     }
 
     fn order(&self, order: TargetOrder) -> BoxFuture<'_, Result<(), TargetError>> {
-        Box::pin(async move { self.order_now(order) })
+        Box::pin(async move { self.apply_order(order) })
     }
 }
 
-/// A stage that is open at a fake engine.
+/// An open stage of a fake engine.
 struct FakeStage {
     engine: FakeEngine,
     key: (String, LayerRange),
--- a/crates/deckwind-fakes/src/lib.rs
+++ b/crates/deckwind-fakes/src/lib.rs
@@ -1,9 +1,11 @@
-//! Small stand-ins for what deckwind meets: engine, plain service, weight store
-//! and platform list.
+//! Fakes of the systems that deckwind talks to: engine, plain service, weight
+//! store and platform list.
 //!
-//! For: tests, the quick start and measurements. Not for: production, or as a
-//! cluster simulator. Each fake implements its trait of `deckwind-net`, and
-//! [`serve`] puts it behind the HTTP that the real clients speak.
+//! They are meant for tests, the quick start and measurements, not for
+//! production or as a cluster simulator. Each fake implements its trait of
+//! `deckwind-net`, and [`serve`] exposes it over the HTTP protocol that the
+//! real clients use. [`FakeRunner`] is different: it serves the published
+//! target protocol over HTTP/1.1 itself, with faults.
 
 pub mod command;
 mod engine;
--- a/crates/deckwind-fakes/src/model.rs
+++ b/crates/deckwind-fakes/src/model.rs
@@ -1,8 +1,9 @@
-//! A model that is a hash: each layer mixes its input with what its cache holds.
+//! A fake model made of hashes: each layer mixes its input with the content of
+//! its cache.
 //!
-//! A lost, doubled or reordered position, or a layer that is left out, changes
-//! every token after it, so the caller's text alone shows whether every layer
-//! ran once for each token and in order.
+//! A lost, duplicated or reordered position, or a skipped layer, changes every
+//! later token. The text that the caller receives is therefore enough to check
+//! that every layer ran once for each token and in order.
 
 use deckwind_core::session::{Activation, Token};
 use deckwind_core::state::LayerRange;
@@ -13,7 +14,7 @@
     "fare", "tram", "ferry", "refund", "reply",
 ];
 
-/// State of one session's layers at one stage.
+/// Caches of the layers that one stage runs for one session.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct FakeModel {
     layers: Vec<u64>,
@@ -24,14 +25,14 @@
     xxh3_64_with_seed(&value.to_le_bytes(), seed)
 }
 
-/// The number that an input stands for: a token's id, a word, or the output of
-/// the stage before.
-fn input_value(input: &Activation) -> u64 {
+/// Returns the hash of an input: a token ID, a word, or the output of the
+/// previous stage.
+fn hash_input(input: &Activation) -> u64 {
     xxh3_64_with_seed(input.0.as_bytes(), 0)
 }
 
 impl FakeModel {
-    /// Empty caches for a range of layers.
+    /// Creates empty caches for a range of layers.
     pub fn new(layers: LayerRange) -> Self {
         Self {
             layers: vec![0; layers.len() as usize],
@@ -39,7 +40,9 @@
         }
     }
 
-    /// Caches as an export wrote them.
+    /// Restores exported caches.
+    ///
+    /// Returns `None` unless there is one cache for each layer.
     pub fn from_caches(layers: LayerRange, caches: Vec<u64>) -> Option<Self> {
         (caches.len() == layers.len() as usize).then_some(Self {
             layers: caches,
@@ -47,30 +50,30 @@
         })
     }
 
-    /// The caches, for an export.
+    /// Returns the caches of all layers, for an export.
     pub fn caches(&self) -> &[u64] {
         &self.layers
     }
 
-    /// Runs one position through all layers.
+    /// Runs one position through all layers and returns the output of the last.
     pub fn run(&mut self, input: &Activation) -> Activation {
-        let mut h = match u64::from_str_radix(&input.0, 16) {
+        let mut hash = match u64::from_str_radix(&input.0, 16) {
             Ok(v) if input.0.len() == 16 => v,
-            _ => input_value(input),
+            _ => hash_input(input),
         };
         for (i, cache) in self.layers.iter_mut().enumerate() {
             let layer = u64::from(self.first) + i as u64;
-            *cache = mix(h, *cache);
-            h = mix(h ^ *cache, layer);
+            *cache = mix(hash, *cache);
+            hash = mix(hash ^ *cache, layer);
         }
-        Activation(format!("{h:016x}"))
+        Activation(format!("{hash:016x}"))
     }
 
-    /// The token that the last layer's output stands for.
+    /// Returns the token that an output of the last layer maps to.
     pub fn token(output: &Activation) -> Token {
-        let h = input_value(output);
-        let id = (h >> 32) as u32;
-        let word = WORDS[(h % WORDS.len() as u64) as usize];
+        let hash = hash_input(output);
+        let id = (hash >> 32) as u32;
+        let word = WORDS[(hash % WORDS.len() as u64) as usize];
         Token {
             id,
             text: format!("{word} "),
@@ -79,7 +82,12 @@
     }
 }
 
-/// What a fault-free model of `layers` layers answers to a prompt.
+/// Returns the text that a model of `layers` layers generates for a prompt if
+/// nothing fails.
+///
+/// # Panics
+///
+/// Panics if the prompt is empty and `tokens` isn't 0.
 pub fn expected_answer(layers: u32, prompt: &[Activation], tokens: usize) -> String {
     let mut model = FakeModel::new(LayerRange::new(0, layers));
     let mut inputs = prompt.to_vec();
--- a/crates/deckwind-fakes/src/platform.rs
+++ b/crates/deckwind-fakes/src/platform.rs
@@ -1,4 +1,4 @@
-//! The fake platform list.
+//! Fake platform list of VMs.
 
 use deckwind_core::membership::PlatformStatus;
 use deckwind_net::BoxFuture;
@@ -7,7 +7,8 @@
 use std::net::IpAddr;
 use std::sync::{Arc, Mutex};
 
-/// A list that lags by a number of changes; clones share it.
+/// A list of VMs and their status whose answers may lag behind by a fixed number
+/// of changes. Clones share the list.
 #[derive(Clone, Default)]
 pub struct FakePlatformList {
     lag: usize,
@@ -15,7 +16,7 @@
 }
 
 impl FakePlatformList {
-    /// A list whose answers lag by `lag` changes.
+    /// Creates a list whose answers omit the last `lag` changes.
     pub fn lagging(lag: usize) -> Self {
         Self {
             lag,
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Changes what the platform knows of a VM.
+    /// Sets the platform's status of a VM.
     pub fn set(&self, ip: IpAddr, status: PlatformStatus) {
         let mut history = self.history.lock().expect("no holder panics");
         let latest = history.last().cloned().unwrap_or_default();
@@ -39,8 +40,8 @@
 impl PlatformList for FakePlatformList {
     fn list(&self) -> BoxFuture<'_, Result<PlatformSnapshot, TargetError>> {
         let history = self.history.lock().expect("no holder panics");
-        let seen = history.len().checked_sub(1 + self.lag);
-        let answer = seen
+        let visible = history.len().checked_sub(1 + self.lag);
+        let answer = visible
             .and_then(|i| history.get(i))
             .cloned()
             .unwrap_or_default();
--- a/crates/deckwind-fakes/src/runner/answers.rs
+++ b/crates/deckwind-fakes/src/runner/answers.rs
@@ -1,8 +1,9 @@
-//! What a target reads, and what it writes.
+//! Reads requests from a connection and writes the answers of a fake target,
+//! including malformed ones.
 
-use super::fleet::{Fleet, NoPath, read_path};
+use super::fleet::{Fleet, PathError, parse_path};
 use super::{
-    AWAY, ENDS_ITS_TARGET, EVENT_GAP, EVENTS, RunnerFault, SeenRequest, State, begin_life,
+    AWAY, ENDS_ITS_TARGET, EVENT_GAP, EVENTS, RunnerFault, SeenRequest, State, start_incarnation,
 };
 use anyhow::Result;
 use serde_json::{Value, json};
@@ -14,28 +15,29 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// Serves requests on one connection until it breaks.
+/// Serves requests on one connection until an answer or a fault closes it.
 pub(super) async fn serve(
     stream: TcpStream,
     state: Arc<Mutex<State>>,
-    lives: Arc<watch::Sender<u32>>,
+    connection_epoch: Arc<watch::Sender<u32>>,
 ) {
     let mut stream = BufReader::new(stream);
     while let Ok(Some(req)) = read_request(&mut stream).await {
-        let goes_on = answer(&mut stream, req, &state, &lives).await;
+        let goes_on = handle_request(&mut stream, req, &state, &connection_epoch).await;
         if !matches!(goes_on, Ok(true)) {
             return;
         }
     }
 }
 
-/// Waits while the target is silent.
-async fn speaks_again(state: &Mutex<State>) {
-    while state.lock().expect("no holder panics").is_silent() {
+/// Waits until the target is no longer paused.
+async fn wait_while_paused(state: &Mutex<State>) {
+    while state.lock().expect("no holder panics").is_paused() {
         tokio::time::sleep(EVENT_GAP).await;
     }
 }
 
+/// Reads a request; returns `None` if the caller closed the connection.
 async fn read_request(stream: &mut BufReader<TcpStream>) -> Result<Option<SeenRequest>> {
     let mut line = String::new();
     if stream.read_line(&mut line).await? == 0 {
@@ -63,84 +65,89 @@
 
 type Stream = BufReader<TcpStream>;
 
-/// Answers one request; whether the connection goes on.
-async fn answer(
+/// Answers one request; returns whether the connection stays open.
+async fn handle_request(
     s: &mut Stream,
     req: SeenRequest,
     state: &Mutex<State>,
-    lives: &watch::Sender<u32>,
+    connection_epoch: &watch::Sender<u32>,
 ) -> Result<bool> {
     match req.line.as_str() {
         "GET /v1/report" => {
-            speaks_again(state).await;
-            return report(s, state).await;
+            wait_while_paused(state).await;
+            return send_report(s, state).await;
         }
         "POST /v1/order" => {
-            speaks_again(state).await;
-            return order(s, &req, state).await;
+            wait_while_paused(state).await;
+            return handle_order(s, &req, state).await;
         }
         _ => {}
     }
     let (id, fault) = {
         let mut state = state.lock().expect("no holder panics");
         state.seen.push(req.clone());
-        let fault = flood_asked(&req.line).unwrap_or(state.fault.clone());
+        let fault = requested_flood(&req.line).unwrap_or(state.fault.clone());
         (state.id.clone(), fault)
     };
     let request = req.headers.get("x-deckwind-request-id").cloned();
     let request = request.unwrap_or_default();
-    note_arrival(state, &request, &fault);
-    let in_fleet = fleet_of(state, s.get_ref().local_addr()?, &request);
-    speaks_again(state).await;
+    record_arrival(state, &request, &fault);
+    let fleet_request = record_fleet_request(state, s.get_ref().local_addr()?, &request);
+    wait_while_paused(state).await;
     let expected = req.headers.get("x-deckwind-expect-instance");
     if expected.is_some_and(|e| *e != id) {
         let head = format!("421 Misdirected Request\r\nX-Deckwind-Request-Id: {request}");
-        return whole(s, state, &head, b"").await;
+        return write_response(s, state, &head, b"").await;
     }
     if let RunnerFault::Refuses { at_fault } = &fault {
-        let at = at_fault.map_or(String::new(), |a| format!("\r\nAt-Server: {a}"));
+        let at_server = at_fault.map_or(String::new(), |a| format!("\r\nAt-Server: {a}"));
         let head = format!(
-            "503 Service Unavailable\r\nX-Deckwind-Request-Id: {request}\r\nX-Deckwind-Not-Executed: 1{at}"
+            "503 Service Unavailable\r\nX-Deckwind-Request-Id: {request}\r\nX-Deckwind-Not-Executed: 1{at_server}"
         );
-        return whole(s, state, &head, b"").await;
+        return write_response(s, state, &head, b"").await;
     }
     if let RunnerFault::Answers(status) = &fault {
         let head = format!(
             "{status} Own\r\nX-Deckwind-Request-Id: {request}\r\nX-Deckwind-Response-Seal: s"
         );
-        return whole(s, state, &head, b"own words").await;
+        return write_response(s, state, &head, b"own words").await;
     }
-    let streams = req.headers.contains_key("x-deckwind-token-count");
-    if let Some(run) = in_fleet {
-        if streams {
+    let is_stream = req.headers.contains_key("x-deckwind-token-count");
+    if let Some(run) = fleet_request {
+        if is_stream {
             return run.stream(s, &req, &fault, state).await;
         }
-        run.fleet.began(run.arrival);
+        run.fleet.record_start(run.arrival);
     }
-    let ran = request.clone();
-    state.lock().expect("no holder panics").ran.push(ran);
+    let run = request.clone();
+    state.lock().expect("no holder panics").ran.push(run);
     if req.line.ends_with(ENDS_ITS_TARGET) {
-        return end_life(s, &request, streams, state, lives).await;
+        return crash_on_request(s, &request, is_stream, state, connection_epoch).await;
     }
-    match streams {
+    match is_stream {
         true => stream_events(s, &req, &request, &fault, state).await,
-        false => plain(s, &request, &fault, state).await,
+        false => answer_plain(s, &request, &fault, state).await,
     }
 }
 
-/// A request at a target of a fleet.
-struct FleetRun {
+/// A request that a target of a fleet received.
+struct FleetRequest {
     fleet: Fleet,
     address: SocketAddr,
     request: String,
     arrival: usize,
 }
 
-fn fleet_of(state: &Mutex<State>, address: SocketAddr, request: &str) -> Option<FleetRun> {
+/// Records a request with the target's fleet; returns `None` if it belongs to none.
+fn record_fleet_request(
+    state: &Mutex<State>,
+    address: SocketAddr,
+    request: &str,
+) -> Option<FleetRequest> {
     let fleet = state.lock().expect("no holder panics").fleet.clone();
     let (fleet, pool) = fleet?;
-    let arrival = fleet.arrived(request, &pool, address);
-    Some(FleetRun {
+    let arrival = fleet.record_arrival(request, &pool, address);
+    Some(FleetRequest {
         fleet,
         address,
         request: request.to_string(),
@@ -148,9 +155,10 @@
     })
 }
 
-impl FleetRun {
-    /// A stream over engines that may go down: it then stands still until it is told of
-    /// another path, and is cut after a while.
+impl FleetRequest {
+    /// Streams events over a path of engines. If an engine on the path goes down, the
+    /// stream stalls until it is moved to another path, and is broken off (or refused,
+    /// if no event was sent yet) after [`FleetPace::stall`](super::FleetPace::stall).
     async fn stream(
         &self,
         s: &mut Stream,
@@ -158,104 +166,105 @@
         fault: &RunnerFault,
         state: &Mutex<State>,
     ) -> Result<bool> {
-        let path = req.headers.get("path").and_then(|p| read_path(p));
+        let path = req.headers.get("path").and_then(|p| parse_path(p));
         let path = path.unwrap_or_default();
-        let stream = match self.fleet.enter(self.address, &self.request, path) {
+        let stream = match self.fleet.start_stream(self.address, &self.request, path) {
             Ok(stream) => stream,
-            Err(refused) => return self.refuse(s, refused, state).await,
+            Err(error) => return self.refuse(s, error, state).await,
         };
         let last = req.headers.get("last-event-id");
         let last: u64 = last.and_then(|l| l.parse().ok()).unwrap_or(0);
         let pace = self.fleet.pace();
         let mut next = last + 1;
-        let mut stands = None;
+        let mut stalled_since = None;
         while next <= self.fleet.events(&self.request) {
             tokio::time::sleep(pace.gap).await;
-            speaks_again(state).await;
-            if let Some(down) = stream.waits_for() {
-                let since = *stands.get_or_insert_with(Instant::now);
-                self.note_stall(state, Some(down));
+            wait_while_paused(state).await;
+            if let Some(down) = stream.down_engine() {
+                let since = *stalled_since.get_or_insert_with(Instant::now);
+                self.update_stall(state, Some(down));
                 match (since.elapsed() >= pace.stall, next == last + 1) {
                     (false, _) => continue,
-                    (true, true) => return self.refuse(s, NoPath::Down(down), state).await,
+                    (true, true) => return self.refuse(s, PathError::Down(down), state).await,
                     (true, false) => return Ok(false),
                 }
             }
-            if stands.take().is_some() {
-                self.note_stall(state, None);
+            if stalled_since.take().is_some() {
+                self.update_stall(state, None);
             }
             if next == last + 1 {
-                self.begin(s, state).await?;
+                self.write_head(s, state).await?;
             }
             if matches!(fault, RunnerFault::CutsAfter(at) if next > *at) {
-                chunk(s, &format!("id: {next}\nda")).await?;
+                write_chunk(s, &format!("id: {next}\nda")).await?;
                 return Ok(false);
             }
-            chunk(s, &event_text(next)).await?;
+            write_chunk(s, &format_event(next)).await?;
             next += 1;
         }
         s.write_all(b"0\r\n\r\n").await?;
         Ok(true)
     }
 
-    async fn begin(&self, s: &mut Stream, state: &Mutex<State>) -> Result<()> {
-        self.fleet.began(self.arrival);
+    async fn write_head(&self, s: &mut Stream, state: &Mutex<State>) -> Result<()> {
+        self.fleet.record_start(self.arrival);
         let head = stream_head(&self.request, state);
         Ok(s.write_all(head.as_bytes()).await?)
     }
 
-    fn note_stall(&self, state: &Mutex<State>, behind: Option<SocketAddr>) {
+    fn update_stall(&self, state: &Mutex<State>, down_engine: Option<SocketAddr>) {
         let mut state = state.lock().expect("no holder panics");
         state.stalled.retain(|(id, _)| *id != self.request);
-        let stall = behind.map(|down| (self.request.clone(), down));
+        let stall = down_engine.map(|down| (self.request.clone(), down));
         state.stalled.extend(stall);
     }
 
-    async fn refuse(&self, s: &mut Stream, why: NoPath, state: &Mutex<State>) -> Result<bool> {
-        let status = match why {
-            NoPath::NotHeld(_) => "421 Misdirected Request",
-            NoPath::Down(_) | NoPath::Full(_) => "503 Service Unavailable",
+    async fn refuse(&self, s: &mut Stream, error: PathError, state: &Mutex<State>) -> Result<bool> {
+        let status = match error {
+            PathError::NotHeld(_) => "421 Misdirected Request",
+            PathError::Down(_) | PathError::Full(_) => "503 Service Unavailable",
         };
         let head = format!(
             "{status}\r\nX-Deckwind-Request-Id: {}\r\nX-Deckwind-Not-Executed: 1\r\nAt-Server: {}",
             self.request,
-            why.address()
+            error.address()
         );
-        whole(s, state, &head, b"").await
+        write_response(s, state, &head, b"").await
     }
 }
 
-fn note_arrival(state: &Mutex<State>, request: &str, fault: &RunnerFault) {
+fn record_arrival(state: &Mutex<State>, request: &str, fault: &RunnerFault) {
     let mut state = state.lock().expect("no holder panics");
-    state.note_arrival(request, fault);
+    state.record_arrival(request, fault);
 }
 
-/// Begins to run a request that the target doesn't survive: a stream has its head,
-/// as from the users' engines, and no event.
-async fn end_life(
+/// Starts to run a request that crashes the target. For a stream it writes the head
+/// but no event, as the users' engines do.
+async fn crash_on_request(
     s: &mut Stream,
     request: &str,
-    streams: bool,
+    is_stream: bool,
     state: &Mutex<State>,
-    lives: &watch::Sender<u32>,
+    connection_epoch: &watch::Sender<u32>,
 ) -> Result<bool> {
-    if streams {
+    if is_stream {
         s.write_all(stream_head(request, state).as_bytes()).await?;
     }
     tokio::time::sleep(EVENT_GAP).await;
     state.lock().expect("no holder panics").ended_by_requests += 1;
-    begin_life(state, lives);
-    state.lock().expect("no holder panics").away_until = Some(Instant::now() + AWAY);
+    start_incarnation(state, connection_epoch);
+    state.lock().expect("no holder panics").down_until = Some(Instant::now() + AWAY);
     Ok(false)
 }
 
-async fn plain(
+async fn answer_plain(
     s: &mut Stream,
     request: &str,
     fault: &RunnerFault,
     state: &Mutex<State>,
 ) -> Result<bool> {
-    let good = format!("200 OK\r\nX-Deckwind-Request-Id: {request}\r\nX-Deckwind-Response-Seal: s");
+    let ok_head =
+        format!("200 OK\r\nX-Deckwind-Request-Id: {request}\r\nX-Deckwind-Response-Seal: s");
     let body = format!("answer to {request}");
     match fault {
         RunnerFault::Mute => {
@@ -266,35 +275,40 @@
             let head = format!(
                 "500 Internal Server Error\r\nX-Deckwind-Request-Id: {request}\r\nX-Deckwind-Response-Seal: s"
             );
-            whole(s, state, &head, b"failed").await
+            write_response(s, state, &head, b"failed").await
         }
         RunnerFault::Cuts => {
             let head = format!(
-                "HTTP/1.1 {good}{}\r\nContent-Length: 500\r\n\r\n{body}",
-                says(state, false)
+                "HTTP/1.1 {ok_head}{}\r\nContent-Length: 500\r\n\r\n{body}",
+                target_headers(state, false)
             );
             s.write_all(head.as_bytes()).await?;
             Ok(false)
         }
         RunnerFault::OtherId => {
-            let head = good.replace(request, "another-request");
-            whole(s, state, &head, body.as_bytes()).await
+            let head = ok_head.replace(request, "another-request");
+            write_response(s, state, &head, body.as_bytes()).await
         }
         RunnerFault::Unsigned => {
             let head = format!("200 OK\r\nX-Deckwind-Request-Id: {request}");
-            whole(s, state, &head, body.as_bytes()).await
+            write_response(s, state, &head, body.as_bytes()).await
+        }
+        RunnerFault::Long(bytes) => {
+            write_response(s, state, &ok_head, "y".repeat(*bytes).as_bytes()).await
         }
-        RunnerFault::Long(bytes) => whole(s, state, &good, "y".repeat(*bytes).as_bytes()).await,
         RunnerFault::Unframed => {
-            let head = format!("HTTP/1.1 {good}{}\r\n\r\n{body}", says(state, false));
+            let head = format!(
+                "HTTP/1.1 {ok_head}{}\r\n\r\n{body}",
+                target_headers(state, false)
+            );
             s.write_all(head.as_bytes()).await?;
             Ok(false)
         }
         RunnerFault::Extra => {
-            whole(s, state, &good, body.as_bytes()).await?;
-            whole(s, state, &good.replace(request, "stale"), b"stale").await
+            write_response(s, state, &ok_head, body.as_bytes()).await?;
+            write_response(s, state, &ok_head.replace(request, "stale"), b"stale").await
         }
-        _ => whole(s, state, &good, body.as_bytes()).await,
+        _ => write_response(s, state, &ok_head, body.as_bytes()).await,
     }
 }
 
@@ -320,7 +334,7 @@
         s.write_all(head.as_bytes()).await?;
         return flood(s, request, last + 1..=*events, (*bytes, *goes_on), state).await;
     }
-    // As the users' engines do, the head comes with the first event.
+    // The head is sent with the first event, as the users' engines do.
     let mut head = Some(head);
     for event in last + 1..=EVENTS {
         tokio::time::sleep(EVENT_GAP).await;
@@ -330,7 +344,7 @@
         }
         match fault {
             RunnerFault::CutsAfter(at) if event > *at => {
-                chunk(s, &format!("id: {event}\nda")).await?;
+                write_chunk(s, &format!("id: {event}\nda")).await?;
                 return Ok(false);
             }
             RunnerFault::StallsAfter { event: at, stage } if event > *at => {
@@ -342,9 +356,9 @@
                 if let Some(head) = head.take() {
                     s.write_all(head.as_bytes()).await?;
                 }
-                chunk(s, &event_text(event)).await?;
+                write_chunk(s, &format_event(event)).await?;
             }
-            _ => chunk(s, &event_text(event)).await?,
+            _ => write_chunk(s, &format_event(event)).await?,
         }
     }
     s.write_all(b"0\r\n\r\n").await?;
@@ -352,32 +366,33 @@
 }
 
 fn stream_head(request: &str, state: &Mutex<State>) -> String {
-    let says = says(state, false);
+    let headers = target_headers(state, false);
     format!(
-        "HTTP/1.1 200 OK\r\nX-Deckwind-Request-Id: {request}\r\nX-Deckwind-Response-Seal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked{says}\r\n\r\n"
+        "HTTP/1.1 200 OK\r\nX-Deckwind-Request-Id: {request}\r\nX-Deckwind-Response-Seal: s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked{headers}\r\n\r\n"
     )
 }
 
-/// Headers by which a target says what it wants.
-fn says(state: &Mutex<State>, turns_away: bool) -> String {
+/// Returns the header lines for the rest period (only in a 503), the announcement
+/// that the target leaves, and its limit.
+fn target_headers(state: &Mutex<State>, is_unavailable: bool) -> String {
     let state = state.lock().expect("no holder panics");
-    let mut says = String::new();
-    if let Some(rest) = state.rest.as_ref().filter(|_| turns_away) {
-        says += &format!("\r\nRetry-After: {rest}");
+    let mut headers = String::new();
+    if let Some(rest) = state.rest.as_ref().filter(|_| is_unavailable) {
+        headers += &format!("\r\nRetry-After: {rest}");
     }
     if state.leaves {
-        says += "\r\nServer-Leaving: 1";
+        headers += "\r\nServer-Leaving: 1";
     }
     if let Some(limit) = &state.limit {
-        says += &format!("\r\nServer-Limit: {limit}");
+        headers += &format!("\r\nServer-Limit: {limit}");
     }
-    says
+    headers
 }
 
-/// A path that ends with `flood-EVENTS-BYTES` asks for that.
-fn flood_asked(line: &str) -> Option<RunnerFault> {
-    let (_, asked) = line.split_once("/flood-")?;
-    let (events, bytes) = asked.split_once('-')?;
+/// Parses the path suffix `/flood-EVENTS-BYTES`, which requests a flood of events.
+fn requested_flood(line: &str) -> Option<RunnerFault> {
+    let (_, parameters) = line.split_once("/flood-")?;
+    let (events, bytes) = parameters.split_once('-')?;
     Some(RunnerFault::Floods {
         events: events.parse().ok()?,
         bytes: bytes.parse().ok()?,
@@ -385,7 +400,7 @@
     })
 }
 
-/// Events as fast as they are read.
+/// Writes events as fast as they are read.
 async fn flood(
     s: &mut Stream,
     request: &str,
@@ -396,7 +411,7 @@
     let mut next = *events.end() + 1;
     let text = "x".repeat(bytes);
     for event in events {
-        chunk(s, &format!("id: {event}\ndata: {text}\n\n")).await?;
+        write_chunk(s, &format!("id: {event}\ndata: {text}\n\n")).await?;
     }
     let written = request.to_string();
     state
@@ -406,7 +421,7 @@
         .push(written);
     while goes_on && is_flooding(state) {
         tokio::time::sleep(EVENT_GAP).await;
-        chunk(s, &event_text(next)).await?;
+        write_chunk(s, &format_event(next)).await?;
         next += 1;
     }
     s.write_all(b"0\r\n\r\n").await?;
@@ -423,25 +438,30 @@
     matches!(state.fault, RunnerFault::StallsAfter { .. })
 }
 
-fn event_text(event: u64) -> String {
+fn format_event(event: u64) -> String {
     format!("id: {event}\ndata: token {event}\n\n")
 }
 
-async fn chunk(s: &mut Stream, text: &str) -> Result<()> {
-    let chunk = format!("{:x}\r\n{text}\r\n", text.len());
-    Ok(s.write_all(chunk.as_bytes()).await?)
+async fn write_chunk(s: &mut Stream, text: &str) -> Result<()> {
+    let data = format!("{:x}\r\n{text}\r\n", text.len());
+    Ok(s.write_all(data.as_bytes()).await?)
 }
 
-async fn whole(s: &mut Stream, state: &Mutex<State>, head: &str, body: &[u8]) -> Result<bool> {
-    let says = says(state, head.starts_with("503"));
+async fn write_response(
+    s: &mut Stream,
+    state: &Mutex<State>,
+    head: &str,
+    body: &[u8],
+) -> Result<bool> {
+    let headers = target_headers(state, head.starts_with("503"));
     let length = body.len();
-    let head = format!("HTTP/1.1 {head}{says}\r\nContent-Length: {length}\r\n\r\n");
+    let head = format!("HTTP/1.1 {head}{headers}\r\nContent-Length: {length}\r\n\r\n");
     s.write_all(head.as_bytes()).await?;
     s.write_all(body).await?;
     Ok(true)
 }
 
-async fn report(s: &mut Stream, state: &Mutex<State>) -> Result<bool> {
+async fn send_report(s: &mut Stream, state: &Mutex<State>) -> Result<bool> {
     let body = {
         let mut state = state.lock().expect("no holder panics");
         state.reports += 1;
@@ -450,73 +470,75 @@
             .map(|(id, address)| json!({"id": id, "address": address}))
             .collect();
         let (from, to) = state.layers;
-        let truth = json!({
+        let report = json!({
             "busy": false, "seq": state.orders, "stalled": stalled, "born": state.born,
             "layers": {"from": from, "targetVersion": to, "version": 1},
         });
-        let other = state.other_report.clone();
-        other.unwrap_or_else(|| truth.to_string())
+        let report_override = state.report_override.clone();
+        report_override.unwrap_or_else(|| report.to_string())
     };
-    whole(s, state, "200 OK", body.as_bytes()).await
+    write_response(s, state, "200 OK", body.as_bytes()).await
 }
 
 async fn change_path(s: &mut Stream, order: &Value, state: &Mutex<State>) -> Result<bool> {
     let fleet = state.lock().expect("no holder panics").fleet.clone();
     let Some((fleet, _)) = fleet else {
-        return whole(s, state, "202 Accepted", b"").await;
+        return write_response(s, state, "202 Accepted", b"").await;
     };
     let address = s.get_ref().local_addr()?;
-    let path = order["path"].as_str().and_then(read_path);
+    let path = order["path"].as_str().and_then(parse_path);
     let request = order["id"].as_str().unwrap_or_default();
     match fleet.change_path(address, request, path.unwrap_or_default()) {
-        Some(Ok(())) => whole(s, state, "202 Accepted", b"").await,
-        Some(Err(refused)) => {
-            let why = json!({"address": refused.address()}).to_string();
-            whole(s, state, "409 Conflict", why.as_bytes()).await
+        Some(Ok(())) => write_response(s, state, "202 Accepted", b"").await,
+        Some(Err(error)) => {
+            let body = json!({"address": error.address()}).to_string();
+            write_response(s, state, "409 Conflict", body.as_bytes()).await
         }
-        None => whole(s, state, "404 Not Found", b"").await,
+        None => write_response(s, state, "404 Not Found", b"").await,
     }
 }
 
+/// Returns whether the fault refuses orders, and counts a refused order.
 fn refuses_order(state: &Mutex<State>) -> bool {
     let mut state = state.lock().expect("no holder panics");
-    let refuses = state.fault == RunnerFault::RefusesOrders;
-    state.orders_refused += u32::from(refuses);
-    refuses
+    let is_refused = state.fault == RunnerFault::RefusesOrders;
+    state.orders_refused += u32::from(is_refused);
+    is_refused
 }
 
-async fn order(s: &mut Stream, req: &SeenRequest, state: &Mutex<State>) -> Result<bool> {
+async fn handle_order(s: &mut Stream, req: &SeenRequest, state: &Mutex<State>) -> Result<bool> {
     let order: Value = serde_json::from_slice(&req.body)?;
     if order["op"] == "repath" {
         state.lock().expect("no holder panics").path_changes += 1;
         return change_path(s, &order, state).await;
     }
     if refuses_order(state) {
-        return whole(s, state, "503 Service Unavailable", b"").await;
+        return write_response(s, state, "503 Service Unavailable", b"").await;
     }
     let number = |name: &str| order[name].as_u64().unwrap_or_default();
     let layers = (number("from") as u32, number("targetVersion") as u32);
-    let expects = number("expectedRev");
-    let taken = {
+    let expected_revision = number("expectedRev");
+    let is_applied = {
         let mut state = state.lock().expect("no holder panics");
-        let lost = state.fault == RunnerFault::OrdersLate && state.late.is_none();
-        if lost {
-            state.late = Some((layers, expects));
+        let is_unanswered =
+            state.fault == RunnerFault::OrdersLate && state.unanswered_order.is_none();
+        if is_unanswered {
+            state.unanswered_order = Some((layers, expected_revision));
             None
         } else {
-            let taken = state.take_order(layers, expects);
-            if let Some((layers, expects)) = state.late.take() {
-                state.take_order(layers, expects);
+            let is_applied = state.apply_order(layers, expected_revision);
+            if let Some((layers, expected_revision)) = state.unanswered_order.take() {
+                state.apply_order(layers, expected_revision);
             }
-            Some(taken)
+            Some(is_applied)
         }
     };
-    let Some(taken) = taken else {
+    let Some(is_applied) = is_applied else {
         tokio::time::sleep(Duration::from_secs(600)).await;
         return Ok(false);
     };
-    match taken {
-        true => whole(s, state, "202 Accepted", b"").await,
-        false => whole(s, state, "409 Conflict", b"").await,
+    match is_applied {
+        true => write_response(s, state, "202 Accepted", b"").await,
+        false => write_response(s, state, "409 Conflict", b"").await,
     }
 }
--- a/crates/deckwind-fakes/src/runner/fleet.rs
+++ b/crates/deckwind-fakes/src/runner/fleet.rs
@@ -1,5 +1,6 @@
-//! Engines that hand streams on to each other: what becomes of a stream depends on each
-//! engine on its path. Counts what all targets of a fleet are sent.
+//! A fleet of fake targets: streams pass through a path of engines, and stall or break
+//! if an engine on the path is down. Records the requests that all targets of the fleet
+//! receive.
 
 use super::State;
 use std::collections::{BTreeMap, HashMap};
@@ -9,72 +10,72 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How a fleet's engines run streams.
+/// Speed and capacity of a fleet's engines.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetPace {
-    /// Events of a stream, about: between half and one and a half of it.
+    /// Mean number of events of a stream; streams have between 0.5 and 1.5 times as many.
     pub events: u64,
-    /// Between two events.
+    /// Time between two events.
     pub gap: Duration,
-    /// How long a stream stands still behind an engine that is down before it is cut.
+    /// Time after which a stream that is stalled by a down engine is broken off.
     pub stall: Duration,
-    /// Streams that pass through one engine at most.
+    /// Maximum number of streams that pass through one engine.
     pub room: usize,
 }
 
-/// A request that came to a target of the fleet.
+/// A request that a target of the fleet received.
 #[derive(Clone, Debug)]
 pub struct FleetArrival {
-    /// Its id.
+    /// Request ID.
     pub request: String,
-    /// Pool of the target.
+    /// Pool of the target that received it.
     pub pool: String,
-    /// Where.
+    /// Address of the target that received it.
     pub address: SocketAddr,
-    /// When.
+    /// Time of receipt.
     pub at: Instant,
-    /// Whether the target began to run it.
+    /// Whether the target started to run it.
     pub ran: bool,
 }
 
-/// An engine that was down for a while.
+/// Start of an outage of an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Outage {
-    /// Which.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// From when on.
+    /// Time at which it went down.
     pub at: Instant,
 }
 
-/// Part of a path: an engine and the layers that it is to run.
+/// Stage of a path: an engine and the layers that it runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct PathPart {
+pub(super) struct PathStage {
     pub address: SocketAddr,
     layers: (u32, u32),
 }
 
-/// Reads a path as it is written in requests.
-pub(super) fn read_path(text: &str) -> Option<Vec<PathPart>> {
-    let part = |part: &str| {
-        let (address, layers) = part.trim().split_once('=')?;
+/// Parses a path in the notation of requests: `ADDRESS=FIRST-END`, separated by commas.
+pub(super) fn parse_path(text: &str) -> Option<Vec<PathStage>> {
+    let stage = |stage: &str| {
+        let (address, layers) = stage.trim().split_once('=')?;
         let (first, end) = layers.split_once('-')?;
-        Some(PathPart {
+        Some(PathStage {
             address: address.parse().ok()?,
             layers: (first.parse().ok()?, end.parse().ok()?),
         })
     };
-    text.split(',').map(part).collect()
+    text.split(',').map(stage).collect()
 }
 
-/// Why a path can't be taken, and the engine at fault.
+/// Reason why a stream can't use a path, with the address of the engine at fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum NoPath {
+pub(super) enum PathError {
     NotHeld(SocketAddr),
     Down(SocketAddr),
     Full(SocketAddr),
 }
 
-impl NoPath {
+impl PathError {
     pub(super) fn address(self) -> SocketAddr {
         match self {
             Self::NotHeld(a) | Self::Down(a) | Self::Full(a) => a,
@@ -82,24 +83,25 @@
     }
 }
 
+/// Streams that are running and the engines that they pass through.
 #[derive(Default)]
-struct Passing {
-    /// Paths of the streams that run, by first engine and request.
-    paths: HashMap<(SocketAddr, String), Vec<PathPart>>,
-    /// Streams by engine.
+struct ActiveStreams {
+    /// Path of each stream, by first engine and request ID.
+    paths: HashMap<(SocketAddr, String), Vec<PathStage>>,
+    /// Number of streams by engine.
     streams: HashMap<SocketAddr, usize>,
 }
 
-impl Passing {
-    fn take(&mut self, path: &[PathPart]) {
-        for part in path {
-            *self.streams.entry(part.address).or_default() += 1;
+impl ActiveStreams {
+    fn reserve(&mut self, path: &[PathStage]) {
+        for stage in path {
+            *self.streams.entry(stage.address).or_default() += 1;
         }
     }
 
-    fn give_back(&mut self, path: &[PathPart]) {
-        for part in path {
-            if let Some(count) = self.streams.get_mut(&part.address) {
+    fn release(&mut self, path: &[PathStage]) {
+        for stage in path {
+            if let Some(count) = self.streams.get_mut(&stage.address) {
                 *count = count.saturating_sub(1);
             }
         }
@@ -109,54 +111,55 @@
 struct Inner {
     pace: FleetPace,
     targets: Mutex<BTreeMap<SocketAddr, Arc<Mutex<State>>>>,
-    passing: Mutex<Passing>,
+    active: Mutex<ActiveStreams>,
     arrivals: Mutex<Vec<FleetArrival>>,
     outages: Mutex<Vec<Outage>>,
 }
 
-/// Targets that know of each other; clones share it.
+/// A group of targets that pass streams on to each other. Clones share its state.
 #[derive(Clone)]
 pub struct Fleet(Arc<Inner>);
 
 impl Fleet {
-    /// Without targets.
+    /// Creates a fleet without targets.
     pub fn new(pace: FleetPace) -> Self {
         Self(Arc::new(Inner {
             pace,
             targets: Mutex::default(),
-            passing: Mutex::default(),
+            active: Mutex::default(),
             arrivals: Mutex::default(),
             outages: Mutex::default(),
         }))
     }
 
-    /// All requests that came, in their order.
+    /// Returns all requests that were received, in order.
     pub fn arrivals(&self) -> Vec<FleetArrival> {
         lock(&self.0.arrivals).clone()
     }
 
-    /// All outages, in their order.
+    /// Returns all outages, in order.
     pub fn outages(&self) -> Vec<Outage> {
         lock(&self.0.outages).clone()
     }
 
-    /// How its engines run streams.
+    /// Returns the speed and capacity of its engines.
     pub(super) fn pace(&self) -> FleetPace {
         self.0.pace
     }
 
-    /// A target is of this fleet from now on.
+    /// Adds a target to the fleet.
     pub(super) fn join(&self, address: SocketAddr, state: Arc<Mutex<State>>) {
         lock(&self.0.targets).insert(address, state);
     }
 
-    /// An engine goes down now.
-    pub(super) fn note_outage(&self, address: SocketAddr) {
+    /// Records that an engine goes down now.
+    pub(super) fn record_outage(&self, address: SocketAddr) {
         let at = Instant::now();
         lock(&self.0.outages).push(Outage { address, at });
     }
 
-    /// Events of a stream for this request: the same wherever it runs.
+    /// Returns the number of events of the stream for a request. It depends only on the
+    /// request ID, so it is the same on every target.
     pub(super) fn events(&self, request: &str) -> u64 {
         let mut hasher = DefaultHasher::new();
         request.hash(&mut hasher);
@@ -164,8 +167,8 @@
         mean / 2 + hasher.finish() % mean.max(1)
     }
 
-    /// A request came; its number.
-    pub(super) fn arrived(&self, request: &str, pool: &str, address: SocketAddr) -> usize {
+    /// Records that a target received a request, and returns the index of the record.
+    pub(super) fn record_arrival(&self, request: &str, pool: &str, address: SocketAddr) -> usize {
         let mut arrivals = lock(&self.0.arrivals);
         arrivals.push(FleetArrival {
             request: request.to_string(),
@@ -177,51 +180,52 @@
         arrivals.len() - 1
     }
 
-    /// The target began to run a request.
-    pub(super) fn began(&self, arrival: usize) {
+    /// Records that the target started to run a request.
+    pub(super) fn record_start(&self, arrival: usize) {
         lock(&self.0.arrivals)[arrival].ran = true;
     }
 
-    /// Whether a stream can take a path; it passes through `held` already.
-    fn check(&self, path: &[PathPart], held: &[PathPart]) -> Result<(), NoPath> {
+    /// Checks whether a stream can use a path. Stages in `held` belong to the stream
+    /// already and need no free capacity.
+    fn check(&self, path: &[PathStage], held: &[PathStage]) -> Result<(), PathError> {
         let targets = lock(&self.0.targets);
-        for part in path {
-            let target = targets.get(&part.address);
-            let state = target.ok_or(NoPath::Down(part.address))?;
+        for stage in path {
+            let target = targets.get(&stage.address);
+            let state = target.ok_or(PathError::Down(stage.address))?;
             let state = lock(state);
             if state.is_down() {
-                return Err(NoPath::Down(part.address));
+                return Err(PathError::Down(stage.address));
             }
             let (first, end) = state.layers;
-            if part.layers.0 < first || part.layers.1 > end {
-                return Err(NoPath::NotHeld(part.address));
+            if stage.layers.0 < first || stage.layers.1 > end {
+                return Err(PathError::NotHeld(stage.address));
             }
         }
         drop(targets);
-        let passing = lock(&self.0.passing);
-        let count = |a: &SocketAddr| passing.streams.get(a).copied().unwrap_or_default();
-        let is_new = |p: &&PathPart| !held.contains(p);
+        let active = lock(&self.0.active);
+        let count = |a: &SocketAddr| active.streams.get(a).copied().unwrap_or_default();
+        let is_new = |p: &&PathStage| !held.contains(p);
         let mut new = path.iter().filter(is_new);
         match new.find(|p| count(&p.address) >= self.0.pace.room) {
-            Some(full) => Err(NoPath::Full(full.address)),
+            Some(full) => Err(PathError::Full(full.address)),
             None => Ok(()),
         }
     }
 
-    /// A stream begins over this path; its first engine is `first`.
-    pub(super) fn enter(
+    /// Starts a stream over a path; `first` is the engine that received the request.
+    pub(super) fn start_stream(
         &self,
         first: SocketAddr,
         request: &str,
-        path: Vec<PathPart>,
-    ) -> Result<FleetStream, NoPath> {
+        path: Vec<PathStage>,
+    ) -> Result<FleetStream, PathError> {
         self.check(&path, &[])?;
-        let mut passing = lock(&self.0.passing);
-        passing.take(&path);
+        let mut active = lock(&self.0.active);
+        active.reserve(&path);
         let key = (first, request.to_string());
-        let before = passing.paths.insert(key.clone(), path);
-        if let Some(before) = before {
-            passing.give_back(&before);
+        let previous = active.paths.insert(key.clone(), path);
+        if let Some(previous) = previous {
+            active.release(&previous);
         }
         Ok(FleetStream {
             fleet: self.clone(),
@@ -229,38 +233,38 @@
         })
     }
 
-    /// A stream that runs takes another path. Nothing where there is no such stream.
+    /// Moves a running stream to another path. Returns `None` if there is no such stream.
     pub(super) fn change_path(
         &self,
         first: SocketAddr,
         request: &str,
-        path: Vec<PathPart>,
-    ) -> Option<Result<(), NoPath>> {
+        path: Vec<PathStage>,
+    ) -> Option<Result<(), PathError>> {
         let key = (first, request.to_string());
-        let before = lock(&self.0.passing).paths.get(&key).cloned()?;
-        if let Err(refused) = self.check(&path, &before) {
-            return Some(Err(refused));
+        let previous = lock(&self.0.active).paths.get(&key).cloned()?;
+        if let Err(error) = self.check(&path, &previous) {
+            return Some(Err(error));
         }
-        let mut passing = lock(&self.0.passing);
-        passing.give_back(&before);
-        passing.take(&path);
-        passing.paths.insert(key, path);
+        let mut active = lock(&self.0.active);
+        active.release(&previous);
+        active.reserve(&path);
+        active.paths.insert(key, path);
         Some(Ok(()))
     }
 }
 
-/// A stream that runs, for as long as this lives.
+/// Guard of a running stream; dropping it releases the capacity of the path.
 pub(super) struct FleetStream {
     fleet: Fleet,
     key: (SocketAddr, String),
 }
 
 impl FleetStream {
-    /// The engine on its path that is down, if one is.
-    pub(super) fn waits_for(&self) -> Option<SocketAddr> {
-        let path = lock(&self.fleet.0.passing).paths.get(&self.key).cloned()?;
+    /// Returns the first engine on the path that is down, if any.
+    pub(super) fn down_engine(&self) -> Option<SocketAddr> {
+        let path = lock(&self.fleet.0.active).paths.get(&self.key).cloned()?;
         let targets = lock(&self.fleet.0.targets);
-        let is_down = |p: &&PathPart| {
+        let is_down = |p: &&PathStage| {
             let target = targets.get(&p.address);
             target.is_none_or(|state| lock(state).is_down())
         };
@@ -270,13 +274,13 @@
 
 impl Drop for FleetStream {
     fn drop(&mut self) {
-        let mut passing = lock(&self.fleet.0.passing);
-        if let Some(path) = passing.paths.remove(&self.key) {
-            passing.give_back(&path);
+        let mut active = lock(&self.fleet.0.active);
+        if let Some(path) = active.paths.remove(&self.key) {
+            active.release(&path);
         }
     }
 }
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().expect("no holder panics")
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().expect("no holder panics")
 }
--- a/crates/deckwind-fakes/src/runner/mod.rs
+++ b/crates/deckwind-fakes/src/runner/mod.rs
@@ -1,8 +1,8 @@
-//! A stand-in for the users' targets, from their published protocol: plain
-//! services and engines that hold layers, over HTTP/1.1, with faults.
+//! Fake of the users' targets (plain services and engines that hold layers), which serves
+//! their published protocol over HTTP/1.1, with faults.
 //!
-//! It writes its answers byte by byte (`answers`), because half of the faults are answers
-//! that a library would not write.
+//! The module `answers` writes the bytes of the answers itself, because about half of the
+//! faults are malformed answers that an HTTP library would not write.
 
 mod answers;
 mod fleet;
@@ -20,137 +20,143 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// What is wrong with a target.
+/// The fault that a target injects.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum RunnerFault {
-    /// Nothing.
+    /// No fault.
     #[default]
     None,
-    /// It does not run requests, and says so; `at_fault` names another stage.
+    /// Refuses requests with 503 and marks them as not executed.
     Refuses {
-        /// Address of that stage.
+        /// Address of another stage that the answer names as the cause.
         at_fault: Option<SocketAddr>,
     },
-    /// It runs them and answers 500.
+    /// Runs plain requests and answers 500.
     Fails,
-    /// It runs them and answers with this status, signed and without a promise.
+    /// Answers with this status and a signature, but does not mark the request as not
+    /// executed. The request is not recorded as run.
     Answers(u16),
-    /// It answers plain requests with so many bytes.
+    /// Answers plain requests with a body of this many bytes.
     Long(usize),
-    /// It writes so many events of so many bytes as fast as they are read.
+    /// Writes the events of a stream as fast as they are read.
     Floods {
-        /// Events.
+        /// Number of events.
         events: u64,
-        /// Bytes of each, about.
+        /// Bytes of data in each event.
         bytes: usize,
-        /// Whether it then goes on at the usual pace until the fault is over.
+        /// Whether it continues at the usual pace afterwards, until the fault is cleared.
         goes_on: bool,
     },
-    /// It runs them and closes in the middle of the answer; a stream before its
-    /// head.
+    /// Runs requests and closes the connection in the middle of the answer; of a
+    /// stream, before the head.
     Cuts,
-    /// It runs them and never answers.
+    /// Runs plain requests and does not answer for 600 s, then closes the connection.
     Mute,
-    /// It answers with another request's id.
+    /// Answers plain requests with the ID of another request.
     OtherId,
-    /// It answers without its signature.
+    /// Answers plain requests without a signature.
     Unsigned,
-    /// It answers without a length and closes.
+    /// Answers plain requests without a content length and closes the connection.
     Unframed,
-    /// It sends a second answer after the first.
+    /// Sends a second, unrequested answer after the answer to a plain request.
     Extra,
-    /// It leaves each order unanswered the first time, and carries it out when
-    /// the next one has been.
+    /// Leaves every other order unanswered, and applies it only after the order that
+    /// follows it.
     OrdersLate,
-    /// It refuses orders with 503.
+    /// Refuses orders with 503.
     RefusesOrders,
-    /// It breaks a stream off inside the event after this one.
+    /// Breaks a stream off in the middle of the event after this one.
     CutsAfter(u64),
-    /// A stream stands still after this event, until the fault is over; its
-    /// report names the stage.
+    /// Stalls a stream after an event until the fault is cleared, and reports the
+    /// stage that causes the stall.
     StallsAfter {
-        /// Last event before.
+        /// Last event that is sent before the stall.
         event: u64,
-        /// The stage that it names.
+        /// Address of the stage that the report names.
         stage: SocketAddr,
     },
 }
 
-/// A request as it came.
+/// A request as it was received.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SeenRequest {
-    /// Method and path.
+    /// Request line without the protocol version: method and path.
     pub line: String,
-    /// Headers, names in lower case.
+    /// Headers, with names in lower case.
     pub headers: BTreeMap<String, String>,
-    /// Body.
+    /// Request body.
     pub body: Vec<u8>,
 }
 
-/// A request that arrived, and what its sender was told.
+/// A received request, and what its answer says about the target.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its id.
+    /// Request ID.
     pub request: String,
-    /// When it came.
+    /// Time of receipt.
     pub at: Instant,
-    /// It was refused, with a rest of so long.
+    /// Rest period that the refusal asked for, if the request was refused with one.
     pub rest: Option<Duration>,
-    /// Its answer said that the target leaves.
+    /// Whether the answer announces that the target leaves.
     pub leaves: bool,
-    /// Its answer named this limit, requests a second.
+    /// Limit that the answer states, in requests per second.
     pub limit: Option<f64>,
 }
 
 #[derive(Default)]
 struct State {
     id: String,
-    /// Start of its life, Unix milliseconds.
+    /// Start of the incarnation, in Unix milliseconds.
     born: u64,
     fault: RunnerFault,
     seen: Vec<SeenRequest>,
-    /// Requests of this life.
+    /// Requests received by this incarnation.
     arrivals: Vec<Arrival>,
-    /// Ids of requests that it began to run.
+    /// IDs of the requests that it started to run, one entry for each run.
     ran: Vec<String>,
+    /// Stalled streams: request ID, and address of the stage that causes the stall.
     stalled: Vec<(String, SocketAddr)>,
+    /// Layers that it holds: first, and one past the last.
     layers: (u32, u32),
+    /// Number of orders applied, which is its configuration revision.
     orders: u64,
-    /// Orders that it refused.
+    /// Number of orders refused with 503.
     orders_refused: u32,
-    /// An order that was not answered: layers, and the orders it expects.
-    late: Option<((u32, u32), u64)>,
+    /// Unanswered order that is still to be applied: its layers and the revision that it
+    /// expects.
+    unanswered_order: Option<((u32, u32), u64)>,
     connections: u32,
     reports: u32,
-    /// What it reports in place of the truth.
-    other_report: Option<String>,
-    /// Floods that were written to their end.
+    /// Body that replaces the true report.
+    report_override: Option<String>,
+    /// IDs of the requests whose flood of events was written completely.
     written: Vec<String>,
-    /// Requests that were told to take another path.
+    /// Number of orders to move a request to another path.
     path_changes: u32,
-    /// Lives that a request ended.
+    /// Number of incarnations that crashed on a request.
     ended_by_requests: u32,
-    /// What it asks for with each 503, as it writes it.
+    /// Value of `Retry-After` in each 503.
     rest: Option<String>,
-    /// It says in all its answers that it leaves.
+    /// Whether all answers announce that it leaves.
     leaves: bool,
-    /// The limit that it names in all its answers, as it writes it.
+    /// Value of `Server-Limit` in all answers.
     limit: Option<String>,
-    /// It has ended, and starts again then.
-    away_until: Option<Instant>,
-    /// It has crashed, and refuses connections until then.
+    /// End of the downtime after a crash.
+    down_until: Option<Instant>,
+    /// Time until which connections are refused. After a crash that a request caused,
+    /// they are accepted and closed instead.
     refuses_until: Option<Instant>,
-    /// It is silent until then: it takes connections, and neither reads nor writes.
-    silent_until: Option<Instant>,
-    /// What its card is.
+    /// End of a pause, during which it accepts connections but neither reads nor writes.
+    paused_until: Option<Instant>,
+    /// Kind of card that it announces.
     kind: Option<String>,
-    /// The fleet that it belongs to, and its pool there.
+    /// Fleet that it belongs to, and its pool in that fleet.
     fleet: Option<(Fleet, String)>,
 }
 
 impl State {
-    /// Notes a request that has come.
-    fn note_arrival(&mut self, request: &str, fault: &RunnerFault) {
+    /// Records a received request.
+    fn record_arrival(&mut self, request: &str, fault: &RunnerFault) {
         let refuses = matches!(fault, RunnerFault::Refuses { .. });
         let seconds = self.rest.as_ref().and_then(|r| r.parse().ok());
         self.arrivals.push(Arrival {
@@ -162,84 +168,97 @@
         });
     }
 
-    /// Whether it has ended and not started again.
-    fn is_away(&self) -> bool {
-        self.away_until.is_some_and(|until| Instant::now() < until)
+    /// Whether it has crashed and not restarted yet.
+    fn is_crashed(&self) -> bool {
+        self.down_until.is_some_and(|until| Instant::now() < until)
     }
 
-    fn is_silent(&self) -> bool {
-        self.silent_until
+    /// Whether it is paused.
+    fn is_paused(&self) -> bool {
+        self.paused_until
             .is_some_and(|until| Instant::now() < until)
     }
 
-    /// Whether it does nothing for the streams that pass through it.
+    /// Whether streams that pass through it are stalled.
     fn is_down(&self) -> bool {
-        self.is_away() || self.is_silent()
+        self.is_crashed() || self.is_paused()
     }
 
-    /// Takes an order, if it expects as many as have been taken.
-    fn take_order(&mut self, layers: (u32, u32), expects: u64) -> bool {
-        let fits = expects == self.orders;
-        if fits {
+    /// Applies an order if it expects the current revision; returns whether it did.
+    fn apply_order(&mut self, layers: (u32, u32), expected_revision: u64) -> bool {
+        let is_expected = expected_revision == self.orders;
+        if is_expected {
             self.orders += 1;
             self.layers = layers;
         }
-        fits
+        is_expected
     }
 }
 
-/// A target that is being served; clones share it.
+/// A running fake target. Clones share its state.
 #[derive(Clone)]
 pub struct FakeRunner {
-    /// Where.
+    /// Address that it listens on.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     task: Arc<JoinHandle<()>>,
-    /// Counts its starts, and the times that connections were closed; what runs ends
-    /// then.
-    lives: Arc<watch::Sender<u32>>,
+    /// Incremented at each restart and whenever connections are closed; a change aborts
+    /// all running requests.
+    connection_epoch: Arc<watch::Sender<u32>>,
 }
 
-/// A request whose path ends so ends each target that begins to run it, a moment
-/// after it began. The target starts again under its id, [`AWAY`] later.
+/// Path suffix of requests on which a target crashes shortly after it started to run
+/// them. The target restarts with the same ID after [`AWAY`].
 pub const ENDS_ITS_TARGET: &str = "/ends-its-target";
 
-/// How long a target is away that a request ended: it takes no connection, and
-/// says nothing of itself.
+/// Downtime of a target that crashed on a request: it closes new connections at once
+/// and [`FakeRunner::listens`] returns `false`, so tests don't announce it.
 pub const AWAY: Duration = Duration::from_millis(400);
 
-/// Events of a whole stream.
+/// Number of events in a complete stream.
 pub const EVENTS: u64 = 12;
 
-/// Between two events.
+/// Time between two events, and polling interval for a pause or stall to end.
 const EVENT_GAP: Duration = Duration::from_millis(15);
 
 impl FakeRunner {
-    /// Serves a new life of a target with this id.
+    /// Starts a target with this ID on a free port.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no socket can be bound.
     pub async fn start(id: &str) -> Result<Self> {
-        // Bound and not listening: nobody else gets the port while the target is away.
-        let held = TcpSocket::new_v4()?;
-        held.set_reuseaddr(true)?;
-        held.bind((Ipv4Addr::LOCALHOST, 0).into())?;
-        let address = held.local_addr().context("it is bound")?;
+        // Stays bound without listening, so that no other process gets the port while the
+        // target is down.
+        let reserved_port = TcpSocket::new_v4()?;
+        reserved_port.set_reuseaddr(true)?;
+        reserved_port.bind((Ipv4Addr::LOCALHOST, 0).into())?;
+        let address = reserved_port
+            .local_addr()
+            .context("the bound socket has no local address")?;
         let listener = TcpListener::bind(address).await?;
         let state = Arc::new(Mutex::new(State {
             id: id.to_string(),
             born: unix_ms(),
             ..State::default()
         }));
-        let (lives, _) = watch::channel(0);
-        let lives = Arc::new(lives);
-        let task = tokio::spawn(accept_all(held, listener, state.clone(), lives.clone()));
+        let (connection_epoch, _) = watch::channel(0);
+        let connection_epoch = Arc::new(connection_epoch);
+        let task = tokio::spawn(accept_all(
+            reserved_port,
+            listener,
+            state.clone(),
+            connection_epoch.clone(),
+        ));
         Ok(Self {
             address,
             state,
             task: Arc::new(task),
-            lives,
+            connection_epoch,
         })
     }
 
-    /// Has it be an engine with such a card, or a plain target, of a fleet.
+    /// Adds it to a pool of a fleet; `kind` is the kind of its card if it is an engine.
     pub fn join(&self, fleet: &Fleet, pool: &str, kind: Option<&str>) {
         fleet.join(self.address, self.state.clone());
         let mut state = self.lock();
@@ -247,158 +266,159 @@
         state.kind = kind.map(str::to_string);
     }
 
-    /// It stands still for so long: it takes connections, and neither reads nor writes.
-    /// Then it goes on with what it runs.
+    /// Pauses it: it accepts connections, but neither reads nor writes. Afterwards it
+    /// continues its running requests.
     pub fn pause(&self, length: Duration) {
-        self.lock().silent_until = Some(Instant::now() + length);
+        self.lock().paused_until = Some(Instant::now() + length);
     }
 
-    /// It ends, refuses connections for so long, and starts again under its id.
+    /// Crashes it: it refuses connections for `length` and restarts with the same ID.
     pub fn crash(&self, length: Duration) {
-        begin_life(&self.state, &self.lives);
+        start_incarnation(&self.state, &self.connection_epoch);
         let until = Instant::now() + length;
         let mut state = self.lock();
-        state.away_until = Some(until);
+        state.down_until = Some(until);
         state.refuses_until = Some(until);
-        note_outage(&state, self.address);
+        record_outage(&state, self.address);
     }
 
-    /// It stands still for so long, and then starts again under its id.
+    /// Pauses it for `length`, then restarts it with the same ID.
     pub fn fall_silent(&self, length: Duration) {
         let until = Instant::now() + length;
         self.pause(length);
-        note_outage(&self.lock(), self.address);
-        let (state, lives) = (self.state.clone(), self.lives.clone());
+        record_outage(&self.lock(), self.address);
+        let (state, connection_epoch) = (self.state.clone(), self.connection_epoch.clone());
         tokio::spawn(async move {
             tokio::time::sleep_until(until).await;
-            begin_life(&state, &lives);
+            start_incarnation(&state, &connection_epoch);
         });
     }
 
-    /// Starts again under its id: what it did is broken off, and it holds and
-    /// knows nothing of before, but what it has seen.
+    /// Restarts it with the same ID. Running requests are aborted and its state is
+    /// reset, except for the records of seen and run requests and of crashes, its card
+    /// and its fleet.
     pub fn start_again(&self) {
-        begin_life(&self.state, &self.lives);
+        start_incarnation(&self.state, &self.connection_epoch);
     }
 
-    /// Lives that a request ended; see [`ENDS_ITS_TARGET`].
+    /// Returns how often it crashed on a request; see [`ENDS_ITS_TARGET`].
     pub fn ended_by_requests(&self) -> u32 {
         self.lock().ended_by_requests
     }
 
-    /// When its life started, Unix milliseconds.
+    /// Returns the start of its incarnation, in Unix milliseconds.
     pub fn born(&self) -> u64 {
         self.lock().born
     }
 
-    /// Sets the clock that tells its start; it may be wrong.
+    /// Sets the reported start of its incarnation, which may be wrong.
     pub fn set_born(&self, born: u64) {
         self.lock().born = born;
     }
 
-    /// Has it report this in place of the truth.
+    /// Replaces the body of its reports until it restarts.
     pub fn report_instead(&self, report: &str) {
-        self.lock().other_report = Some(report.to_string());
+        self.lock().report_override = Some(report.to_string());
     }
 
-    /// Has it hold these layers, as if an order had been carried out.
+    /// Sets the layers that it holds, as an applied order would.
     pub fn hold(&self, first: u32, last: u32) {
         self.lock().layers = (first, last);
     }
 
-    /// Makes something go wrong, or right again.
+    /// Sets or clears the injected fault.
     pub fn set_fault(&self, fault: RunnerFault) {
         self.lock().fault = fault;
     }
 
-    /// Has it ask to be left alone with each 503: for seconds, until a date, or what
-    /// can't be read.
+    /// Sets the `Retry-After` value of each 503: seconds, a date, or an invalid value.
+    /// `None` omits the header.
     pub fn ask_rest(&self, rest: Option<&str>) {
         self.lock().rest = rest.map(str::to_string);
     }
 
-    /// Has it say in all its answers that it leaves, or no more.
+    /// Sets whether all answers announce that it leaves.
     pub fn say_it_leaves(&self, leaves: bool) {
         self.lock().leaves = leaves;
     }
 
-    /// Has it name a limit in all its answers, requests a second from all VMs together,
-    /// or no more.
+    /// Sets the `Server-Limit` value of all answers: requests per second from all VMs
+    /// together. `None` omits the header.
     pub fn name_limit(&self, limit: Option<&str>) {
         self.lock().limit = limit.map(str::to_string);
     }
 
-    /// Requests that came, without reports and orders.
+    /// Returns the received requests, without report requests and orders.
     pub fn seen(&self) -> Vec<SeenRequest> {
         self.lock().seen.clone()
     }
 
-    /// Requests that its present life was sent, in their order.
+    /// Returns the requests that its current incarnation received, in order.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.lock().arrivals.clone()
     }
 
-    /// Requests that it began to run, one entry a run.
+    /// Returns the IDs of the requests that it started to run, one entry for each run.
     pub fn ran(&self) -> Vec<String> {
         self.lock().ran.clone()
     }
 
-    /// Times that it began to run this request.
+    /// Returns how often it started to run a request.
     pub fn runs(&self, request: &str) -> usize {
         self.lock().ran.iter().filter(|id| *id == request).count()
     }
 
-    /// Closes all connections, in the middle of what they carry. Its life goes on.
+    /// Closes all connections in the middle of their answers, without a restart.
     pub fn close_connections(&self) {
-        self.lives.send_modify(|life| *life += 1);
+        self.connection_epoch.send_modify(|epoch| *epoch += 1);
     }
 
-    /// Connections that came.
+    /// Returns the number of connections that this incarnation accepted.
     pub fn connections(&self) -> u32 {
         self.lock().connections
     }
 
-    /// Reports that it was asked for.
+    /// Returns the number of reports that this incarnation sent.
     pub fn reports(&self) -> u32 {
         self.lock().reports
     }
 
-    /// Requests whose flood of events was taken to its end.
+    /// Returns the IDs of the requests whose flood of events was written completely.
     pub fn written(&self) -> Vec<String> {
         self.lock().written.clone()
     }
 
-    /// Times that a request was told to take another path.
+    /// Returns the number of orders to move a request to another path.
     pub fn path_changes(&self) -> u32 {
         self.lock().path_changes
     }
 
-    /// Orders that it has taken.
+    /// Returns the number of orders that it applied.
     pub fn orders(&self) -> u64 {
         self.lock().orders
     }
 
-    /// Orders that it refused with 503.
+    /// Returns the number of orders that it refused with 503.
     pub fn orders_refused(&self) -> u32 {
         self.lock().orders_refused
     }
 
-    /// Layers that it holds: first, and one past the last.
+    /// Returns the layers that it holds: first, and one past the last.
     pub fn layers(&self) -> (u32, u32) {
         self.lock().layers
     }
 
-    /// Stops listening; connections that are open go on.
+    /// Stops listening; open connections are still served.
     pub fn stop(&self) {
         self.task.abort();
     }
 
-    /// Whether it listens.
+    /// Whether it listens and is neither down nor paused.
     pub fn listens(&self) -> bool {
         !self.task.is_finished() && !self.lock().is_down()
     }
 
-    /// What it announces of itself.
+    /// Returns its announcement in the published protocol.
     pub fn announcement(&self, pool: &str, zone: &str, state: &str, number: u64) -> Value {
         let (from, to) = self.layers();
         json!({
@@ -419,42 +439,44 @@
     }
 }
 
-/// Ends the life of a target and begins the next one.
-fn begin_life(state: &Mutex<State>, lives: &watch::Sender<u32>) {
+/// Starts a new incarnation of a target and aborts what the previous one ran.
+fn start_incarnation(state: &Mutex<State>, connection_epoch: &watch::Sender<u32>) {
     let mut state = state.lock().expect("no holder panics");
-    let before = std::mem::take(&mut *state);
+    let previous = std::mem::take(&mut *state);
     *state = State {
-        id: before.id,
-        born: unix_ms().max(before.born + 1),
-        seen: before.seen,
-        ran: before.ran,
-        ended_by_requests: before.ended_by_requests,
-        kind: before.kind,
-        fleet: before.fleet,
+        id: previous.id,
+        born: unix_ms().max(previous.born + 1),
+        seen: previous.seen,
+        ran: previous.ran,
+        ended_by_requests: previous.ended_by_requests,
+        kind: previous.kind,
+        fleet: previous.fleet,
         ..State::default()
     };
     drop(state);
-    lives.send_modify(|life| *life += 1);
+    connection_epoch.send_modify(|epoch| *epoch += 1);
 }
 
-fn note_outage(state: &State, address: SocketAddr) {
+fn record_outage(state: &State, address: SocketAddr) {
     if let Some((fleet, _)) = &state.fleet {
-        fleet.note_outage(address);
+        fleet.record_outage(address);
     }
 }
 
-/// Between two tries to listen again.
-const LISTEN_AGAIN: Duration = Duration::from_millis(20);
+/// Time between two attempts to listen again after a crash.
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Serves for ever. One that has crashed does not listen, so that connections are refused;
-/// one that a request ended closes those that it takes.
+/// Accepts connections until the task is aborted.
+///
+/// After [`FakeRunner::crash`] the target does not listen, so connections are refused.
+/// After a crash that a request caused, connections are accepted and closed.
 async fn accept_all(
-    held: TcpSocket,
+    reserved_port: TcpSocket,
     listener: TcpListener,
     state: Arc<Mutex<State>>,
-    lives: Arc<watch::Sender<u32>>,
+    connection_epoch: Arc<watch::Sender<u32>>,
 ) {
-    let Ok(address) = held.local_addr() else {
+    let Ok(address) = reserved_port.local_addr() else {
         return;
     };
     let mut listener = Some(listener);
@@ -466,28 +488,28 @@
         }
         match listener.take() {
             Some(open) => {
-                accept_while_there(&open, &state, &lives).await;
+                accept_until_interrupted(&open, &state, &connection_epoch).await;
                 listener = Some(open);
             }
             None => match TcpListener::bind(address).await {
                 Ok(open) => listener = Some(open),
-                Err(_) => tokio::time::sleep(LISTEN_AGAIN).await,
+                Err(_) => tokio::time::sleep(LISTEN_RETRY_INTERVAL).await,
             },
         }
     }
 }
 
-/// Accepts connections until the target's life ends.
-async fn accept_while_there(
+/// Accepts connections until the target restarts or its connections are closed.
+async fn accept_until_interrupted(
     listener: &TcpListener,
     state: &Arc<Mutex<State>>,
-    lives: &Arc<watch::Sender<u32>>,
+    connection_epoch: &Arc<watch::Sender<u32>>,
 ) {
-    let mut ends = lives.subscribe();
+    let mut epoch = connection_epoch.subscribe();
     loop {
         let stream = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = ends.changed() => return,
+            _ = epoch.changed() => return,
         };
         let Ok((stream, _)) = stream else {
             return;
@@ -500,24 +522,24 @@
             {
                 return;
             }
-            if state.is_away() {
+            if state.is_crashed() {
                 continue;
             }
             state.connections += 1;
         }
-        let (state, lives) = (state.clone(), lives.clone());
-        let mut life = lives.subscribe();
-        let serving = serve(stream, state.clone(), lives.clone());
+        let (state, connection_epoch) = (state.clone(), connection_epoch.clone());
+        let mut epoch = connection_epoch.subscribe();
+        let serving = serve(stream, state.clone(), connection_epoch.clone());
         tokio::spawn(async move {
             tokio::select! {
                 () = serving => {}
-                _ = life.changed() => {}
+                _ = epoch.changed() => {}
             }
         });
     }
 }
 
 fn unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    since.map_or(0, |s| s.as_millis() as u64)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    elapsed.map_or(0, |s| s.as_millis() as u64)
 }
--- a/crates/deckwind-fakes/src/serve.rs
+++ b/crates/deckwind-fakes/src/serve.rs
@@ -1,4 +1,4 @@
-//! Puts a fake behind HTTP/2, as the real clients speak it.
+//! HTTP/2 servers for the fakes, with the protocol that the real clients use.
 
 use crate::{FakePlatformList, FakeWeightStore};
 use anyhow::{Context, Result};
@@ -29,35 +29,37 @@
 
 type Body = BoxBody<Bytes, Infallible>;
 
-/// Breaks the stream in place of an answer.
+/// Handler error: makes hyper reset the HTTP/2 stream instead of answering.
 #[derive(Debug)]
-struct Broken;
+struct StreamReset;
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for StreamReset {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("broken on purpose")
+        f.write_str("stream reset by the fake")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for StreamReset {}
 
-/// A fake that is being served.
+/// A running server of a fake.
+///
+/// It keeps serving after it is dropped; only [`Served::kill`] stops it.
 pub struct Served {
-    /// Where.
+    /// Address that it listens on.
     pub address: SocketAddr,
     stop: watch::Sender<bool>,
     task: JoinHandle<()>,
 }
 
 impl Served {
-    /// Breaks all connections and stops listening, as a kill does.
+    /// Stops listening and breaks all connections, as killing the process would.
     pub async fn kill(self) {
         let _ = self.stop.send(true);
         let _ = self.task.await;
     }
 
     /// Serves until the process ends.
-    pub async fn forever(self) {
+    pub async fn serve_forever(self) {
         let _ = self.task.await;
     }
 }
@@ -65,11 +67,11 @@
 async fn listen<F, Fut>(address: SocketAddr, handle: F) -> Result<Served>
 where
     F: Fn(Request<Incoming>) -> Fut + Clone + Send + Sync + 'static,
-    Fut: Future<Output = Result<Response<Body>, Broken>> + Send + 'static,
+    Fut: Future<Output = Result<Response<Body>, StreamReset>> + Send + 'static,
 {
     let listener = TcpListener::bind(address)
         .await
-        .with_context(|| format!("TCP {address} can't be bound"))?;
+        .with_context(|| format!("failed to bind TCP address {address}"))?;
     let address = listener.local_addr()?;
     let (stop, stopped) = watch::channel(false);
     let task = tokio::spawn(accept_all(listener, stopped, handle));
@@ -83,11 +85,11 @@
 async fn accept_all<F, Fut>(listener: TcpListener, mut stopped: watch::Receiver<bool>, handle: F)
 where
     F: Fn(Request<Incoming>) -> Fut + Clone + Send + Sync + 'static,
-    Fut: Future<Output = Result<Response<Body>, Broken>> + Send + 'static,
+    Fut: Future<Output = Result<Response<Body>, StreamReset>> + Send + 'static,
 {
     loop {
         let accepted = tokio::select! {
-            () = told(&mut stopped) => return,
+            () = wait_for_kill(&mut stopped) => return,
             accepted = listener.accept() => accepted,
         };
         let Ok((stream, _)) = accepted else { continue };
@@ -101,48 +103,54 @@
                 .serve_connection(TokioIo::new(stream), service);
             tokio::select! {
                 _ = connection => {}
-                () = told(&mut stopped) => {}
+                () = wait_for_kill(&mut stopped) => {}
             }
         });
     }
 }
 
-/// Waits for a kill. A [`Served`] that is dropped without one serves on.
-async fn told(stopped: &mut watch::Receiver<bool>) {
+/// Waits for [`Served::kill`]. Never returns if the [`Served`] is dropped first.
+async fn wait_for_kill(stopped: &mut watch::Receiver<bool>) {
     if stopped.wait_for(|stop| *stop).await.is_err() {
         std::future::pending::<()>().await;
     }
 }
 
-fn whole(bytes: impl Into<Bytes>) -> Body {
+fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).boxed()
 }
 
-fn status(status: StatusCode, text: String) -> Response<Body> {
-    let mut res = Response::new(whole(text));
+fn text_response(status: StatusCode, text: String) -> Response<Body> {
+    let mut res = Response::new(full_body(text));
     *res.status_mut() = status;
     res
 }
 
-fn json<T: Serialize>(result: Result<T, TargetError>) -> Result<Response<Body>, Broken> {
+fn json_response<T: Serialize>(
+    result: Result<T, TargetError>,
+) -> Result<Response<Body>, StreamReset> {
     match result {
-        Ok(value) => Ok(Response::new(whole(
-            serde_json::to_vec(&value).map_err(|_| Broken)?,
+        Ok(value) => Ok(Response::new(full_body(
+            serde_json::to_vec(&value).map_err(|_| StreamReset)?,
         ))),
-        Err(TargetError::Refused(why)) => Ok(status(StatusCode::CONFLICT, why)),
-        Err(_) => Err(Broken),
+        Err(TargetError::Refused(reason)) => Ok(text_response(StatusCode::CONFLICT, reason)),
+        Err(_) => Err(StreamReset),
     }
 }
 
-async fn read(body: Incoming) -> Result<Bytes, Broken> {
-    Ok(body.collect().await.map_err(|_| Broken)?.to_bytes())
+async fn read_body(body: Incoming) -> Result<Bytes, StreamReset> {
+    Ok(body.collect().await.map_err(|_| StreamReset)?.to_bytes())
 }
 
-async fn read_json<T: serde::de::DeserializeOwned>(body: Incoming) -> Result<T, Broken> {
-    serde_json::from_slice(&read(body).await?).map_err(|_| Broken)
+async fn read_json<T: serde::de::DeserializeOwned>(body: Incoming) -> Result<T, StreamReset> {
+    serde_json::from_slice(&read_body(body).await?).map_err(|_| StreamReset)
 }
 
 /// Serves an engine.
+///
+/// # Errors
+///
+/// Fails if the address can't be bound.
 pub async fn engine(address: SocketAddr, engine: Arc<dyn Engine>) -> Result<Served> {
     listen(address, move |req| handle_engine(engine.clone(), req)).await
 }
@@ -150,29 +158,33 @@
 async fn handle_engine(
     engine: Arc<dyn Engine>,
     req: Request<Incoming>,
-) -> Result<Response<Body>, Broken> {
+) -> Result<Response<Body>, StreamReset> {
     let path = req.uri().path().to_string();
     match path.as_str() {
         paths::STAGE => open_stage(engine, req).await,
-        paths::LOAD => json(engine.load().await),
-        paths::EVENTS => json(engine.cache_events(read_json(req.into_body()).await?).await),
-        paths::EXPORT => json(engine.export_kv(read_json(req.into_body()).await?).await),
-        paths::IMPORT => json(engine.import_kv(read_json(req.into_body()).await?).await),
-        paths::ORDER => json(engine.order(read_json(req.into_body()).await?).await),
-        _ => Ok(status(StatusCode::NOT_FOUND, path)),
+        paths::LOAD => json_response(engine.load().await),
+        paths::EVENTS => {
+            json_response(engine.cache_events(read_json(req.into_body()).await?).await)
+        }
+        paths::EXPORT => json_response(engine.export_kv(read_json(req.into_body()).await?).await),
+        paths::IMPORT => json_response(engine.import_kv(read_json(req.into_body()).await?).await),
+        paths::ORDER => json_response(engine.order(read_json(req.into_body()).await?).await),
+        _ => Ok(text_response(StatusCode::NOT_FOUND, path)),
     }
 }
 
 async fn open_stage(
     engine: Arc<dyn Engine>,
     req: Request<Incoming>,
-) -> Result<Response<Body>, Broken> {
-    let head = req.headers().get(OPEN_HEADER).ok_or(Broken)?;
-    let open: OpenStage = serde_json::from_slice(head.as_bytes()).map_err(|_| Broken)?;
+) -> Result<Response<Body>, StreamReset> {
+    let head = req.headers().get(OPEN_HEADER).ok_or(StreamReset)?;
+    let open: OpenStage = serde_json::from_slice(head.as_bytes()).map_err(|_| StreamReset)?;
     let stage = match engine.open(open).await {
         Ok(stage) => stage,
-        Err(TargetError::Refused(why)) => return Ok(status(StatusCode::CONFLICT, why)),
-        Err(_) => return Err(Broken),
+        Err(TargetError::Refused(reason)) => {
+            return Ok(text_response(StatusCode::CONFLICT, reason));
+        }
+        Err(_) => return Err(StreamReset),
     };
     let (tx, rx) = mpsc::channel(1);
     tokio::spawn(run_stage(stage, req.into_body(), tx));
@@ -183,8 +195,11 @@
 
 type FrameSender = mpsc::Sender<Result<Frame<Bytes>, Infallible>>;
 
-/// Answers a line for a line, until either side ends. What was taken from the
-/// caller's side is closed when the caller goes away in the middle of a step.
+/// Answers each step order (one JSON line) with one line, until either side closes
+/// the stream.
+///
+/// If the caller disconnects during a step, the step is aborted and the stage is
+/// dropped, which closes it.
 async fn run_stage(mut stage: Box<dyn StageStream>, mut body: Incoming, tx: FrameSender) {
     let mut buf: Vec<u8> = Vec::new();
     while let Some(Ok(frame)) = body.frame().await {
@@ -221,17 +236,22 @@
 }
 
 /// Serves a plain service.
+///
+/// # Errors
+///
+/// Fails if the address can't be bound.
 pub async fn service(address: SocketAddr, service: Arc<dyn PlainService>) -> Result<Served> {
     listen(address, move |req| handle_service(service.clone(), req)).await
 }
 
-/// The service ends a call by itself; the caller's bound is the caller's.
-const LONGEST_CALL: Duration = Duration::from_secs(60);
+/// Timeout that the service itself applies to a call. The caller's timeout isn't
+/// known here and is enforced by the caller.
+const MAX_CALL_TIME: Duration = Duration::from_secs(60);
 
 async fn handle_service(
     service: Arc<dyn PlainService>,
     req: Request<Incoming>,
-) -> Result<Response<Body>, Broken> {
+) -> Result<Response<Body>, StreamReset> {
     let text = |name: &str| {
         let value = req.headers().get(name);
         value.and_then(|v| v.to_str().ok()).map(str::to_string)
@@ -243,60 +263,70 @@
         path,
         content_type,
         idempotency_key,
-        body: read(req.into_body()).await?.to_vec(),
-        timeout: LONGEST_CALL,
+        body: read_body(req.into_body()).await?.to_vec(),
+        timeout: MAX_CALL_TIME,
     };
     match service.call(call).await {
         Ok(answer) => {
-            let mut res = Response::new(whole(answer.body));
-            *res.status_mut() = StatusCode::from_u16(answer.status).map_err(|_| Broken)?;
-            let value = answer.content_type.parse().map_err(|_| Broken)?;
+            let mut res = Response::new(full_body(answer.body));
+            *res.status_mut() = StatusCode::from_u16(answer.status).map_err(|_| StreamReset)?;
+            let value = answer.content_type.parse().map_err(|_| StreamReset)?;
             res.headers_mut().insert(header::CONTENT_TYPE, value);
             Ok(res)
         }
-        Err(TargetError::Refused(why)) => Ok(status(StatusCode::SERVICE_UNAVAILABLE, why)),
+        Err(TargetError::Refused(reason)) => {
+            Ok(text_response(StatusCode::SERVICE_UNAVAILABLE, reason))
+        }
         Err(TargetError::Rests(rest)) => {
-            let mut res = status(StatusCode::SERVICE_UNAVAILABLE, String::new());
+            let mut res = text_response(StatusCode::SERVICE_UNAVAILABLE, String::new());
             let seconds = rest.as_secs_f64().to_string();
-            let seconds = seconds.parse().map_err(|_| Broken)?;
+            let seconds = seconds.parse().map_err(|_| StreamReset)?;
             res.headers_mut().insert(header::RETRY_AFTER, seconds);
             Ok(res)
         }
-        Err(_) => Err(Broken),
+        Err(_) => Err(StreamReset),
     }
 }
 
 /// Serves a platform list.
+///
+/// # Errors
+///
+/// Fails if the address can't be bound.
 pub async fn platform(address: SocketAddr, list: FakePlatformList) -> Result<Served> {
     listen(address, move |req| {
         let list = list.clone();
         async move {
             if req.uri().path() != VMS_PATH {
-                return Ok(status(StatusCode::NOT_FOUND, String::new()));
+                return Ok(text_response(StatusCode::NOT_FOUND, String::new()));
             }
-            json(list.list().await)
+            json_response(list.list().await)
         }
     })
     .await
 }
 
 /// Serves a weight store.
+///
+/// # Errors
+///
+/// Fails if the address can't be bound.
 pub async fn weights(address: SocketAddr, store: FakeWeightStore) -> Result<Served> {
     listen(address, move |req| {
         let store = store.clone();
         async move {
             let range = req.headers().get(header::RANGE);
-            let parts = range.and_then(|r| r.to_str().ok()).and_then(parse_range);
-            let (offset, len) = parts.ok_or(Broken)?;
-            let read = store.read(String::new(), String::new(), offset, len).await;
-            let chunk = match read {
+            let range = range.and_then(|r| r.to_str().ok()).and_then(parse_range);
+            let (offset, len) = range.ok_or(StreamReset)?;
+            let result = store.read(String::new(), String::new(), offset, len).await;
+            let chunk = match result {
                 Ok(chunk) => chunk,
-                Err(e) => return Ok(status(StatusCode::TOO_MANY_REQUESTS, e.to_string())),
+                Err(e) => return Ok(text_response(StatusCode::TOO_MANY_REQUESTS, e.to_string())),
             };
             let value = format!("bytes {offset}-{}/{}", offset + len - 1, chunk.total);
-            let mut res = Response::new(whole(chunk.bytes));
+            let mut res = Response::new(full_body(chunk.bytes));
             *res.status_mut() = StatusCode::PARTIAL_CONTENT;
-            let value = value.parse().map_err(|_| Broken)?;
+            let value = value.parse().map_err(|_| StreamReset)?;
             res.headers_mut().insert(header::CONTENT_RANGE, value);
             Ok(res)
         }
--- a/crates/deckwind-fakes/src/service.rs
+++ b/crates/deckwind-fakes/src/service.rs
@@ -1,4 +1,4 @@
-//! The fake plain service.
+//! Fake plain service that counts its runs.
 
 use deckwind_net::BoxFuture;
 use deckwind_net::targets::{PlainService, ServiceAnswer, ServiceCall, TargetError};
@@ -7,18 +7,19 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// What is wrong with a fake service.
+/// The fault that a fake service injects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServiceFault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// It refuses without running.
+    /// Refuses every call without running it.
     Refuses,
-    /// The same, and it wants to be left alone for so many milliseconds.
+    /// Refuses every call without running it, and asks for a rest period of this
+    /// many milliseconds.
     Rests(u64),
-    /// It runs, and breaks the connection in place of an answer.
+    /// Runs the call, then closes the connection instead of answering.
     RunsThenBreaks,
-    /// It runs, and never answers.
+    /// Runs the call and never answers.
     RunsThenFreezes,
 }
 
@@ -29,7 +30,8 @@
     refused: u32,
 }
 
-/// A fake service that counts its runs by idempotency key; clones share it.
+/// A fake service that counts its runs by idempotency key. Clones share its
+/// state.
 #[derive(Clone)]
 pub struct FakeService {
     name: String,
@@ -37,7 +39,7 @@
 }
 
 impl FakeService {
-    /// A service in good health. Its answers carry `name`.
+    /// Creates a service without a fault. Its answers contain `name`.
     pub fn new(name: &str) -> Self {
         Self {
             name: name.to_string(),
@@ -49,17 +51,18 @@
         }
     }
 
-    /// Makes something go wrong, or right again.
+    /// Sets or clears the injected fault.
     pub fn set_fault(&self, fault: ServiceFault) {
         self.lock().fault = fault;
     }
 
-    /// Runs by idempotency key; calls without one count under the empty key.
+    /// Returns the number of runs by idempotency key; calls without a key are
+    /// counted under the empty string.
     pub fn runs(&self) -> BTreeMap<String, u32> {
         self.lock().runs.clone()
     }
 
-    /// Calls that it refused.
+    /// Returns the number of calls that were refused.
     pub fn refused(&self) -> u32 {
         self.lock().refused
     }
--- a/crates/deckwind-fakes/src/site.rs
+++ b/crates/deckwind-fakes/src/site.rs
@@ -1,4 +1,5 @@
-//! Stand-ins of the users' callers and operator, from their published protocol.
+//! Requests and a release document as the users' callers and operator send
+//! them, according to their published protocol.
 
 use bytes::Bytes;
 use http::Request;
@@ -6,26 +7,27 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// Host of the routes in [`release_document`].
+/// The host of the routes in [`release_document`].
 pub const HOST: &str = "site.example";
 
-/// One request of a caller.
+/// A caller's request.
 #[derive(Clone, Debug)]
 pub struct FakeCall<'a> {
-    /// Names this try.
+    /// Request ID; each try has its own.
     pub id: &'a str,
-    /// Path; its first part names the route.
+    /// Path; the first segment selects the route.
     pub path: &'a str,
-    /// Bearer key.
+    /// API key, sent as the bearer token.
     pub key: &'a str,
-    /// Whether it is a generation, answered by events.
+    /// Whether it is a generation, which is answered by a stream of events.
     pub generation: bool,
-    /// The last event that the caller has.
+    /// ID of the last event that the caller received, to resume a stream after it.
     pub last_event: Option<u64>,
 }
 
-/// The head of a generation without a body, as a caller writes it to a socket: one that
-/// waits as long as its route allows.
+/// Returns the raw HTTP/1.1 head of a generation request with an empty body.
+///
+/// It has no deadline header, so the timeout of the route applies.
 pub fn generation_head(path: &str, key: &str, id: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nHost: {HOST}\r\nAuthorization: Bearer {key}\r\n\
@@ -34,7 +36,14 @@
 }
 
 impl FakeCall<'_> {
-    /// The request to a router. It waits 3 s, and claims to be another account's.
+    /// Builds the request to a router, with a deadline of 3 s.
+    ///
+    /// Its tenant header names another account, which a router has to ignore in
+    /// favour of the key.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the path or a header value is invalid.
     pub fn request(&self, router: SocketAddr) -> http::Result<Request<Full<Bytes>>> {
         let mut req = Request::post(format!("http://{router}{}", self.path))
             .header("host", HOST)
@@ -52,10 +61,11 @@
     }
 }
 
-/// A release with the routes `/safe/`, `/once/`, `/tell/` (streams that can't be
-/// taken up; all at the pool `plain`), `/stream/` and `/long/` (with more time; both
-/// at `engines`, which hold four layers, two a card), for one account with these
-/// keys.
+/// Returns a release document with one account that has the given keys.
+///
+/// The routes `/safe/`, `/once/` and `/tell/` (streams that can't be resumed) use
+/// the pool `plain`. The routes `/stream/` and `/long/` (timeout 60 s instead of
+/// 3 s) use the pool `engines`, whose model has four layers; a card holds two.
 pub fn release_document(version: u64, keys: &[&str]) -> Value {
     let route = |name: &str, kind: &str, pool: &str, attempts: u32| {
         json!({
@@ -88,7 +98,7 @@
     })
 }
 
-/// The request id that a target saw; empty if there was none.
+/// Returns the request ID that a target received; empty if there was none.
 pub fn request_id(seen: &crate::SeenRequest) -> String {
     let id = seen.headers.get("x-deckwind-request-id");
     id.cloned().unwrap_or_default()
--- a/crates/deckwind-fakes/src/weights.rs
+++ b/crates/deckwind-fakes/src/weights.rs
@@ -1,10 +1,11 @@
-//! The fake weight store.
+//! Fake weight store with a limited read budget.
 
 use deckwind_net::BoxFuture;
 use deckwind_net::targets::{TargetError, WeightChunk, WeightStore};
 use std::sync::{Arc, Mutex};
 
-/// A store of made-up weights with a budget of bytes; clones share it.
+/// A store of generated weights with a budget of bytes that may be read.
+/// Clones share the budget.
 #[derive(Clone)]
 pub struct FakeWeightStore {
     total: u64,
@@ -12,8 +13,8 @@
 }
 
 impl FakeWeightStore {
-    /// Every model has `total` bytes; `budget` bytes may be read until
-    /// [`FakeWeightStore::refill`].
+    /// Creates a store in which every model has `total` bytes and `budget` bytes
+    /// may be read until [`FakeWeightStore::refill`] is called.
     pub fn new(total: u64, budget: u64) -> Self {
         Self {
             total,
@@ -21,12 +22,12 @@
         }
     }
 
-    /// Allows `bytes` more.
+    /// Adds `bytes` to the read budget.
     pub fn refill(&self, bytes: u64) {
         *self.budget.lock().expect("no holder panics") += bytes;
     }
 
-    fn read_now(&self, offset: u64, len: u64) -> Result<WeightChunk, TargetError> {
+    fn read_range(&self, offset: u64, len: u64) -> Result<WeightChunk, TargetError> {
         if len == 0 {
             return Err(TargetError::NotSent(
                 "a part needs at least one byte".to_string(),
@@ -56,6 +57,6 @@
         offset: u64,
         len: u64,
     ) -> BoxFuture<'_, Result<WeightChunk, TargetError>> {
-        Box::pin(async move { self.read_now(offset, len) })
+        Box::pin(async move { self.read_range(offset, len) })
     }
 }
--- a/crates/deckwind-testkit/examples/capacity.rs
+++ b/crates/deckwind-testkit/examples/capacity.rs
@@ -1,5 +1,5 @@
-//! Slopes for docs/CAPACITY.md: state, messages and processor time of each role,
-//! each at three or more sizes.
+//! Measures how memory, message sizes and processor time of each role grow, at three or more
+//! sizes each. docs/CAPACITY.md uses the figures.
 //!
 //! ```text
 //! cargo run --release -p deckwind-testkit --example capacity
@@ -28,6 +28,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant as Clock};
 
+/// Returns the resident memory of this process in KiB, or 0 if it can't be read.
 fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with("VmRSS:"));
@@ -50,7 +51,7 @@
     machine.apply(Command { at_ms: 0, body });
 }
 
-fn machine(targets: u32, accounts: u32, templates: u32) -> StateMachine {
+fn build_state(targets: u32, accounts: u32, templates: u32) -> StateMachine {
     let mut machine = StateMachine::default();
     for i in 0..templates {
         let template = chat_template(&format!("template-{i}"), 32);
@@ -87,29 +88,29 @@
     }
 }
 
-fn configuration_state() {
+fn measure_configuration() {
     println!("configuration: memory and snapshot by targets (330 accounts, 24 templates)");
     for targets in [400, 1_600, 3_300, 6_600] {
         let before = resident_kib();
-        let began = Clock::now();
-        let machine = machine(targets, 330, 24);
-        let took = began.elapsed();
-        let held = resident_kib().saturating_sub(before);
+        let started = Clock::now();
+        let machine = build_state(targets, 330, 24);
+        let elapsed = started.elapsed();
+        let resident = resident_kib().saturating_sub(before);
         let bytes = machine.to_snapshot().len();
         println!(
-            "  {targets:>5} targets: {held:>6} KiB resident, snapshot {:>5} KiB, {:.1} us a change",
+            "  {targets:>5} targets: {resident:>6} KiB resident, snapshot {:>5} KiB, {:.1} us per change",
             bytes / 1_024,
-            took.as_secs_f64() * 1e6 / f64::from(targets + 354)
+            elapsed.as_secs_f64() * 1e6 / f64::from(targets + 354)
         );
         std::mem::forget(machine);
     }
 }
 
-fn claims_state() {
-    println!("claims: memory by rows, each ended with an answer of 256 bytes");
+fn measure_claims() {
+    println!("claims: memory by rows, each finished with an answer of 256 bytes");
     for rows in [10_000u64, 20_000, 40_000, 80_000] {
         let before = resident_kib();
-        let began = Clock::now();
+        let started = Clock::now();
         let mut machine = StateMachine::default();
         for i in 0..rows {
             let claim = claim(i);
@@ -127,19 +128,19 @@
                 machine.apply(Command { at_ms: i, body });
             }
         }
-        let took = began.elapsed();
-        let held = resident_kib().saturating_sub(before);
+        let elapsed = started.elapsed();
+        let resident = resident_kib().saturating_sub(before);
         println!(
-            "  {rows:>6} rows: {held:>6} KiB, {:.0} bytes a row, {:.2} us a claim with its end",
-            held as f64 * 1_024.0 / rows as f64,
-            took.as_secs_f64() * 1e6 / rows as f64
+            "  {rows:>6} rows: {resident:>6} KiB, {:.0} bytes per row, {:.2} us per claim and its finish",
+            resident as f64 * 1_024.0 / rows as f64,
+            elapsed.as_secs_f64() * 1e6 / rows as f64
         );
         std::mem::forget(machine);
     }
 }
 
-fn log_state() {
-    println!("log: memory by entries of 100 bytes that no snapshot holds yet");
+fn measure_log() {
+    println!("log: memory by entries of 100 bytes that are not in a snapshot yet");
     for entries in [25_000u64, 50_000, 100_000, 200_000] {
         let before = resident_kib();
         let mut log = Log::default();
@@ -151,19 +152,19 @@
             let payload = Payload::Command(vec![1; 100]);
             log.push(Entry { at, payload });
         }
-        let held = resident_kib().saturating_sub(before);
+        let resident = resident_kib().saturating_sub(before);
         println!(
-            "  {entries:>6} entries: {held:>6} KiB, {:.0} bytes an entry",
-            held as f64 * 1_024.0 / entries as f64
+            "  {entries:>6} entries: {resident:>6} KiB, {:.0} bytes per entry",
+            resident as f64 * 1_024.0 / entries as f64
         );
         std::mem::forget(log);
     }
 }
 
-fn router_state() {
-    println!("router: memory by targets, one delta that brings them all");
+fn measure_router() {
+    println!("router: memory by targets, all received in one delta");
     for targets in [400, 1_600, 3_300] {
-        let machine = machine(targets, 330, 24);
+        let machine = build_state(targets, 330, 24);
         let delta = machine.configuration().delta_since(Revision::ZERO);
         let bytes = encode(&delta).len();
         let before = resident_kib();
@@ -176,10 +177,10 @@
             seed: 1,
         };
         let mut router = RouterCore::new(cfg, now);
-        let began = Clock::now();
+        let started = Clock::now();
         router.granted(LeaseGrant::new(now, Term(1)), now, delta, Vec::new(), 350);
-        let first = began.elapsed();
-        let began = Clock::now();
+        let first = started.elapsed();
+        let started = Clock::now();
         let mut machine = machine;
         for i in 0..100 {
             let at = router.lease().applied();
@@ -188,10 +189,10 @@
             let delta = machine.configuration().delta_since(at);
             router.granted(LeaseGrant::new(now, Term(1)), now, delta, Vec::new(), 350);
         }
-        let each = began.elapsed() / 100;
-        let held = resident_kib().saturating_sub(before);
+        let per_change = started.elapsed() / 100;
+        let resident = resident_kib().saturating_sub(before);
         println!(
-            "  {targets:>5} targets: {held:>6} KiB, first delta {} KiB in {first:.1?}, each change after {each:.1?}",
+            "  {targets:>5} targets: {resident:>6} KiB, first delta {} KiB in {first:.1?}, each later change {per_change:.1?}",
             bytes / 1_024
         );
         std::mem::forget(router);
@@ -216,10 +217,10 @@
     }
 }
 
-fn messages() {
+fn measure_messages() {
     println!("messages, bytes (before QUIC):");
     for accounts in [0, 4, 8, 330] {
-        let ask = encode(&ControlRequest::Renew(renewal(1, accounts))).len();
+        let request = encode(&ControlRequest::Renew(renewal(1, accounts))).len();
         let shares = (0..accounts)
             .map(|a| (format!("account-{a}").into(), AccountShare { per_s: 1.5 }))
             .collect();
@@ -239,19 +240,19 @@
         };
         let answer = encode(&deckwind_wire::ControlReply::Granted(Box::new(grant))).len();
         println!(
-            "  renewal with {accounts:>3} accounts in demand: {ask:>6} asked, {answer:>6} answered"
+            "  renewal with {accounts:>3} accounts in demand: request {request:>6}, answer {answer:>6}"
         );
     }
-    let machine = machine(1, 1, 1);
-    let one = machine.configuration().delta_since(Revision(2));
-    println!("  one changed target in a grant: {}", encode(&one).len());
+    let machine = build_state(1, 1, 1);
+    let delta = machine.configuration().delta_since(Revision(2));
+    println!("  one changed target in a grant: {}", encode(&delta).len());
     println!(
         "  a claim: {}",
         encode(&ControlRequest::Claim(claim(1))).len()
     );
 }
 
-/// A cluster of one, on a disk, that leads.
+/// Creates the only replica of a cluster on a disk and runs it until it leads.
 fn leader(store: Store, opened: deckwind_store::Opened) -> Result<ControlNode> {
     let cfg = ReplicaConfig::new(opened.id, [0], 1);
     let mut node = ControlNode::new(
@@ -276,47 +277,53 @@
     }
 }
 
-fn fresh() -> ReplicaId {
+/// Returns the ID for a new data folder.
+fn new_replica_id() -> ReplicaId {
     ReplicaId {
         slot: 0,
         identity: 1,
     }
 }
 
-fn renewals() -> Result<()> {
-    println!("leader: processor time of renewals, 8 accounts in demand each");
+fn measure_renewals() -> Result<()> {
+    println!("leader: processor time of renewals, each with demand for 8 accounts");
     for routers in [50u32, 150, 350, 700] {
-        let (store, opened) = Store::open(Box::new(MemoryDisk::default()), fresh())?;
+        let (store, opened) = Store::open(Box::new(MemoryDisk::default()), new_replica_id())?;
         let mut node = leader(store, opened)?;
         let rounds = 20;
-        let began = Clock::now();
+        let started = Clock::now();
         for round in 0..rounds {
-            let asks = (0..routers).map(|i| ControlEvent::Request {
+            let requests = (0..routers).map(|i| ControlEvent::Request {
                 token: u64::from(i),
                 request: ControlRequest::Renew(renewal(i, 8)),
             });
-            node.take(now(6_000 + round * 400), asks.collect(), &mut Vec::new())?;
+            node.take(
+                now(6_000 + round * 400),
+                requests.collect(),
+                &mut Vec::new(),
+            )?;
         }
-        let each = began.elapsed() / (rounds as u32 * routers);
-        let per_s = each.as_secs_f64() * f64::from(routers) / 0.4;
+        let per_renewal = started.elapsed() / (rounds as u32 * routers);
+        let core_share = per_renewal.as_secs_f64() * f64::from(routers) / 0.4;
         println!(
-            "  {routers:>4} routers: {each:.2?} a renewal, {:.2}% of a core at one each 400 ms",
-            per_s * 100.0
+            "  {routers:>4} routers: {per_renewal:.2?} per renewal, {:.2}% of a core at one renewal per router every 400 ms",
+            core_share * 100.0
         );
     }
     Ok(())
 }
 
-fn commits() -> Result<()> {
-    println!("leader on this machine's disk: claims by batch (one sync a batch)");
+fn measure_commits() -> Result<()> {
+    println!("leader on this machine's disk: claims by batch size (one sync per batch)");
     for batch in [1u64, 10, 100, 1_000] {
         let folder = tempfile::tempdir()?;
-        let (store, opened) = Store::open(Box::new(FsDisk::open(folder.path())?), fresh())?;
+        let (store, opened) =
+            Store::open(Box::new(FsDisk::open(folder.path())?), new_replica_id())?;
         let mut node = leader(store, opened)?;
         let syncs = node.store().syncs();
         let batches = 200;
-        let began = Clock::now();
-        let mut done = 0;
+        let started = Clock::now();
+        let mut replies = 0;
         for b in 0..batches {
             let events = (0..batch).map(|i| {
                 let n = b * batch + i;
@@ -325,26 +332,27 @@
             });
             let mut effects = Vec::new();
             node.take(now(6_000 + b), events.collect(), &mut effects)?;
-            done += effects
+            replies += effects
                 .iter()
                 .filter(|e| matches!(e, Effect::Reply(..)))
                 .count();
         }
-        let took = began.elapsed();
+        let elapsed = started.elapsed();
         println!(
-            "  batch {batch:>4}: {:>8.0} claims/s, {:.2} syncs a batch, {done} replies",
-            done as f64 / took.as_secs_f64(),
+            "  batch {batch:>4}: {:>8.0} claims/s, {:.2} syncs per batch, {replies} replies",
+            replies as f64 / elapsed.as_secs_f64(),
             (node.store().syncs() - syncs) as f64 / batches as f64
         );
     }
     Ok(())
 }
 
-fn restarts() -> Result<()> {
-    println!("restart: opening a log by its length (entries of one changed target)");
+fn measure_restarts() -> Result<()> {
+    println!("restart: time to open a log by its length (each entry changes one target)");
     for entries in [500u32, 2_000, 4_000] {
         let folder = tempfile::tempdir()?;
-        let (store, opened) = Store::open(Box::new(FsDisk::open(folder.path())?), fresh())?;
+        let (store, opened) =
+            Store::open(Box::new(FsDisk::open(folder.path())?), new_replica_id())?;
         let mut node = leader(store, opened)?;
         for i in 0..entries {
             let request = Box::new(ApplyRequest {
@@ -364,19 +372,19 @@
         }
         let bytes = node.store().log_bytes();
         drop(node);
-        let began = Clock::now();
+        let started = Clock::now();
         let raw = std::fs::read(folder.path().join("log"))?;
         let copy = tempfile::tempdir()?;
         for file in ["log", "identity"] {
             std::fs::copy(folder.path().join(file), copy.path().join(file))?;
         }
-        let copied = began.elapsed();
-        let began = Clock::now();
-        let (_, opened) = Store::open(Box::new(FsDisk::open(copy.path())?), fresh())?;
+        let copied = started.elapsed();
+        let started = Clock::now();
+        let (_, opened) = Store::open(Box::new(FsDisk::open(copy.path())?), new_replica_id())?;
         println!(
             "  {entries:>5} entries: log {} KiB, opened in {:.1?} ({} entries; copying {} bytes took {copied:.1?})",
             bytes / 1_024,
-            began.elapsed(),
+            started.elapsed(),
             opened.stored.entries.len(),
             raw.len()
         );
@@ -385,14 +393,14 @@
 }
 
 fn main() -> Result<()> {
-    configuration_state();
-    claims_state();
-    log_state();
-    router_state();
-    messages();
-    renewals()?;
-    commits()?;
-    restarts()?;
+    measure_configuration();
+    measure_claims();
+    measure_log();
+    measure_router();
+    measure_messages();
+    measure_renewals()?;
+    measure_commits()?;
+    measure_restarts()?;
 
     Ok(())
 }
--- a/crates/deckwind-testkit/examples/many_targets.rs
+++ b/crates/deckwind-testkit/examples/many_targets.rs
@@ -1,6 +1,6 @@
-//! What thousands of targets that announce themselves cost the leader: time that
-//! it works, its longest batch, and when their layers are placed. The times are of
-//! this machine's clock; a control VM has 0.3 of a core.
+//! Measures the cost of thousands of announcing targets for the leader: its processing
+//! time, its longest batch, and when the layers of the targets are placed. Processing times
+//! are measured with the clock of this machine; a control VM has 0.3 of a core.
 //!
 //! `cargo run --release -p deckwind-testkit --example many_targets -- [ROUTERS TARGETS RELAYS]`
 
@@ -8,19 +8,19 @@
 use deckwind_testkit::fan_out::{FanOut, engine_fleet, engine_release};
 use std::time::Duration;
 
-/// Link of a control VM, Mbit/s.
+/// Bandwidth of the link of a control VM, in Mbit/s.
 const LINK_MBPS: f64 = 170.0;
 
-/// Between two announcements of one target.
-const PERIOD: Duration = Duration::from_millis(1_200);
+/// Time between two announcements of one target.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// Steps into which a period is cut.
-const STEPS: u32 = 120;
+/// Number of steps in a period; each announces a part of the targets.
+const STEPS_PER_PERIOD: u32 = 120;
 
-/// Most repeats that all routers may be given.
-const REPEATS: u64 = 1_040;
+/// Maximum number of retries that may be granted to all routers together.
+const MAX_RETRIES: u64 = 1_040;
 
-/// Periods that are run.
+/// Number of periods to run.
 const PERIODS: u64 = 8;
 
 fn run(routers: usize, targets: usize, relays: u32) -> Result<()> {
@@ -28,28 +28,28 @@
     fan_out.publish(engine_release(1, 240));
     fan_out.run_until_applied(Duration::from_secs(5))?;
     fan_out.pass_on(relays);
-    fan_out.serve(REPEATS);
+    fan_out.serve(MAX_RETRIES);
     fan_out.take_carried();
     let fleet = engine_fleet(targets);
-    let each = targets.div_ceil(STEPS as usize);
-    println!("{routers} routers, {targets} targets, {relays} replicas that pass on");
+    let batch_size = targets.div_ceil(STEPS_PER_PERIOD as usize);
+    println!("{routers} routers, {targets} targets, {relays} relaying replicas");
     for period in 1..=PERIODS {
-        for part in fleet.chunks(each) {
-            for engine in part {
+        for batch in fleet.chunks(batch_size) {
+            for engine in batch {
                 let mut engine = engine.clone();
                 engine.layers = fan_out.held_by(&engine.id);
                 engine.in_memory = engine.layers.len();
                 engine.announced = period;
                 fan_out.announce(engine);
             }
-            fan_out.run_for(PERIOD / STEPS)?;
+            fan_out.run_for(ANNOUNCE_INTERVAL / STEPS_PER_PERIOD)?;
         }
         let carried = fan_out.take_carried();
         println!(
-            "  until {:>5.1} s: worked {:>7.1} ms a second, longest batch {:>7.1} ms, queue {:>5.1} ms, \
+            "  until {:>5.1} s: worked {:>7.1} ms per second, longest batch {:>7.1} ms, queue {:>5.1} ms, \
              {:>6.2} MB in {:>5} messages, {:>4} engines hold layers, {} routers lag, {} leases lost",
-            period as f64 * PERIOD.as_secs_f64(),
-            carried.worked.as_secs_f64() * 1e3 / PERIOD.as_secs_f64(),
+            period as f64 * ANNOUNCE_INTERVAL.as_secs_f64(),
+            carried.worked.as_secs_f64() * 1e3 / ANNOUNCE_INTERVAL.as_secs_f64(),
             carried.longest_batch.as_secs_f64() * 1e3,
             carried.longest_queue.as_secs_f64() * 1e3,
             carried.bytes as f64 / 1e6,
--- a/crates/deckwind-testkit/examples/oxhttp_trial.rs
+++ b/crates/deckwind-testkit/examples/oxhttp_trial.rs
@@ -1,5 +1,6 @@
-//! Why callers' streams do not go by oxhttp: when does the first byte of an
-//! 80-token answer come, one token each 25 ms?
+//! Measures when oxhttp sends the first byte of an answer of 80 tokens, produced
+//! at one token every 25 ms. The result is the reason why callers' streams don't
+//! use oxhttp.
 //!
 //! ```text
 //! cargo run --release -p deckwind-testkit --example oxhttp_trial
@@ -13,9 +14,9 @@
 use std::time::{Duration, Instant};
 
 const TOKENS: u32 = 80;
-const BETWEEN: Duration = Duration::from_millis(25);
+const TOKEN_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A token at each read, as an engine makes them.
+/// Reader that returns one token per read, at the speed of an engine.
 struct Tokens(u32);
 
 impl Read for Tokens {
@@ -24,7 +25,7 @@
             return Ok(0);
         }
         self.0 -= 1;
-        std::thread::sleep(BETWEEN);
+        std::thread::sleep(TOKEN_INTERVAL);
         let event = b"data: token\n\n";
         buf[..event.len()].copy_from_slice(event);
         Ok(event.len())
@@ -37,17 +38,17 @@
         .bind(address)
         .spawn()?;
     let mut stream = TcpStream::connect(address)?;
-    let began = Instant::now();
+    let started = Instant::now();
     stream.write_all(b"GET / HTTP/1.1\r\nhost: a\r\nconnection: close\r\n\r\n")?;
     let mut first = [0; 1];
     stream.read_exact(&mut first)?;
-    println!("first byte after {:.2?}", began.elapsed());
+    println!("first byte after {:.2?}", started.elapsed());
     let mut rest = Vec::new();
     stream.read_to_end(&mut rest)?;
     println!(
-        "{} bytes, the last after {:.2?}",
+        "{} bytes, last byte after {:.2?}",
         rest.len() + 1,
-        began.elapsed()
+        started.elapsed()
     );
     Ok(())
 }
--- a/crates/deckwind-testkit/examples/placement_room.rs
+++ b/crates/deckwind-testkit/examples/placement_room.rs
@@ -1,6 +1,7 @@
-//! Tokens that engines keep at the narrowest layer and at the mean one: at the
-//! start, and over 12 s in which a sixth of the engines die and come back empty
-//! 4.5 s later. Virtual time, eight seeds; takes seconds.
+//! Measures the token capacity of the layer with the least capacity and the mean over all
+//! layers: after the start, over 12 s in which a sixth of the engines crash and restart
+//! empty 4.5 s later, and while engines are replaced one after another. Runs in virtual
+//! time with eight seeds and takes seconds.
 //!
 //! `cargo run --release -p deckwind-testkit --example placement_room`
 
@@ -11,61 +12,64 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Until all layers of a start are loaded, 15 loads waiting for each other.
-const STARTS_IN: Duration = Duration::from_secs(60);
+/// Time until all layers are loaded after a start, with 15 loads in sequence.
+const START_TIME: Duration = Duration::from_secs(60);
 
-fn mean(rooms: &[Room], of: impl Fn(&Room) -> f64) -> f64 {
-    rooms.iter().map(of).sum::<f64>() / rooms.len() as f64 / 1e3
+/// Returns the mean of a value over all measurements, in thousands.
+fn mean(measurements: &[Room], value: impl Fn(&Room) -> f64) -> f64 {
+    measurements.iter().map(value).sum::<f64>() / measurements.len() as f64 / 1e3
 }
 
 fn main() {
-    println!("thousands of tokens: narrowest layer, mean layer, empty engines, orders");
+    println!(
+        "thousands of tokens at the layer with the least capacity, mean of all layers, empty engines, orders"
+    );
     for (name, mix) in MIXES {
         let mut start = Placing::new(mix);
-        start.run_for(STARTS_IN);
-        let room = start.room();
+        start.run_for(START_TIME);
+        let capacity = start.room();
         println!(
             "{name}: start {:>5.0} {:>5.0} {:>3} {:>4}",
-            room.narrowest / 1e3,
-            room.mean / 1e3,
-            room.empty,
+            capacity.narrowest / 1e3,
+            capacity.mean / 1e3,
+            capacity.empty,
             start.orders
         );
-        let mut all = Vec::new();
+        let mut measurements = Vec::new();
         let mut orders = 0;
         for seed in 1..=8 {
             let mut placing = Placing::new(mix);
-            placing.run_for(STARTS_IN);
-            let before = placing.orders;
+            placing.run_for(START_TIME);
+            let orders_before = placing.orders;
             let mut ids = placing.ready();
             ids.shuffle(&mut StdRng::seed_from_u64(seed));
             let lost: BTreeSet<String> = ids.iter().take(ids.len() / 6).cloned().collect();
             placing.lose(&lost);
-            all.extend(placing.run_for(Duration::from_millis(4_500)));
+            measurements.extend(placing.run_for(Duration::from_millis(4_500)));
             placing.replace(&lost);
-            all.extend(placing.run_for(Duration::from_millis(7_500)));
-            orders += placing.orders - before;
+            measurements.extend(placing.run_for(Duration::from_millis(7_500)));
+            orders += placing.orders - orders_before;
         }
-        let worst = all
+        let worst = measurements
             .iter()
             .map(|r| r.narrowest)
             .fold(f64::INFINITY, f64::min)
             / 1e3;
         println!(
             "    losses: {:>5.0} {:>5.0} {:>5.1} {:>4}, worst {worst:>4.0}",
-            mean(&all, |r| r.narrowest),
-            mean(&all, |r| r.mean),
-            mean(&all, |r| r.empty as f64) * 1e3,
+            mean(&measurements, |r| r.narrowest),
+            mean(&measurements, |r| r.mean),
+            mean(&measurements, |r| r.empty as f64) * 1e3,
             orders / 8
         );
         let mut placing = Placing::new(mix);
-        placing.run_for(STARTS_IN);
-        let rooms =
+        placing.run_for(START_TIME);
+        let measurements =
             placing.replace_in_turn(placing.ready().len() * 3 / 10, Duration::from_millis(500));
         println!(
-            "    replaced in turn: {:>5.0} {:>5.0}",
-            mean(&rooms, |r| r.narrowest),
-            mean(&rooms, |r| r.mean)
+            "    replaced one by one: {:>5.0} {:>5.0}",
+            mean(&measurements, |r| r.narrowest),
+            mean(&measurements, |r| r.mean)
         );
     }
 }
--- a/crates/deckwind-testkit/examples/room_after_loss.rs
+++ b/crates/deckwind-testkit/examples/room_after_loss.rs
@@ -1,11 +1,13 @@
-//! Tokens that the narrowest layers keep, calm and after losses, beside the most that any
-//! layout of the same cards in whole chains could keep. Virtual time; takes seconds.
+//! Measures the token capacity of the layer with the least capacity, without faults and
+//! after losses of engines. The bound is the maximum that any layout of the same cards in
+//! complete chains could reach. Runs in virtual time and takes seconds.
 //!
 //! `cargo run --release -p deckwind-testkit --example room_after_loss`
 //!
-//! Each row: the tokens kept (thousands), then what part of the calm ones is left at the
-//! moment of a loss, 1 s and 6 s after it (mean and worst of all draws), then what part of
-//! the calm ones the bound allows for what is left (mean and worst).
+//! For each mix of cards, the capacity without faults and its bound are printed (thousands
+//! of tokens). Each row below gives fractions of the capacity without faults, as mean and
+//! worst of all draws: at the moment of the loss, 1 s and 6 s after it, and the bound for
+//! the engines that are left.
 
 use deckwind_testkit::placing::{MIXES, Placing};
 use rand::SeedableRng;
@@ -14,90 +16,93 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Until all layers of a start are loaded.
-const STARTS_IN: Duration = Duration::from_secs(60);
+/// Time until all layers are loaded after a start.
+const START_TIME: Duration = Duration::from_secs(60);
 
-/// When the room is looked at after a loss.
-const SOON: Duration = Duration::from_secs(1);
-const LATER: Duration = Duration::from_secs(6);
+/// Times after a loss at which the capacity is measured.
+const FIRST_CHECK: Duration = Duration::from_secs(1);
+const SECOND_CHECK: Duration = Duration::from_secs(6);
 
-/// Losses of three engines that are drawn.
+/// Number of random losses of three engines.
 const DRAWS: u64 = 60;
 
-/// Room after one loss, as parts of the calm one.
-struct After {
-    at_once: f64,
-    soon: f64,
-    later: f64,
+/// Capacity after one loss, as fractions of the capacity without faults.
+struct RemainingCapacity {
+    at_loss: f64,
+    at_first_check: f64,
+    at_second_check: f64,
     bound: f64,
 }
 
-fn lose(calm: &Placing, lost: &BTreeSet<String>) -> After {
-    let before = calm.room().narrowest;
-    let mut placing = calm.clone();
+fn lose(baseline: &Placing, lost: &BTreeSet<String>) -> RemainingCapacity {
+    let capacity = baseline.room().narrowest;
+    let mut placing = baseline.clone();
     placing.lose(lost);
-    let part = |placing: &Placing| placing.room().narrowest / before;
-    let at_once = part(&placing);
-    let bound = placing.most_room() / before;
-    placing.run_for(SOON);
-    let soon = part(&placing);
-    placing.run_for(LATER - SOON);
-    After {
-        at_once,
-        soon,
-        later: part(&placing),
+    let fraction = |placing: &Placing| placing.room().narrowest / capacity;
+    let at_loss = fraction(&placing);
+    let bound = placing.most_room() / capacity;
+    placing.run_for(FIRST_CHECK);
+    let at_first_check = fraction(&placing);
+    placing.run_for(SECOND_CHECK - FIRST_CHECK);
+    RemainingCapacity {
+        at_loss,
+        at_first_check,
+        at_second_check: fraction(&placing),
         bound,
     }
 }
 
-fn show(name: &str, all: &[After]) {
-    let of = |of: fn(&After) -> f64| {
-        let values = all.iter().map(of);
+fn print_row(name: &str, results: &[RemainingCapacity]) {
+    let mean_and_worst = |value: fn(&RemainingCapacity) -> f64| {
+        let values = results.iter().map(value);
         let worst = values.clone().fold(f64::INFINITY, f64::min);
-        let mean = values.sum::<f64>() / all.len() as f64;
+        let mean = values.sum::<f64>() / results.len() as f64;
         format!("{mean:.2} {worst:.2}")
     };
     println!(
         "    {name:<28} at once {}   1 s {}   6 s {}   bound {}",
-        of(|a| a.at_once),
-        of(|a| a.soon),
-        of(|a| a.later),
-        of(|a| a.bound)
+        mean_and_worst(|a| a.at_loss),
+        mean_and_worst(|a| a.at_first_check),
+        mean_and_worst(|a| a.at_second_check),
+        mean_and_worst(|a| a.bound)
     );
 }
 
-/// Each group of engines of one kind in one data centre.
+/// Returns the groups of engines with the same kind of card in the same data centre.
 fn groups(ids: &[String]) -> Vec<BTreeSet<String>> {
     let group = |id: &str| id.rsplit_once('-').map(|(group, _)| group.to_string());
     let names: BTreeSet<Option<String>> = ids.iter().map(|id| group(id)).collect();
-    let of = |name: &Option<String>| {
-        let mine = ids.iter().filter(|id| group(id) == *name);
-        mine.cloned().collect()
+    let members = |name: &Option<String>| {
+        let members = ids.iter().filter(|id| group(id) == *name);
+        members.cloned().collect()
     };
-    names.iter().map(of).collect()
+    names.iter().map(members).collect()
 }
 
 fn main() {
     for (name, mix) in MIXES {
-        let mut calm = Placing::new(mix);
-        calm.run_for(STARTS_IN);
+        let mut baseline = Placing::new(mix);
+        baseline.run_for(START_TIME);
         println!(
-            "{name}: calm {:.0}, bound {:.0}",
-            calm.room().narrowest / 1e3,
-            calm.most_room() / 1e3
+            "{name}: without faults {:.0}, bound {:.0}",
+            baseline.room().narrowest / 1e3,
+            baseline.most_room() / 1e3
         );
-        let ids = calm.ready();
+        let ids = baseline.ready();
         let single = ids.iter().map(|id| BTreeSet::from([id.clone()]));
-        let single: Vec<After> = single.map(|lost| lose(&calm, &lost)).collect();
-        show("each single engine", &single);
+        let single: Vec<RemainingCapacity> = single.map(|lost| lose(&baseline, &lost)).collect();
+        print_row("each single engine", &single);
         let draw = |seed| {
             let mut ids = ids.clone();
             ids.shuffle(&mut StdRng::seed_from_u64(seed));
             ids.into_iter().take(3).collect::<BTreeSet<String>>()
         };
-        let three: Vec<After> = (0..DRAWS).map(|seed| lose(&calm, &draw(seed))).collect();
-        show("any three, 60 draws", &three);
-        let groups: Vec<After> = groups(&ids).iter().map(|g| lose(&calm, g)).collect();
-        show("all of a kind in one centre", &groups);
+        let three: Vec<RemainingCapacity> = (0..DRAWS)
+            .map(|seed| lose(&baseline, &draw(seed)))
+            .collect();
+        print_row("any three, 60 draws", &three);
+        let groups: Vec<RemainingCapacity> =
+            groups(&ids).iter().map(|g| lose(&baseline, g)).collect();
+        print_row("one kind in one data centre", &groups);
     }
 }
--- a/crates/deckwind-testkit/examples/slow_readers.rs
+++ b/crates/deckwind-testkit/examples/slow_readers.rs
@@ -1,4 +1,5 @@
-//! Resident memory of a router's process beside many callers that read nothing.
+//! Measures the resident memory of a router process while many callers read nothing of
+//! their answers.
 //!
 //! ```text
 //! cargo run --release -p deckwind-testkit --example slow_readers -- BIN_FOLDER [MEMORY_MB]
@@ -17,17 +18,23 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpSocket, TcpStream};
 
-/// Each answer: 8 MB, as fast as it is read; sockets take up some 3 MB of it.
+/// Size of each answer: 8 MB, written as fast as it is read. Socket buffers hold about 3 MB
+/// of it.
 const EVENTS: u32 = 2_000;
 const EVENT_BYTES: u32 = 4_000;
 
+/// Returns the resident memory of a process in KiB.
 fn resident_kib(process: u32) -> Result<u64> {
     let status = std::fs::read_to_string(format!("/proc/{process}/status"))?;
     let line = status.lines().find(|l| l.starts_with("VmRSS:"));
-    let word = line.and_then(|l| l.split_whitespace().nth(1));
-    word.context("no VmRSS")?.parse().context("VmRSS")
+    let value = line.and_then(|l| l.split_whitespace().nth(1));
+    value
+        .context("no VmRSS line in the process status")?
+        .parse()
+        .context("invalid VmRSS")
 }
 
+/// Posts a JSON body; returns `None` unless the answer is a success.
 async fn post(address: SocketAddr, path: &str, body: &Value) -> Option<()> {
     let client = Client::builder(TokioExecutor::new()).build_http();
     let body = Full::new(bytes::Bytes::from(body.to_string()));
@@ -36,7 +43,8 @@
     res.status().is_success().then_some(())
 }
 
-async fn ask(router: SocketAddr, id: &str) -> Result<TcpStream> {
+/// Requests a flood of events and returns the connection, without reading from it.
+async fn open_stream(router: SocketAddr, id: &str) -> Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     socket.set_recv_buffer_size(8_192)?;
     let mut stream = socket.connect(router).await?;
@@ -49,27 +57,30 @@
 #[tokio::main]
 async fn main() -> Result<()> {
     let mut args = std::env::args().skip(1);
-    let bins = args.next().context("name the folder of the programs")?;
+    let bin_folder = args.next().context("the argument BIN_FOLDER is missing")?;
     let mut layout = Layout::new(1, 1)?;
     layout.memory_mb = Some(args.next().map_or(Ok(160.0), |m| m.parse())?);
-    let path = |name: &str| format!("{bins}/{name}");
+    let path = |name: &str| format!("{bin_folder}/{name}");
     let daemon = path("testkit-daemon");
     let cluster = Processes::new(layout, &daemon, &path("testkit-cli"), &path("testkit-fake"));
     let _control = cluster.control(0)?;
     let router = cluster.router(0)?;
     let control = cluster.layout.control_calls[0];
     let release = release_document(1, &["key"]);
-    eventually_async("the release is taken", || {
+    eventually_async("the release is accepted", || {
         post(control, "/v1/config/put", &release)
     })
     .await;
     let target = FakeRunner::start("p-0").await?;
-    let says = target.announcement("plain", "recife-a", "ready", 1);
+    let announcement = target.announcement("plain", "recife-a", "ready", 1);
     let heartbeat = "/v1/instances/p-0/heartbeat";
-    eventually_async("the target is known", || post(control, heartbeat, &says)).await;
+    eventually_async("the target is known", || {
+        post(control, heartbeat, &announcement)
+    })
+    .await;
     let routes = cluster.layout.routers[0].routes;
-    eventually_async("it serves", || async {
-        drop(ask(routes, "warm-up").await.ok()?);
+    eventually_async("the router serves requests", || async {
+        drop(open_stream(routes, "warm-up").await.ok()?);
         target
             .seen()
             .iter()
@@ -78,19 +89,19 @@
     })
     .await;
     println!("memory {:?} MB, answers of 8 MB", cluster.layout.memory_mb);
-    println!("none slow: {} KiB", resident_kib(router.id())?);
+    println!("no slow callers: {} KiB", resident_kib(router.id())?);
     for callers in [5, 10, 20, 40, 80] {
-        let before = target.written().len();
+        let written_before = target.written().len();
         let mut open = Vec::new();
         for i in 0..callers {
-            open.push(ask(routes, &format!("slow-{callers}-{i}")).await?);
+            open.push(open_stream(routes, &format!("slow-{callers}-{i}")).await?);
         }
-        // Long enough for their answers over loopback; nobody reads.
+        // Long enough to transfer the answers over loopback; the callers don't read.
         tokio::time::sleep(Duration::from_millis(1_500)).await;
-        let written = target.written().len() - before;
+        let written = target.written().len() - written_before;
         let resident = resident_kib(router.id())?;
         println!(
-            "{callers:>4} slow callers: {resident:>7} KiB, {written} answers read to their end"
+            "{callers:>4} slow callers: {resident:>7} KiB, {written} answers read completely from the target"
         );
         drop(open);
         tokio::time::sleep(Duration::from_millis(500)).await;
