--- a/crates/deckwind-testkit/tests/testsuite/at_size.rs
+++ b/crates/deckwind-testkit/tests/testsuite/at_size.rs
@@ -13,7 +13,7 @@
     run(async {
         let pauses = trouble(Kind::EnginesPause, 34);
         let cuts = trouble(Kind::EnginesCut, 50);
-        let report = report(1, vec![pauses, cuts]).await;
+        let report = run_processes(1, vec![pauses, cuts]).await;
         assert_eq!(report.beyond_attempts, 0, "{report:?}");
         assert_eq!(report.unpaid, 0, "{report:?}");
     });
@@ -28,7 +28,7 @@
     }
 }
 
-async fn report(seed: u64, troubles: Vec<Trouble>) -> Report {
+async fn run_processes(seed: u64, troubles: Vec<Trouble>) -> Report {
     let size = Size::of_tens();
     let layout = at_size::layout(&size).expect("a layout");
     let (length, troubles) = (Duration::from_secs(15), Troubles::Given(troubles));
--- a/crates/deckwind-testkit/tests/testsuite/limits.rs
+++ b/crates/deckwind-testkit/tests/testsuite/limits.rs
@@ -4,9 +4,9 @@
 //! Guards against a fault seen when two of three first-stage engines named limits of 5.9 and
 //! 5.5 requests per second. Nine routers sent as before: 57 and 66 requests arrived in the 4 s
 //! after the routers had received the limits, 14 per second in all, for as long as the limits
-//! were in force. Nothing was refused and callers noticed nothing, but the engines were
-//! overloaded. No code read the header: routers chose engines by the memory that streams held
-//! there. Had each router enforced the limit by itself, all nine could have sent nine times
+//! were in force. Nothing was refused and callers noticed nothing: the excess load fell on the
+//! engines alone. No code read the header: routers chose engines by the memory that streams
+//! held there. Had each router enforced the limit by itself, all nine could have sent nine times
 //! as much, since nothing coordinated a limit for all VMs. Arrivals per second were the same
 //! before and after, and sends went on beside `event=target_names_limit` lines.
 
--- a/crates/deckwind-testkit/tests/testsuite/notices.rs
+++ b/crates/deckwind-testkit/tests/testsuite/notices.rs
@@ -160,7 +160,7 @@
         let mut rng = StdRng::seed_from_u64(seed);
         let mut notices = TargetNotices::default();
         let mut rests: BTreeMap<(u32, u64), Instant> = BTreeMap::new();
-        let mut gone: HashSet<(u32, u64)> = HashSet::new();
+        let mut leaving: HashSet<(u32, u64)> = HashSet::new();
         let mut ms = 0;
         for _ in 0..200 {
             ms += rng.random_range(0..400);
@@ -181,10 +181,10 @@
                 *until = (*until).max(at(ms) + rest);
             }
             if notice.leaves {
-                gone.insert((n, born));
+                leaving.insert((n, born));
             }
             let until = rests.get(&(n, born)).copied().unwrap_or(START);
-            let expected = gone.contains(&(n, born)) || until > at(ms);
+            let expected = leaving.contains(&(n, born)) || until > at(ms);
             let turns_away = notices.turns_away(at(ms), instance.address, &instance.life());
             assert_eq!(turns_away, expected, "seed {seed} at {ms} ms");
         }
@@ -312,9 +312,9 @@
             path(&book, &engines, &avoid).expect_err("all chains have an engine in a rest period");
         assert_eq!(error, NoChoice::Resting(Duration::from_millis(2_500)));
     }
-    let mut gone = engines.clone();
-    gone.retain(|e| first.iter().all(|f| f.address != e.address));
-    let error = path(&book, &gone, &HashSet::new());
+    let mut without_first_stage = engines.clone();
+    without_first_stage.retain(|e| first.iter().all(|f| f.address != e.address));
+    let error = path(&book, &without_first_stage, &HashSet::new());
     assert_eq!(
         error,
         Err(NoChoice::NoTarget),
--- a/crates/deckwind-testkit/tests/testsuite/promises.rs
+++ b/crates/deckwind-testkit/tests/testsuite/promises.rs
@@ -34,7 +34,7 @@
     own_421 = { Came::Own(421), Told::PassOn, Told::MayHaveRun },
     nothing = { Came::Nothing, Told::MayHaveRun, Told::MayHaveRun },
 )]
-fn what_a_try_comes_to(came: Came, repeatable: Told, once: Told) {
+fn results_of_attempts(came: Came, repeatable: Told, once: Told) {
     assert_eq!(told(REPEATABLE, came), repeatable);
     assert_eq!(told(RESUMABLE, came), repeatable);
     assert_eq!(told(ONCE, came), once);
--- a/crates/deckwind-testkit/tests/testsuite/rejections.rs
+++ b/crates/deckwind-testkit/tests/testsuite/rejections.rs
@@ -52,7 +52,7 @@
     }
 
     /// Handles requests, and returns the replies that are due.
-    fn take(&mut self, requests: Vec<(u64, ControlRequest)>) -> Vec<(u64, ControlReply)> {
+    fn handle(&mut self, requests: Vec<(u64, ControlRequest)>) -> Vec<(u64, ControlReply)> {
         self.ms += 10;
         let now = Now {
             at: START + Duration::from_millis(self.ms),
@@ -70,7 +70,7 @@
     }
 
     fn run(&mut self, ms: u64) -> Vec<(u64, ControlReply)> {
-        (0..ms / 10).flat_map(|_| self.take(Vec::new())).collect()
+        (0..ms / 10).flat_map(|_| self.handle(Vec::new())).collect()
     }
 
     fn renew(&mut self, token: u64, vm: &str) -> Vec<(u64, ControlReply)> {
@@ -87,15 +87,15 @@
             repeats: None,
             limits: LimitReport::default(),
         };
-        self.take(vec![(token, ControlRequest::Renew(renewal))])
+        self.handle(vec![(token, ControlRequest::Renew(renewal))])
     }
 
-    fn full(&mut self, token: u64, vm: &str, layer_tokens: u64) -> Vec<(u64, ControlReply)> {
+    fn report_full(&mut self, token: u64, vm: &str, layer_tokens: u64) -> Vec<(u64, ControlReply)> {
         let full = EngineFull {
             address: engine(),
             layer_tokens,
         };
-        self.take(vec![(token, ControlRequest::Full(holder(vm), vec![full]))])
+        self.handle(vec![(token, ControlRequest::Full(holder(vm), vec![full]))])
     }
 }
 
@@ -114,7 +114,7 @@
     leader.run(500);
     leader.renew(3, "a");
     leader.renew(4, "b");
-    let mut replies = leader.full(5, "a", 700);
+    let mut replies = leader.report_full(5, "a", 700);
     replies.extend(leader.run(110));
     let (a, b) = (grant(&replies, 3), grant(&replies, 4));
     let grant_of_b = b.expect("b is answered before its 400 ms have passed");
--- a/crates/deckwind-testkit/tests/testsuite/repeats.rs
+++ b/crates/deckwind-testkit/tests/testsuite/repeats.rs
@@ -137,8 +137,8 @@
     );
 }
 
-/// The last retries go to streams that have begun, then to those that can still meet their
-/// objective. `free_percent` is the part of the budget that the leader may still issue.
+/// The last retries go to streams that have begun, then to new ones that can still be in time.
+/// `free_percent` is the part of the budget that the leader may still issue.
 #[parameterized(
     none = { 0, 100, [false, false, false] },
     leader_has_all = { 1, 100, [true, true, true] },
