--- a/crates/deckwind-testkit/tests/testsuite/cut_runs.rs
+++ b/crates/deckwind-testkit/tests/testsuite/cut_runs.rs
@@ -28,9 +28,9 @@
     for (i, event) in events.iter().enumerate() {
         let at = Instant::from_millis(1_000 + i as u64);
         match event.strip_prefix("agreed ") {
-            Some(ends) => {
+            Some(count) => {
                 let names = ["a", "b", "c"].into_iter();
-                let names = names.take(ends.parse().expect("a number"));
+                let names = names.take(count.parse().expect("a number"));
                 let mut machine = StateMachine::default();
                 apply(
                     &mut machine,
@@ -62,8 +62,8 @@
     let at = Instant::from_millis(1_000);
     cut_runs.lives_over(at, vec![incarnation("b")]);
     let mut machine = StateMachine::default();
-    let ends = ["a", "b"].map(|name| crash(digest, incarnation(name)));
-    apply(&mut machine, 1, ends.to_vec());
+    let crashes = ["a", "b"].map(|name| crash(digest, incarnation(name)));
+    apply(&mut machine, 1, crashes.to_vec());
     cut_runs.agreed(at, machine.configuration().suspects());
     cut_runs.cut(at, digest, &incarnation("b"), None);
     assert!(cut_runs.may_send(at, &digest), "two targets have crashed");
