--- a/crates/deckwind-testkit/tests/testsuite/at_size.rs
+++ b/crates/deckwind-testkit/tests/testsuite/at_size.rs
@@ -1,18 +1,19 @@
-//! Many of the real programs at once, against engines that depend on each other.
+//! Many real router and control processes at once, with engines that form chains of
+//! stages.
 
 use crate::processes::processes_of;
 use crate::run;
 use deckwind_testkit::at_size::{self, Kind, Report, Size, Trouble, Troubles};
 use std::time::Duration;
 
-/// Engines that stood still for a moment were taken to have ended, once for each look at
-/// them: requests ran at up to five targets where their routes allow two.
+/// Guards against counting a paused engine as crashed once for each check of it: requests
+/// then ran at up to five targets on routes that allow two.
 #[test]
 fn engines_that_stand_still_give_requests_no_further_tries() {
     run(async {
         let pauses = trouble(Kind::EnginesPause, 34);
         let cuts = trouble(Kind::EnginesCut, 50);
-        let report = report(1, vec![pauses, cuts]).await;
+        let report = run_processes(1, vec![pauses, cuts]).await;
         assert_eq!(report.beyond_attempts, 0, "{report:?}");
         assert_eq!(report.unpaid, 0, "{report:?}");
     });
@@ -27,7 +28,7 @@
     }
 }
 
-async fn report(seed: u64, troubles: Vec<Trouble>) -> Report {
+async fn run_processes(seed: u64, troubles: Vec<Trouble>) -> Report {
     let size = Size::of_tens();
     let layout = at_size::layout(&size).expect("a layout");
     let (length, troubles) = (Duration::from_secs(15), Troubles::Given(troubles));
--- a/crates/deckwind-testkit/tests/testsuite/rejections.rs
+++ b/crates/deckwind-testkit/tests/testsuite/rejections.rs
@@ -1,5 +1,5 @@
-//! A router that was refused by an engine tells the leader, and all others hear of
-//! it: through the control core of a lone replica, in virtual time.
+//! A router reports to the leader that an engine has refused it, and the leader passes this
+//! on to all other routers. Runs on the control core of a single replica in virtual time.
 
 use deckwind_core::control::{
     ControlEvent, ControlLimits, ControlReply, ControlRequest, EngineFull, Grant, LimitReport,
@@ -30,7 +30,7 @@
     ([10, 0, 0, 7], 80).into()
 }
 
-/// A replica that leads by itself.
+/// A single replica, which is the leader.
 struct Leader {
     node: ControlNode,
     ms: u64,
@@ -51,8 +51,8 @@
         leader
     }
 
-    /// Takes requests, and answers what is due.
-    fn take(&mut self, requests: Vec<(u64, ControlRequest)>) -> Vec<(u64, ControlReply)> {
+    /// Handles requests, and returns the replies that are due.
+    fn handle(&mut self, requests: Vec<(u64, ControlRequest)>) -> Vec<(u64, ControlReply)> {
         self.ms += 10;
         let now = Now {
             at: START + Duration::from_millis(self.ms),
@@ -70,7 +70,7 @@
     }
 
     fn run(&mut self, ms: u64) -> Vec<(u64, ControlReply)> {
-        (0..ms / 10).flat_map(|_| self.take(Vec::new())).collect()
+        (0..ms / 10).flat_map(|_| self.handle(Vec::new())).collect()
     }
 
     fn renew(&mut self, token: u64, vm: &str) -> Vec<(u64, ControlReply)> {
@@ -87,15 +87,15 @@
             repeats: None,
             limits: LimitReport::default(),
         };
-        self.take(vec![(token, ControlRequest::Renew(renewal))])
+        self.handle(vec![(token, ControlRequest::Renew(renewal))])
     }
 
-    fn full(&mut self, token: u64, vm: &str, layer_tokens: u64) -> Vec<(u64, ControlReply)> {
+    fn report_full(&mut self, token: u64, vm: &str, layer_tokens: u64) -> Vec<(u64, ControlReply)> {
         let full = EngineFull {
             address: engine(),
             layer_tokens,
         };
-        self.take(vec![(token, ControlRequest::Full(holder(vm), vec![full]))])
+        self.handle(vec![(token, ControlRequest::Full(holder(vm), vec![full]))])
     }
 }
 
@@ -114,17 +114,20 @@
     leader.run(500);
     leader.renew(3, "a");
     leader.renew(4, "b");
-    let mut replies = leader.full(5, "a", 700);
+    let mut replies = leader.report_full(5, "a", 700);
     replies.extend(leader.run(110));
     let (a, b) = (grant(&replies, 3), grant(&replies, 4));
-    let told = b.expect("b need not wait for 400 ms");
-    let full = told.full.iter().map(|f| (f.address, f.layer_tokens));
+    let grant_of_b = b.expect("b is answered before its 400 ms have passed");
+    let full = grant_of_b.full.iter().map(|f| (f.address, f.layer_tokens));
     assert_eq!(full.collect::<Vec<_>>(), [(engine(), 700)]);
-    assert!(a.is_none_or(|a| a.full.is_empty()), "a knows it itself");
+    assert!(
+        a.is_none_or(|a| a.full.is_empty()),
+        "a is not sent its own report"
+    );
     leader.renew(6, "b");
     let later = leader.run(500);
-    let later = grant(&later, 6).expect("it is answered in the end");
-    assert!(later.full.is_empty(), "once is enough");
+    let later = grant(&later, 6).expect("the renewal is answered in the end");
+    assert!(later.full.is_empty(), "the refusal is sent once");
 }
 
 #[test]
