--- a/crates/deckwind-testkit/tests/testsuite/fan_out.rs
+++ b/crates/deckwind-testkit/tests/testsuite/fan_out.rs
@@ -1,23 +1,23 @@
-//! What hundreds of routers cost the leader's link, in virtual time: no change,
-//! however large or frequent, makes a queue there or costs a router its lease.
+//! Load of hundreds of routers on the leader's link, in virtual time: large or frequent
+//! changes must neither build up a queue there nor cost a router its lease.
 
 use deckwind_testkit::fan_out::{FanOut, engine, release};
 use std::time::Duration;
 use yare::parameterized;
 
-/// Link of a control VM, Mbit/s.
+/// Link capacity of a control VM, in Mbit/s.
 const LINK_MBPS: f64 = 170.0;
 
-/// Longest queue on the leader's link: a heartbeat that waits longer than that
-/// beside a round trip comes late.
-const MOST_QUEUE: Duration = Duration::from_millis(60);
+/// Longest queueing delay allowed on the leader's link: a heartbeat that waits longer, in
+/// addition to the round trip, arrives too late.
+const MAX_QUEUE_DELAY: Duration = Duration::from_millis(60);
 
 #[parameterized(
     fifty = { 50 },
     two_hundred = { 195 },
     as_in_two_years = { 350 },
 )]
-fn a_release_of_1_400_routes_is_everywhere_in_a_second(routers: usize) {
+fn a_release_of_1_400_routes_reaches_all_routers_within_a_second(routers: usize) {
     let mut fan_out = FanOut::new(routers, 0, LINK_MBPS).unwrap();
     fan_out.publish(release(1, 240));
     fan_out.run_until_applied(Duration::from_secs(1)).unwrap();
@@ -25,16 +25,16 @@
     fan_out.publish(release(2, 1_640));
     fan_out.run_until_applied(Duration::from_secs(1)).unwrap();
     let carried = fan_out.take_carried();
-    assert!(carried.longest_queue < MOST_QUEUE, "{carried:?}");
+    assert!(carried.longest_queue < MAX_QUEUE_DELAY, "{carried:?}");
     for held in fan_out.releases() {
         assert_eq!(held.routes.len(), 1_640);
     }
 }
 
-/// A storm: the large release changes three times a second, targets take layers
-/// twenty times a second, for five seconds, under load.
+/// For five seconds, under load, a large release changes three times a second and targets
+/// load layers twenty times a second.
 #[test]
-fn a_storm_costs_no_lease_and_makes_no_queue() {
+fn frequent_changes_cost_no_lease_and_build_up_no_queue() {
     let mut fan_out = FanOut::new(195, 218, LINK_MBPS).unwrap();
     fan_out.publish(release(1, 1_640));
     fan_out.run_until_applied(Duration::from_secs(1)).unwrap();
@@ -53,13 +53,13 @@
         .run_until_applied(Duration::from_millis(500))
         .unwrap();
     assert_eq!(carried.leases_lost, 0, "{carried:?}");
-    assert!(carried.longest_queue < MOST_QUEUE, "{carried:?}");
-    let of_link = carried.bytes as f64 / 5.0 / (LINK_MBPS * 125_000.0);
-    assert!(of_link < 0.25, "{of_link} of the link: {carried:?}");
+    assert!(carried.longest_queue < MAX_QUEUE_DELAY, "{carried:?}");
+    let utilization = carried.bytes as f64 / 5.0 / (LINK_MBPS * 125_000.0);
+    assert!(utilization < 0.25, "{utilization} of the link: {carried:?}");
 }
 
-/// State that is handed out slowly holds no lease back, but a router that has
-/// lain behind a release for longer than its last full lease may not serve.
+/// Slow distribution of state doesn't delay lease renewals, but a router that has lacked a
+/// release for longer than its last full lease must not serve.
 #[test]
 fn a_link_too_slow_for_the_state_carries_leases_for_a_bounded_time() {
     let mut fan_out = FanOut::new(195, 0, 10.0).unwrap();
@@ -77,7 +77,8 @@
     }
 }
 
-/// Layers that routers lack make requests slower, not wrong: no lease ends.
+/// Routers that lack recent changes of layers serve requests more slowly but correctly, so
+/// no lease may end.
 #[test]
 fn a_link_too_slow_for_new_layers_costs_no_lease() {
     let mut fan_out = FanOut::new(195, 0, 10.0).unwrap();
@@ -90,13 +91,13 @@
     assert_eq!(fan_out.take_carried().leases_lost, 0);
 }
 
-/// All routers start at once beside a leader that has hundreds of targets and a
-/// large release, while targets go on announcing themselves.
+/// All routers restart at once while the leader has a large release and hundreds of targets,
+/// which keep announcing themselves.
 #[parameterized(
     two_hundred = { 195, 600 },
     as_in_two_years = { 350, 1_000 },
 )]
-fn all_routers_that_start_at_once_soon_have_everything(routers: usize, most_ms: u64) {
+fn all_routers_that_start_at_once_soon_have_everything(routers: usize, max_ms: u64) {
     let mut fan_out = FanOut::new(routers, 0, LINK_MBPS).unwrap();
     fan_out.publish(release(1, 1_640));
     (0..273).for_each(|i| fan_out.announce(engine(i, 4, 1)));
@@ -111,8 +112,8 @@
             break;
         }
     }
-    // 24 KB for each at half of the link.
-    assert!(took <= Duration::from_millis(most_ms), "{took:?}");
+    // Each router is sent 24 KB, at half of the link's capacity.
+    assert!(took <= Duration::from_millis(max_ms), "{took:?}");
 }
 
 #[test]
@@ -123,5 +124,5 @@
     fan_out.take_carried();
     fan_out.run_for(Duration::from_secs(4)).unwrap();
     let each = fan_out.take_carried().bytes / 4 / 350;
-    assert!(each < 2_000, "{each} bytes a second");
+    assert!(each < 2_000, "{each} bytes per router and second");
 }
--- a/crates/deckwind-testkit/tests/testsuite/instance_index.rs
+++ b/crates/deckwind-testkit/tests/testsuite/instance_index.rs
@@ -1,4 +1,5 @@
-//! Instances are found by address and by revision as if all of them were gone through.
+//! Lookups of instances by address and by revision return the same as a scan over all
+//! instances.
 
 use deckwind_core::state::{
     Command, CommandBody, Instance, InstanceChange, Instances, Revision, StateMachine,
@@ -13,11 +14,11 @@
     instances.map(|i| i.id.clone()).collect()
 }
 
-fn check(instances: &Instances) {
+fn assert_lookups_match_scan(instances: &Instances) {
     let addresses: BTreeSet<_> = instances.iter().map(|i| i.address).collect();
     for address in addresses {
-        let there = ids(instances.iter().filter(|i| i.address == address));
-        assert_eq!(ids(instances.at(address)), there);
+        let expected = ids(instances.iter().filter(|i| i.address == address));
+        assert_eq!(ids(instances.at(address)), expected);
     }
     let all = instances.since(Revision::ZERO);
     let last = all.iter().map(|(_, v)| v.revision).max();
@@ -33,10 +34,10 @@
     }
 }
 
-/// Targets come, move to others' addresses, change, fall silent, leave, and a snapshot is
-/// read back.
+/// Applies random changes: targets join, take over addresses of others, change, fall silent
+/// and leave. Now and then the state is restored from a snapshot.
 #[parameterized(a = { 1 }, b = { 2 }, c = { 3 }, d = { 4 })]
-fn what_is_found_is_what_is_there(seed: u64) {
+fn indexed_lookups_match_a_full_scan(seed: u64) {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut machine = StateMachine::default();
     for round in 0..200u64 {
@@ -60,10 +61,11 @@
         };
         let body = CommandBody::Instances(vec![change]);
         machine.apply(Command { at_ms: 0, body });
-        check(machine.configuration().instances());
+        assert_lookups_match_scan(machine.configuration().instances());
         if round % 50 == 49 {
-            machine = StateMachine::from_snapshot(&machine.to_snapshot()).expect("a snapshot");
-            check(machine.configuration().instances());
+            machine = StateMachine::from_snapshot(&machine.to_snapshot())
+                .expect("the snapshot is readable");
+            assert_lookups_match_scan(machine.configuration().instances());
         }
     }
 }
--- a/crates/deckwind-testkit/tests/testsuite/leader_changes.rs
+++ b/crates/deckwind-testkit/tests/testsuite/leader_changes.rs
@@ -1,5 +1,5 @@
-//! Changes of leader that are forced bring no further ones, and what routers cost that all
-//! come at once grows with them, not faster. Virtual time.
+//! Forced leader changes must not cause further elections, and the leader's work when all
+//! routers reconnect at once must grow linearly with their number. Runs in virtual time.
 
 use deckwind_core::replication::Term;
 use deckwind_testkit::fan_out::{FanOut, engine_fleet, engine_release};
@@ -12,19 +12,19 @@
     node.core().replica().term()
 }
 
-/// Ten leaders in a row are killed or cut off as soon as they lead; the one after them
-/// stays, and serves all routers.
+/// Ten leaders in a row are killed or partitioned as soon as they are elected. The next
+/// leader must stay in office and renew the leases of all routers.
 #[parameterized(
     killed = { 31, false },
     killed_again = { 32, false },
-    cut_off = { 33, true },
-    cut_off_again = { 34, true },
+    partitioned = { 33, true },
+    partitioned_again = { 34, true },
 )]
-fn forced_changes_bring_no_further_one(seed: u64, cut: bool) {
+fn forced_leader_changes_cause_no_further_election(seed: u64, is_partition: bool) {
     let mut lab = Lab::new(5, 12, seed, NetFaults::NONE);
     for _ in 0..10 {
         let leader = lab.run_until_led();
-        match cut {
+        match is_partition {
             true => lab.cut_off(leader, true),
             false => lab.crash(leader, 0),
         }
@@ -35,17 +35,18 @@
     lab.run_for(Duration::from_secs(3));
     let (leader, led) = (lab.leader().unwrap_or(leader), lab.leader());
     let first = term(&lab, leader);
-    assert!(led.is_some(), "somebody leads");
+    assert!(led.is_some(), "a leader is elected");
     for _ in 0..20 {
         lab.run_for(Duration::from_secs(1));
         assert_eq!(lab.leader(), Some(leader));
-        assert_eq!(term(&lab, leader), first, "no election");
+        assert_eq!(term(&lab, leader), first, "the term has not changed");
         assert!(lab.routers.iter().all(|r| r.serves(lab.now())));
     }
 }
 
-/// What a leader looks at and sends while all routers come to it at once.
-fn all_come(routers: usize) -> (u64, u64) {
+/// Returns the rows that a leader scans for renewals and the bytes that it sends while all
+/// routers reconnect to it at once.
+fn cost_of_reconnect(routers: usize) -> (u64, u64) {
     let mut fan_out = FanOut::new(routers, 0, 420.0).unwrap();
     fan_out.publish(engine_release(1, 250));
     fan_out.pass_on(4);
@@ -57,15 +58,18 @@
     fan_out.take_carried();
     let before = fan_out.looks().renewals;
     fan_out.run_until_applied(Duration::from_secs(2)).unwrap();
-    let looks = fan_out.looks().renewals - before;
-    (looks, fan_out.take_carried().bytes)
+    let rows_scanned = fan_out.looks().renewals - before;
+    (rows_scanned, fan_out.take_carried().bytes)
 }
 
 #[test]
 fn routers_that_all_come_at_once_cost_as_much_each() {
-    let (few, bytes_few) = all_come(100);
-    let (many, bytes_many) = all_come(200);
-    assert!(few <= 100 * 8 && many <= 200 * 8, "{few} {many} looks");
-    // The state leaves once for each replica that passes on.
+    let (few, bytes_few) = cost_of_reconnect(100);
+    let (many, bytes_many) = cost_of_reconnect(200);
+    assert!(
+        few <= 100 * 8 && many <= 200 * 8,
+        "rows scanned: {few} {many}"
+    );
+    // The leader sends the state once to each replica that relays requests.
     assert!(bytes_many < bytes_few * 2, "{bytes_few} {bytes_many} bytes");
 }
--- a/crates/deckwind-testkit/tests/testsuite/lives.rs
+++ b/crates/deckwind-testkit/tests/testsuite/lives.rs
@@ -1,5 +1,5 @@
-//! Targets that start again under the id that they had: what was agreed, planned
-//! and heard of the life before does not hold for the new one. Virtual time.
+//! Restarts of targets under the same id: committed state, orders and late messages of the
+//! previous incarnation must not apply to the new one. Runs in virtual time.
 
 use crate::support::{announced, cards, instances, model};
 use deckwind_core::control::{ControlEvent, OperatorReply, PlacementDesk};
@@ -13,190 +13,212 @@
 use std::time::Duration;
 use yare::parameterized;
 
-/// Between two announcements of a target.
-const PERIOD: Duration = Duration::from_millis(1_200);
+/// Interval between two announcements of a target.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// The time for what was announced to be agreed.
-const AGREED_IN: Duration = Duration::from_millis(300);
+/// Time within which an announcement is committed.
+const COMMIT_TIME: Duration = Duration::from_millis(300);
 
-/// The start of the life that is known first.
-const FIRST: u64 = 1_700_000_000_000;
+/// Start time, in Unix milliseconds, of the incarnation that is registered first.
+const FIRST_BORN_MS: u64 = 1_700_000_000_000;
 
-/// What the engine says in a life that started then.
-fn said(born: Option<u64>, layers: u32, announced: u64) -> Instance {
+/// Returns an announcement of the engine's incarnation that started at `born`.
+fn announcement(born: Option<u64>, layers: u32, announced: u64) -> Instance {
     Instance {
         born,
         ..engine(1, layers, announced)
     }
 }
 
-fn life(born: Option<u64>) -> Life {
-    said(born, 0, 0).life()
+fn life_id(born: Option<u64>) -> Life {
+    announcement(born, 0, 0).life()
 }
 
-struct World {
+struct RestartRig {
     lab: Lab,
     leader: usize,
     follower: usize,
 }
 
-impl World {
-    /// The engine is known in a life that started at [`FIRST`], with four layers.
+impl RestartRig {
+    /// Creates a cluster in which the engine's incarnation that started at
+    /// [`FIRST_BORN_MS`] is registered, with four layers.
     fn new() -> Self {
         let mut lab = Lab::new(3, 1, 11, NetFaults::NONE);
         let leader = lab.run_until_led();
         lab.run_for(Duration::from_secs(1));
         let follower = usize::from(leader == 0);
-        let mut world = Self {
+        let mut rig = Self {
             lab,
             leader,
             follower,
         };
-        world.hear(said(Some(FIRST), 4, 50));
-        assert_eq!(world.known().map(|i| i.announced), Some(50));
-        world
+        rig.announce(announcement(Some(FIRST_BORN_MS), 4, 50));
+        assert_eq!(rig.registered().map(|i| i.announced), Some(50));
+        rig
     }
 
-    fn hear(&mut self, instance: Instance) {
+    fn announce(&mut self, instance: Instance) {
         self.lab.announce(self.follower, instance);
-        self.lab.run_for(AGREED_IN);
+        self.lab.run_for(COMMIT_TIME);
     }
 
-    fn agreed(&self, id: &str) -> Option<Instance> {
+    fn committed(&self, id: &str) -> Option<Instance> {
         let node = self.lab.node(self.leader).expect("it is up");
         let cfg = node.core().machine().configuration();
         cfg.instances().get(id).cloned()
     }
 
-    fn known(&self) -> Option<Instance> {
-        self.agreed("engine-1")
+    fn registered(&self) -> Option<Instance> {
+        self.committed("engine-1")
     }
 
     fn leave(&mut self, born: Option<u64>) -> OperatorReply {
-        self.lab.leave(self.leader, life(born));
+        self.lab.leave(self.leader, life_id(born));
         self.lab.run_for(Duration::from_millis(600));
         let reply = self.lab.last_reply("engine-1");
-        reply.expect("it is answered").clone()
+        reply.expect("the leave is answered").clone()
     }
 }
 
-/// Which life counts, where the second is heard while the first still speaks and
-/// once it has fallen silent.
+/// Checks which incarnation is registered when a second one announces itself: while the
+/// first still sends announcements, and after the first has fallen silent.
 #[parameterized(
-    started_later = { Some(FIRST + 1), true, true },
+    started_later = { Some(FIRST_BORN_MS + 1), true, true },
     far_in_the_future = { Some(u64::MAX), true, true },
-    its_clock_went_back = { Some(FIRST - 5_000), false, true },
+    its_clock_went_back = { Some(FIRST_BORN_MS - 5_000), false, true },
     its_clock_is_at_zero = { Some(0), false, true },
-    tells_no_start_any_more = { None, false, false },
+    reports_no_start_any_more = { None, false, false },
 )]
-fn a_start_tells_which_life_is_newer(born: Option<u64>, at_once: bool, after_silence: bool) {
-    let mut world = World::new();
-    world.hear(said(born, 0, 1));
-    let first = Some(Some(FIRST));
+fn the_start_time_tells_which_incarnation_is_newer(
+    born: Option<u64>,
+    at_once: bool,
+    after_silence: bool,
+) {
+    let mut rig = RestartRig::new();
+    rig.announce(announcement(born, 0, 1));
+    let first = Some(Some(FIRST_BORN_MS));
     let second = Some(born);
     let want = if at_once { second } else { first };
-    assert_eq!(world.known().map(|i| i.born), want, "at once");
-    let mut world = World::new();
-    world.lab.run_for(Duration::from_secs(5));
-    let silent = world.known().map(|i| i.state);
+    assert_eq!(rig.registered().map(|i| i.born), want, "at once");
+    let mut rig = RestartRig::new();
+    rig.lab.run_for(Duration::from_secs(5));
+    let silent = rig.registered().map(|i| i.state);
     assert_eq!(silent, Some(InstanceState::Silent));
-    world.hear(said(born, 0, 1));
+    rig.announce(announcement(born, 0, 1));
     let want = if after_silence { second } else { first };
-    assert_eq!(world.known().map(|i| i.born), want, "after silence");
+    assert_eq!(rig.registered().map(|i| i.born), want, "after silence");
 }
 
-/// A life begins with what it announces: no layers, ready, its numbers anew.
+/// A new incarnation is registered with what it announces: no layers, ready, its
+/// announcements numbered from one.
 #[parameterized(
     was_ready = { None },
-    was_silent = { Some(InstanceChange::Silent(life(Some(FIRST)))) },
-    drained = { Some(drains()) },
-    had_left = { Some(InstanceChange::Left(life(Some(FIRST)))) },
+    was_silent = { Some(InstanceChange::Silent(life_id(Some(FIRST_BORN_MS)))) },
+    drained = { Some(draining_announcement()) },
+    had_left = { Some(InstanceChange::Left(life_id(Some(FIRST_BORN_MS)))) },
 )]
-fn a_new_life_holds_nothing_of_the_one_before(before: Option<InstanceChange>) {
+fn a_new_incarnation_inherits_nothing_from_the_previous_one(before: Option<InstanceChange>) {
     let mut machine = StateMachine::default();
-    apply(&mut machine, announced(said(Some(FIRST), 4, 50)));
+    apply(
+        &mut machine,
+        announced(announcement(Some(FIRST_BORN_MS), 4, 50)),
+    );
     before.into_iter().for_each(|c| apply(&mut machine, c));
-    let new = said(Some(FIRST + 1), 0, 1);
+    let new = announcement(Some(FIRST_BORN_MS + 1), 0, 1);
     apply(&mut machine, announced(new.clone()));
-    assert_eq!(known(&machine), Some(new));
+    assert_eq!(registered(&machine), Some(new));
 }
 
-/// What was found out of a life says nothing of the next one.
+/// Late changes that concern an ended incarnation are ignored.
 #[parameterized(
-    held_by_then = { InstanceChange::Holds { life: life(Some(FIRST)), layers: LayerRange::new(0, 8), in_memory: 8 } },
-    silent_by_then = { InstanceChange::Silent(life(Some(FIRST))) },
-    left_by_then = { InstanceChange::Left(life(Some(FIRST))) },
-    drained_by_then = { drains() },
-    announced_by_then = { announced(said(Some(FIRST), 6, 60)) },
-    of_an_engine_that_tells_no_start = { InstanceChange::Left(life(None)) },
+    held_by_then = { InstanceChange::Holds { life: life_id(Some(FIRST_BORN_MS)), layers: LayerRange::new(0, 8), in_memory: 8 } },
+    silent_by_then = { InstanceChange::Silent(life_id(Some(FIRST_BORN_MS))) },
+    left_by_then = { InstanceChange::Left(life_id(Some(FIRST_BORN_MS))) },
+    drained_by_then = { draining_announcement() },
+    announced_by_then = { announced(announcement(Some(FIRST_BORN_MS), 6, 60)) },
+    of_an_engine_that_reports_no_start = { InstanceChange::Left(life_id(None)) },
 )]
-fn what_comes_late_of_a_life_that_is_over_changes_nothing(late: InstanceChange) {
+fn late_changes_of_an_ended_incarnation_are_ignored(late: InstanceChange) {
     let mut machine = StateMachine::default();
-    apply(&mut machine, announced(said(Some(FIRST), 4, 50)));
-    let new = said(Some(FIRST + 1), 2, 1);
+    apply(
+        &mut machine,
+        announced(announcement(Some(FIRST_BORN_MS), 4, 50)),
+    );
+    let new = announcement(Some(FIRST_BORN_MS + 1), 2, 1);
     apply(&mut machine, announced(new.clone()));
     apply(&mut machine, late);
-    assert_eq!(known(&machine), Some(new));
+    assert_eq!(registered(&machine), Some(new));
 }
 
 #[test]
-fn a_lower_number_is_late_within_a_life_only() {
-    let mut world = World::new();
-    world.hear(said(Some(FIRST), 8, 49));
-    assert_eq!(world.known().map(|i| i.layers.len()), Some(4));
-    world.hear(said(Some(FIRST + 1), 0, 1));
-    world.hear(said(Some(FIRST + 1), 2, 2));
-    assert_eq!(world.known().map(|i| i.layers.len()), Some(2));
+fn a_lower_sequence_number_is_late_within_one_incarnation_only() {
+    let mut rig = RestartRig::new();
+    rig.announce(announcement(Some(FIRST_BORN_MS), 8, 49));
+    assert_eq!(rig.registered().map(|i| i.layers.len()), Some(4));
+    rig.announce(announcement(Some(FIRST_BORN_MS + 1), 0, 1));
+    rig.announce(announcement(Some(FIRST_BORN_MS + 1), 2, 2));
+    assert_eq!(rig.registered().map(|i| i.layers.len()), Some(2));
 }
 
-/// Also where the new life has fallen silent by then: the ended one is not there.
+/// Late announcements of an ended incarnation are ignored, also after the new one has
+/// fallen silent.
 #[test]
-fn a_late_word_of_an_ended_life_brings_it_back_at_no_time() {
-    let mut world = World::new();
-    world.hear(said(Some(FIRST + 1), 0, 1));
+fn a_late_announcement_never_revives_an_ended_incarnation() {
+    let mut rig = RestartRig::new();
+    rig.announce(announcement(Some(FIRST_BORN_MS + 1), 0, 1));
     for number in 51..56 {
-        world.hear(said(Some(FIRST), 4, number));
-        world.lab.run_for(PERIOD);
-        assert_eq!(world.known().map(|i| i.born), Some(Some(FIRST + 1)));
+        rig.announce(announcement(Some(FIRST_BORN_MS), 4, number));
+        rig.lab.run_for(ANNOUNCE_INTERVAL);
+        assert_eq!(
+            rig.registered().map(|i| i.born),
+            Some(Some(FIRST_BORN_MS + 1))
+        );
     }
-    let state = world.known().map(|i| i.state);
+    let state = rig.registered().map(|i| i.state);
     assert_eq!(state, Some(InstanceState::Silent));
 }
 
-/// It was cut off, and a word of an unknown life came meanwhile: once that one is
-/// silent in turn, the living one counts again.
+/// A target is partitioned, and meanwhile a late announcement of an older, unknown
+/// incarnation replaces it. Once that one falls silent, the running one is registered again.
 #[test]
-fn a_life_that_was_silent_and_replaced_by_an_older_one_comes_back() {
-    let mut world = World::new();
-    world.lab.run_for(Duration::from_secs(5));
-    world.hear(said(Some(FIRST - 9), 6, 7));
-    assert_eq!(world.known().map(|i| i.born), Some(Some(FIRST - 9)));
-    world.hear(said(Some(FIRST), 4, 51));
-    assert_eq!(world.known().map(|i| i.born), Some(Some(FIRST - 9)));
-    world.lab.run_for(Duration::from_secs(5));
-    world.hear(said(Some(FIRST), 4, 52));
-    let now = world.known().expect("it is there");
-    assert_eq!((now.born, now.layers.len()), (Some(FIRST), 4));
+fn a_silent_incarnation_that_an_older_one_replaced_comes_back() {
+    let mut rig = RestartRig::new();
+    rig.lab.run_for(Duration::from_secs(5));
+    rig.announce(announcement(Some(FIRST_BORN_MS - 9), 6, 7));
+    assert_eq!(
+        rig.registered().map(|i| i.born),
+        Some(Some(FIRST_BORN_MS - 9))
+    );
+    rig.announce(announcement(Some(FIRST_BORN_MS), 4, 51));
+    assert_eq!(
+        rig.registered().map(|i| i.born),
+        Some(Some(FIRST_BORN_MS - 9))
+    );
+    rig.lab.run_for(Duration::from_secs(5));
+    rig.announce(announcement(Some(FIRST_BORN_MS), 4, 52));
+    let now = rig.registered().expect("the engine is registered");
+    assert_eq!((now.born, now.layers.len()), (Some(FIRST_BORN_MS), 4));
 }
 
-/// A drain of a life that may be over is not acknowledged while the known one
-/// speaks: nothing was done for it.
+/// A drain of an unconfirmed incarnation is not acknowledged while the registered one still
+/// sends announcements, since nothing has been drained for it.
 #[test]
-fn a_doubtful_life_that_drains_is_told_to_ask_again() {
-    let mut world = World::new();
+fn the_drain_of_an_unconfirmed_incarnation_is_not_acknowledged() {
+    let mut rig = RestartRig::new();
     let draining = Instance {
         state: InstanceState::Draining,
-        ..said(Some(FIRST - 9), 0, 3)
+        ..announcement(Some(FIRST_BORN_MS - 9), 0, 3)
     };
-    let leader = world.leader;
-    world.lab.announce(leader, draining.clone());
-    world.lab.run_for(AGREED_IN);
-    let reply = world.lab.last_reply("engine-1");
+    let leader = rig.leader;
+    rig.lab.announce(leader, draining.clone());
+    rig.lab.run_for(COMMIT_TIME);
+    let reply = rig.lab.last_reply("engine-1");
     assert_eq!(reply, Some(&OperatorReply::Doubted));
-    world.lab.run_for(Duration::from_secs(5));
-    world.lab.announce(leader, draining);
-    world.lab.run_for(Duration::from_millis(600));
-    let reply = world.lab.last_reply("engine-1");
+    rig.lab.run_for(Duration::from_secs(5));
+    rig.lab.announce(leader, draining);
+    rig.lab.run_for(Duration::from_millis(600));
+    let reply = rig.lab.last_reply("engine-1");
     assert!(
         matches!(reply, Some(OperatorReply::Accepted { .. })),
         "{reply:?}"
@@ -204,95 +226,114 @@
 }
 
 #[parameterized(
-    of_the_known_life = { Some(FIRST) },
+    of_the_registered_incarnation = { Some(FIRST_BORN_MS) },
     without_a_start = { None },
-    of_a_newer_life = { Some(FIRST + 1) },
+    of_a_newer_incarnation = { Some(FIRST_BORN_MS + 1) },
 )]
-fn a_leave_ends_the_life_that_is_known(born: Option<u64>) {
-    let mut world = World::new();
-    let reply = world.leave(born);
+fn a_leave_ends_the_registered_incarnation(born: Option<u64>) {
+    let mut rig = RestartRig::new();
+    let reply = rig.leave(born);
     assert!(matches!(reply, OperatorReply::Accepted { .. }), "{reply:?}");
-    assert_eq!(world.known(), None);
-    world.hear(said(Some(FIRST), 4, 51));
-    assert_eq!(world.known(), None, "a late word changes nothing");
-    world.hear(said(Some(FIRST + 2), 0, 1));
-    let now = world.known().map(|i| i.born);
-    assert_eq!(now, Some(Some(FIRST + 2)), "the next life is there");
+    assert_eq!(rig.registered(), None);
+    rig.announce(announcement(Some(FIRST_BORN_MS), 4, 51));
+    assert_eq!(
+        rig.registered(),
+        None,
+        "a late announcement changes nothing"
+    );
+    rig.announce(announcement(Some(FIRST_BORN_MS + 2), 0, 1));
+    let now = rig.registered().map(|i| i.born);
+    assert_eq!(
+        now,
+        Some(Some(FIRST_BORN_MS + 2)),
+        "the next incarnation is registered"
+    );
 }
 
-/// It may be a late word, or the living one on a clock that went back: a request
-/// may still reach it by its id, so nothing is promised while the other speaks.
+/// The leave of an unconfirmed incarnation may be a late message, or come from the running
+/// one after its clock went back. Requests may still reach it by its id, so the leave isn't
+/// acknowledged while the registered one still sends announcements.
 #[test]
-fn a_doubtful_life_that_leaves_is_told_to_ask_again() {
-    let mut world = World::new();
-    assert_eq!(world.leave(Some(FIRST - 1)), OperatorReply::Doubted);
-    assert!(world.known().is_some());
-    world.lab.run_for(Duration::from_secs(5));
-    let reply = world.leave(Some(FIRST - 1));
+fn the_leave_of_an_unconfirmed_incarnation_is_not_acknowledged() {
+    let mut rig = RestartRig::new();
+    assert_eq!(rig.leave(Some(FIRST_BORN_MS - 1)), OperatorReply::Doubted);
+    assert!(rig.registered().is_some());
+    rig.lab.run_for(Duration::from_secs(5));
+    let reply = rig.leave(Some(FIRST_BORN_MS - 1));
     assert!(matches!(reply, OperatorReply::Accepted { .. }), "{reply:?}");
-    assert_eq!(world.known(), None);
+    assert_eq!(rig.registered(), None);
 }
 
 #[test]
-fn the_leave_of_the_old_life_after_the_new_one_began_is_acknowledged_and_ends_nobody() {
-    let mut world = World::new();
-    world.hear(said(Some(FIRST + 1), 0, 1));
-    let reply = world.leave(Some(FIRST));
+fn a_late_leave_of_the_old_incarnation_is_acknowledged_and_does_not_end_the_new_one() {
+    let mut rig = RestartRig::new();
+    rig.announce(announcement(Some(FIRST_BORN_MS + 1), 0, 1));
+    let reply = rig.leave(Some(FIRST_BORN_MS));
     assert!(matches!(reply, OperatorReply::Accepted { .. }), "{reply:?}");
-    assert_eq!(world.known().map(|i| i.born), Some(Some(FIRST + 1)));
+    assert_eq!(
+        rig.registered().map(|i| i.born),
+        Some(Some(FIRST_BORN_MS + 1))
+    );
 }
 
-/// The leader's own findings on a life that is over by then.
+/// Results of the leader's own orders and probes that arrive after the incarnation that
+/// they concern has ended.
 #[parameterized(
-    an_order_that_ended = { ControlEvent::Placed { life: life(Some(FIRST)), held: Some(LayerRange::new(0, 8)) } },
-    a_question_without_answer = { ControlEvent::Checked { life: life(Some(FIRST)), there: false } },
+    an_order_that_ended = { ControlEvent::Placed { life: life_id(Some(FIRST_BORN_MS)), held: Some(LayerRange::new(0, 8)) } },
+    a_probe_without_answer = { ControlEvent::Checked { life: life_id(Some(FIRST_BORN_MS)), there: false } },
 )]
-fn what_the_leader_finds_out_of_the_old_life_does_not_touch_the_new_one(late: ControlEvent) {
-    let mut world = World::new();
-    let new = said(Some(FIRST + 1), 2, 1);
-    world.hear(new.clone());
-    let leader = world.leader;
-    world.lab.happens(leader, late);
-    world.lab.run_for(AGREED_IN);
-    assert_eq!(world.known(), Some(new));
+fn late_results_for_an_ended_incarnation_do_not_change_the_new_one(late: ControlEvent) {
+    let mut rig = RestartRig::new();
+    let new = announcement(Some(FIRST_BORN_MS + 1), 2, 1);
+    rig.announce(new.clone());
+    let leader = rig.leader;
+    rig.lab.happens(leader, late);
+    rig.lab.run_for(COMMIT_TIME);
+    assert_eq!(rig.registered(), Some(new));
 }
 
-/// Another id at the same address, whose first word was held back until after the
-/// target that is there now announced itself.
+/// A target of another id at the same address, whose first announcement is delayed until
+/// after that of the target now registered there.
 #[parameterized(
-    started_earlier = { Some(FIRST - 1), false },
-    started_later = { Some(FIRST + 1), true },
-    tells_no_start = { None, true },
+    started_earlier = { Some(FIRST_BORN_MS - 1), false },
+    started_later = { Some(FIRST_BORN_MS + 1), true },
+    reports_no_start = { None, true },
 )]
-fn a_life_of_another_id_ends_only_an_older_one(born: Option<u64>, ends: bool) {
-    let mut world = World::new();
+fn a_target_of_another_id_at_the_address_ends_only_an_older_one(born: Option<u64>, ends: bool) {
+    let mut rig = RestartRig::new();
     let other = Instance {
         id: "other".to_string(),
-        ..said(born, 0, 3)
+        ..announcement(born, 0, 3)
     };
-    world.hear(other);
-    assert_eq!(world.known().is_none(), ends);
-    assert_eq!(world.agreed("other").is_some(), ends);
+    rig.announce(other);
+    assert_eq!(rig.registered().is_none(), ends);
+    assert_eq!(rig.committed("other").is_some(), ends);
 }
 
-/// An engine that starts again again and again is still remembered by its last
-/// lives, and by few of them.
+/// For an engine that restarts many times, the state keeps its latest ended incarnations
+/// only, so that it stays small and still rejects their late announcements.
 #[test]
-fn ended_lives_are_remembered_in_a_bounded_number() {
+fn a_bounded_number_of_ended_incarnations_is_kept() {
     let mut machine = StateMachine::default();
     for start in 0..2_000 {
-        apply(&mut machine, announced(said(Some(FIRST + start), 4, 9)));
+        apply(
+            &mut machine,
+            announced(announcement(Some(FIRST_BORN_MS + start), 4, 9)),
+        );
     }
     let size = machine.to_snapshot().len();
     assert!(size < 400, "{size} bytes for one engine");
-    let last = said(Some(FIRST + 1_999), 4, 9);
+    let last = announcement(Some(FIRST_BORN_MS + 1_999), 4, 9);
     for late in 1_992..1_999 {
-        apply(&mut machine, announced(said(Some(FIRST + late), 4, 99)));
-        assert_eq!(known(&machine), Some(last.clone()));
+        apply(
+            &mut machine,
+            announced(announcement(Some(FIRST_BORN_MS + late), 4, 99)),
+        );
+        assert_eq!(registered(&machine), Some(last.clone()));
     }
 }
 
-/// What another version wrote is told as such, and not guessed at.
+/// Snapshots and commands written by another version are rejected, not misread.
 #[parameterized(
     this_version = { |bytes: Vec<u8>| bytes, true },
     a_later_one = { |mut bytes: Vec<u8>| { bytes[0] += 1; bytes }, false },
@@ -301,27 +342,27 @@
 )]
 fn state_is_read_in_its_own_version_only(change: fn(Vec<u8>) -> Vec<u8>, read: bool) {
     let command = Command {
-        at_ms: FIRST,
-        body: CommandBody::Instances(vec![announced(said(Some(FIRST), 4, 50))]),
+        at_ms: FIRST_BORN_MS,
+        body: CommandBody::Instances(vec![announced(announcement(Some(FIRST_BORN_MS), 4, 50))]),
     };
     let mut machine = StateMachine::default();
     machine.apply(command.clone());
-    assert_eq!(machine.clock_ms(), FIRST);
+    assert_eq!(machine.clock_ms(), FIRST_BORN_MS);
     let snapshot = StateMachine::from_snapshot(&change(machine.to_snapshot()));
     assert_eq!(snapshot.is_ok(), read);
     let again = Command::from_bytes(&change(command.to_bytes()));
     assert_eq!(again.is_ok(), read);
     if let (Ok(snapshot), Ok(again)) = (snapshot, again) {
-        assert_eq!(snapshot.clock_ms(), FIRST);
-        assert_eq!(known(&snapshot), known(&machine));
+        assert_eq!(snapshot.clock_ms(), FIRST_BORN_MS);
+        assert_eq!(registered(&snapshot), registered(&machine));
         assert_eq!(again, command);
     }
 }
 
-/// An order to the old life is over with it: the new one gets its own, and what
-/// came of the old one is not taken for it.
+/// An order to an incarnation ends with it. The next incarnation gets an order of its own,
+/// and the result of the old order must not end the new one.
 #[test]
-fn an_order_is_for_one_life() {
+fn an_order_applies_to_one_incarnation_only() {
     let pool = Pool {
         name: "engines".to_string(),
         max_connections: 10,
@@ -335,12 +376,12 @@
     let fleet = instances(&cards("a", 5, 0, 0));
     let mut machine = StateMachine::default();
     for i in &fleet {
-        let born = Some(FIRST);
+        let born = Some(FIRST_BORN_MS);
         apply(&mut machine, announced(Instance { born, ..i.clone() }));
     }
     let mut desk = PlacementDesk::default();
     let mut now = Instant::from_millis(1_000);
-    let mut looks = |desk: &mut PlacementDesk, machine: &mut StateMachine| {
+    let mut run_rounds = |desk: &mut PlacementDesk, machine: &mut StateMachine| {
         let mut orders = Vec::new();
         for _ in 0..20 {
             now = now + Duration::from_millis(100);
@@ -351,9 +392,9 @@
         }
         (now, orders)
     };
-    let (at, first) = looks(&mut desk, &mut machine);
+    let (at, first) = run_rounds(&mut desk, &mut machine);
     let (old, others) = first.split_first().expect("layers are placed");
-    assert_eq!(old.born, Some(FIRST));
+    assert_eq!(old.born, Some(FIRST_BORN_MS));
     for order in others {
         desk.ended(at, &order.life(), true);
         let held = InstanceChange::Holds {
@@ -363,8 +404,11 @@
         };
         apply(&mut machine, held);
     }
-    let again = fleet.iter().find(|i| i.id == old.id).expect("it is known");
-    let born = Some(FIRST + 1);
+    let again = fleet
+        .iter()
+        .find(|i| i.id == old.id)
+        .expect("the engine is part of the fleet");
+    let born = Some(FIRST_BORN_MS + 1);
     apply(
         &mut machine,
         announced(Instance {
@@ -372,18 +416,21 @@
             ..again.clone()
         }),
     );
-    let (at, second) = looks(&mut desk, &mut machine);
+    let (at, second) = run_rounds(&mut desk, &mut machine);
     let new = second.iter().find(|o| o.id == old.id);
-    let new = new.expect("the new life is given an order of its own");
+    let new = new.expect("the new incarnation is given an order of its own");
     assert_eq!((new.born, new.believed), (born, LayerRange::default()));
     desk.ended(at, &old.life(), true);
-    assert!(desk.is_under_way(&new.life()), "its own is still under way");
+    assert!(
+        desk.is_under_way(&new.life()),
+        "the order to the new incarnation is still under way"
+    );
 }
 
-fn drains() -> InstanceChange {
+fn draining_announcement() -> InstanceChange {
     announced(Instance {
         state: InstanceState::Draining,
-        ..said(Some(FIRST), 4, 51)
+        ..announcement(Some(FIRST_BORN_MS), 4, 51)
     })
 }
 
@@ -392,7 +439,7 @@
     machine.apply(Command { at_ms: 1, body });
 }
 
-fn known(machine: &StateMachine) -> Option<Instance> {
+fn registered(machine: &StateMachine) -> Option<Instance> {
     let instances = machine.configuration().instances();
     instances.get("engine-1").cloned()
 }
--- a/crates/deckwind-testkit/tests/testsuite/lives_at_routers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/lives_at_routers.rs
@@ -1,5 +1,5 @@
-//! What a router does about a target that starts again under its id: what it knew
-//! of the address is forgotten, and what was under way there is judged as broken.
+//! Restarts of a target under the same id, as a router handles them: it discards the
+//! health record of the address and treats requests in flight there as broken.
 
 use crate::rig::{KEY, Rig};
 use crate::run;
@@ -15,8 +15,8 @@
 use std::time::Duration;
 use yare::parameterized;
 
-/// Its id is the same, so the request could reach the new life: whether the old
-/// one ran it nobody knows. One that must run at most once is not sent again.
+/// The id stays the same, so a retry would reach the new incarnation, and whether the old
+/// one ran the request is unknown. A request that must run at most once is not retried.
 #[parameterized(
     at_most_once = { "/once/x", 502, 1 },
     repeatable = { "/safe/x", 200, 2 },
@@ -31,7 +31,7 @@
             target.set_fault(RunnerFault::Mute);
         }
         let restart = async {
-            let first = eventually_async("the request has arrived", || async {
+            let first = eventually_async("the request has reached a target", || async {
                 rig.plain.iter().find(|t| t.seen().iter().any(is_first))
             })
             .await;
@@ -40,15 +40,19 @@
             }
             first.start_again();
         };
-        let (heard, ()) = tokio::join!(rig.ask("r1", &path, KEY, false), restart);
-        assert_eq!(heard.status.as_u16(), status);
+        let (answer, ()) = tokio::join!(rig.ask("r1", &path, KEY, false), restart);
+        assert_eq!(answer.status.as_u16(), status);
         assert_eq!(rig.sends("r1"), sends);
         for i in 0..2 {
             rig.announce("plain", "p", i, "ready").await;
         }
         rig.until_in_force().await;
         let next = rig.ask("r2", &path, KEY, false).await;
-        assert_eq!(next.status, StatusCode::OK, "the new life serves");
+        assert_eq!(
+            next.status,
+            StatusCode::OK,
+            "the new incarnation serves requests"
+        );
         rig.cluster.close().await.expect("closed");
     });
 }
@@ -57,8 +61,8 @@
     request_id(req) == "r1"
 }
 
-/// It is empty, whatever it held before: it is given its layers again, and counts
-/// its orders anew.
+/// An engine holds no layers after a restart. The leader must order them again, and the
+/// engine counts its orders from zero.
 #[test]
 fn an_engine_that_starts_again_is_given_its_layers_again() {
     run(async {
@@ -75,7 +79,7 @@
         rig.engines[0].start_again();
         assert_eq!(held(&rig.engines[0]), 0);
         rig.announce("engines", "e", 0, "ready").await;
-        eventually_async("its layers are placed again", || async {
+        eventually_async("the layers are placed on the engine again", || async {
             (held(&rig.engines[0]) > 0).then_some(())
         })
         .await;
@@ -85,7 +89,12 @@
     });
 }
 
-fn at(address_of: &Instance, id: &str, born: Option<u64>, state: InstanceState) -> Instance {
+fn instance_at(
+    address_of: &Instance,
+    id: &str,
+    born: Option<u64>,
+    state: InstanceState,
+) -> Instance {
     Instance {
         id: id.to_string(),
         born,
@@ -110,38 +119,41 @@
     InstanceIndex::of(machine.configuration())
 }
 
-/// Which lives a router takes for over: before, now, whether it is.
+/// Cases in which a router treats an incarnation as ended. Each case gives its start time
+/// and state before, the id and start time that stand at its address now, and whether it
+/// has ended.
 #[parameterized(
     the_same = { Some(1), InstanceState::Ready, Some(("e", Some(1))), false },
     started_again = { Some(1), InstanceState::Ready, Some(("e", Some(2))), true },
-    tells_its_start_at_last = { None, InstanceState::Ready, Some(("e", Some(2))), true },
+    reports_its_start_for_the_first_time = { None, InstanceState::Ready, Some(("e", Some(2))), true },
     another_id_at_its_address = { None, InstanceState::Ready, Some(("f", None)), true },
     left_and_may_serve_for_a_while = { Some(1), InstanceState::Ready, None, false },
     silent_and_gone = { Some(1), InstanceState::Silent, None, true },
     silent_only = { Some(1), InstanceState::Silent, Some(("e", Some(1))), false },
 )]
-fn a_life_is_over_once_another_is_there(
+fn an_incarnation_has_ended_once_another_replaces_it(
     born: Option<u64>,
     state: InstanceState,
     now: Option<(&str, Option<u64>)>,
-    over: bool,
+    has_ended: bool,
 ) {
     let first = instances(&cards("a", 1, 0, 0)).remove(0);
-    let before = index(&[at(&first, "e", born, state)]);
+    let before = index(&[instance_at(&first, "e", born, state)]);
     let now: Vec<Instance> = now
-        .map(|(id, born)| at(&first, id, born, InstanceState::Ready))
+        .map(|(id, born)| instance_at(&first, id, born, InstanceState::Ready))
         .into_iter()
         .collect();
     let found = index(&now).lives_over(&before);
-    assert_eq!(found.len(), usize::from(over));
+    assert_eq!(found.len(), usize::from(has_ended));
     let addresses: Vec<_> = found.iter().map(|o| o.address).collect();
     assert!(addresses.iter().all(|a| *a == first.address));
 }
 
-/// Failures of the life that is over don't keep requests from the new one; streams
-/// that stand still on their way through it look for another way at once.
+/// Failures of an ended incarnation must not keep requests from the next one. The address
+/// counts as unconfirmed for a while, so that stalled streams through it look for another
+/// path at once.
 #[test]
-fn what_was_known_of_a_life_is_forgotten_with_it() {
+fn the_health_record_of_an_ended_incarnation_is_discarded() {
     let address = ([127, 0, 0, 1], 9).into();
     let now = Instant::from_millis(1_000);
     let later = now + Duration::from_millis(100);
@@ -158,14 +170,14 @@
     assert!(!book.avoids(now, address) && !book.is_down(now, address));
     assert!(
         book.failing(now).is_empty(),
-        "the others aren't told any more"
+        "the failure is no longer reported to other routers"
     );
     assert!(book.doubts(now, address));
     assert_eq!(
         book.in_flight(address),
         1,
-        "what is under way is still counted"
+        "requests in flight are still counted"
     );
     let first = book.failed(now, address, TargetFault::Down);
-    assert_eq!(first, Duration::from_millis(500), "its failures count anew");
+    assert_eq!(first, Duration::from_millis(500), "the backoff starts over");
 }
--- a/crates/deckwind-testkit/tests/testsuite/orders.rs
+++ b/crates/deckwind-testkit/tests/testsuite/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines follow from what operators write.
+//! Orders to engines, which follow from the targets that operators configure.
 
 use crate::any;
 use deckwind_core::control::OrderKind;
@@ -9,7 +9,7 @@
 use yare::parameterized;
 
 #[parameterized(checks_fences = { true }, does_not_check = { false })]
-fn a_written_target_is_ordered_to_hold_what_it_says(checks_fences: bool) {
+fn a_configured_engine_is_ordered_to_load_its_layers_and_adapters(checks_fences: bool) {
     crate::run(async {
         let cluster = Cluster::start(3, 0).await.unwrap();
         let mut cfg = FakeEngineConfig::new(LayerRange::new(0, 8), 8);
@@ -21,14 +21,14 @@
         let mut target = engine_target("e", served.address, 0, 8);
         target.checks_fences = checks_fences;
         cluster.apply(Change::Target(target.clone())).await.unwrap();
-        let ordered = |count: usize| {
+        let orders_received = |count: usize| {
             let engine = engine.clone();
-            eventually_async("the orders have come", move || {
+            eventually_async("the engine has received the orders", move || {
                 let orders = engine.orders();
                 async move { (orders.len() >= count).then_some(orders) }
             })
         };
-        let first = ordered(2).await;
+        let first = orders_received(2).await;
         assert_eq!(
             first[1].order,
             OrderKind::ChangeLayers {
@@ -39,7 +39,7 @@
             adapters.push("north".to_string());
         }
         cluster.apply(Change::Target(target)).await.unwrap();
-        let all = ordered(first.len() + 3).await;
+        let all = orders_received(first.len() + 3).await;
         let last = all.last().unwrap();
         let adapter = "north".to_string();
         assert_eq!(last.order, OrderKind::LoadAdapter { adapter });
--- a/crates/deckwind-testkit/tests/testsuite/other_writers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/other_writers.rs
@@ -1,6 +1,6 @@
-//! Announcements that aren't a target's own, at a running cluster: each is answered
-//! and not taken, and the targets that hold go on. What they look like as bytes is
-//! in the platform's own tests.
+//! Invalid announcements sent to a running cluster: each is answered with an error and
+//! not applied, and the registered targets keep serving. The parsing of such announcements
+//! is covered by the tests of the platform crate.
 
 use crate::rig::{KEY, Rig, data_centre, post};
 use crate::routes::placed;
@@ -19,27 +19,27 @@
 use std::time::{Duration, Instant};
 use yare::parameterized;
 
-/// Whose word it is said to be.
+/// The target in whose name an invalid announcement is sent.
 #[derive(Clone, Copy)]
-enum In {
-    /// The one target's.
-    ItsName,
-    /// Another target's at the same address.
-    ItsPlace,
+enum SentAs {
+    /// The registered target.
+    RegisteredTarget,
+    /// Another target at the same address.
+    OtherTargetAtAddress,
 }
 
 #[parameterized(
-    pool_unknown = { In::ItsName, json!({"backend": "nowhere"}) },
-    pool_unknown_at_its_address = { In::ItsPlace, json!({"backend": "nowhere"}) },
-    pool_unknown_and_draining = { In::ItsName, json!({"backend": "nowhere", "state": "draining"}) },
-    state_unknown = { In::ItsName, json!({"state": "gone"}) },
-    no_number = { In::ItsName, json!({"seq": null}) },
-    number_as_text = { In::ItsPlace, json!({"seq": "900"}) },
-    start_as_text = { In::ItsName, json!({"born": "now"}) },
-    address_unreadable = { In::ItsName, json!({"address": "nobody"}) },
-    engine_without_layers = { In::ItsName, json!({"layers": null, "backend": "engines", "kind": null, "stage": null}) },
+    pool_unknown = { SentAs::RegisteredTarget, json!({"backend": "nowhere"}) },
+    pool_unknown_at_its_address = { SentAs::OtherTargetAtAddress, json!({"backend": "nowhere"}) },
+    pool_unknown_and_draining = { SentAs::RegisteredTarget, json!({"backend": "nowhere", "state": "draining"}) },
+    state_unknown = { SentAs::RegisteredTarget, json!({"state": "gone"}) },
+    no_number = { SentAs::RegisteredTarget, json!({"seq": null}) },
+    number_as_text = { SentAs::OtherTargetAtAddress, json!({"seq": "900"}) },
+    start_as_text = { SentAs::RegisteredTarget, json!({"born": "now"}) },
+    address_unreadable = { SentAs::RegisteredTarget, json!({"address": "nobody"}) },
+    engine_without_layers = { SentAs::RegisteredTarget, json!({"layers": null, "backend": "engines", "kind": null, "stage": null}) },
 )]
-fn a_target_holds_whatever_others_write_in_its_name(said: In, changed: Value) {
+fn an_invalid_announcement_does_not_affect_a_registered_target(sent_as: SentAs, changed: Value) {
     run(async move {
         let mut rig = Rig::start(1, 0).await;
         rig.until_served("/safe/x", false).await;
@@ -50,16 +50,16 @@
                 false => body[field] = value.clone(),
             }
         }
-        let id = match said {
-            In::ItsName => "p-0",
-            In::ItsPlace => "p-other",
+        let id = match sent_as {
+            SentAs::RegisteredTarget => "p-0",
+            SentAs::OtherTargetAtAddress => "p-other",
         };
         let path = format!("/v1/instances/{id}/heartbeat");
         let status = post(rig.control(), &path, &body).await;
         assert_eq!(status, StatusCode::BAD_REQUEST);
         rig.until_in_force().await;
-        let heard = rig.ask("r1", "/safe/x", KEY, false).await;
-        assert_eq!(heard.status, StatusCode::OK);
+        let answer = rig.ask("r1", "/safe/x", KEY, false).await;
+        assert_eq!(answer.status, StatusCode::OK);
         rig.cluster.close().await.expect("closed");
     });
 }
@@ -68,15 +68,15 @@
     no_object = { json!([1]) },
     start_as_text = { json!({"born": "now"}) },
 )]
-fn a_leave_that_can_t_be_read_ends_nobody(body: Value) {
+fn an_unreadable_leave_ends_no_target(body: Value) {
     run(async move {
         let mut rig = Rig::start(1, 0).await;
         rig.until_served("/safe/x", false).await;
         let status = post(rig.control(), "/v1/instances/p-0/leave", &body).await;
         assert_eq!(status, StatusCode::BAD_REQUEST);
         rig.until_in_force().await;
-        let heard = rig.ask("r1", "/safe/x", KEY, false).await;
-        assert_eq!(heard.status, StatusCode::OK);
+        let answer = rig.ask("r1", "/safe/x", KEY, false).await;
+        assert_eq!(answer.status, StatusCode::OK);
         rig.cluster.close().await.expect("closed");
     });
 }
@@ -96,13 +96,13 @@
     CommandBody::Publish(Box::new(Published { release, document }))
 }
 
-/// Targets may announce themselves before the release that names their pool, the
-/// first one or a later one.
+/// Targets may announce themselves before a release names their pool, whether that is the
+/// first release or a later one.
 #[parameterized(
     before_any_release = { None },
     before_the_release_that_names_it = { Some("another") },
 )]
-fn a_target_of_a_pool_that_is_named_later_counts_then(named_before: Option<&str>) {
+fn a_target_of_a_pool_that_is_named_later_is_usable_then(named_before: Option<&str>) {
     let mut machine = StateMachine::default();
     let mut apply = |body| machine.apply(Command { at_ms: 1, body });
     if let Some(pool) = named_before {
@@ -118,14 +118,14 @@
     assert_eq!(index.of_pool("new"), [instance]);
 }
 
-/// It answered, so it is there: what it answered says neither that it is down nor
-/// which stage is. The stream stays where it is and goes on.
+/// An engine that answers a probe with an unreadable report is up, and the report doesn't
+/// show which stage is down. The stream must stay on its path and continue.
 #[parameterized(
     unreadable = { "no report" },
     another_type = { r#"{"busy":false,"seq":"2"}"# },
     a_field_is_missing = { r#"{"seq":2}"# },
 )]
-fn a_report_that_can_t_be_read_says_nothing_of_its_engine(report: &str) {
+fn an_unreadable_report_leaves_the_stream_on_its_path(report: &str) {
     let report = report.to_string();
     run(async move {
         let rig = placed().await;
@@ -136,8 +136,8 @@
         }
         let reports = || rig.engines.iter().map(FakeRunner::reports).sum::<u32>();
         let before = reports();
-        let go_on = async {
-            eventually_async("its engine was asked again and again", || async {
+        let recover = async {
+            eventually_async("the engines have been probed several times", || async {
                 (reports() >= before + 4).then_some(())
             })
             .await;
@@ -145,15 +145,16 @@
                 engine.set_fault(RunnerFault::None);
             }
         };
-        let (heard, ()) = tokio::join!(rig.ask("r1", "/stream/x", KEY, true), go_on);
-        assert_eq!(heard.status, StatusCode::OK);
-        assert!(heard.body.is_ok(), "{:?}", heard.body);
-        assert_eq!(rig.sends("r1"), 1, "it was not sent elsewhere");
+        let (answer, ()) = tokio::join!(rig.ask("r1", "/stream/x", KEY, true), recover);
+        assert_eq!(answer.status, StatusCode::OK);
+        assert!(answer.body.is_ok(), "{:?}", answer.body);
+        assert_eq!(rig.sends("r1"), 1, "the request was not sent elsewhere");
         rig.cluster.close().await.expect("closed");
     });
 }
 
-/// Each kind has a line at once, then one a second that tells of the rest.
+/// The first refusal of each kind is logged at once, the following ones as a count in one
+/// line per second.
 #[test]
 fn refused_announcements_are_logged_in_few_lines() {
     let refusals = Refusals::default();
--- a/crates/deckwind-testkit/tests/testsuite/passed_on.rs
+++ b/crates/deckwind-testkit/tests/testsuite/passed_on.rs
@@ -1,5 +1,5 @@
-//! Replicas that pass routers' requests on to the leader, in virtual time: over changes of
-//! leader, cuts and losses no router needs to know who leads.
+//! Relaying of routers' requests to the leader by any replica. Routers need not know the
+//! leader, also across leader changes, partitions and message loss. Runs in virtual time.
 
 use deckwind_core::control::{
     ControlReply, Grant, RelayedReplies, RelayedRequest, RelayedRequests,
@@ -14,7 +14,8 @@
 use std::time::Duration;
 use yare::parameterized;
 
-/// Routers that ask the replica that their name gives, whoever leads.
+/// Starts five replicas and twenty routers, each of which sends its requests to the replica
+/// that its name hashes to. Returns the lab and the leader.
 fn lab(seed: u64) -> (Lab, usize) {
     let mut lab = Lab::new(5, 20, seed, NetFaults::NONE);
     let leader = lab.run_until_led();
@@ -22,7 +23,7 @@
     (lab, leader)
 }
 
-fn all_serve(lab: &Lab) -> bool {
+fn all_routers_serve(lab: &Lab) -> bool {
     lab.routers.iter().all(|r| r.serves(lab.now()))
 }
 
@@ -33,14 +34,17 @@
     assert!(asked.iter().any(|slot| *slot != leader));
     for _ in 0..20 {
         lab.run_for(Duration::from_millis(200));
-        assert!(all_serve(&lab), "leader {leader}");
+        assert!(all_routers_serve(&lab), "leader {leader}");
         let now: Vec<usize> = lab.routers.iter().map(|r| r.asked()).collect();
-        assert_eq!(now, asked, "nobody was sent to the leader, {leader}");
+        assert_eq!(
+            now, asked,
+            "no router was redirected to the leader, {leader}"
+        );
     }
 }
 
-/// The leader dies: routers that asked a follower serve on as soon as the next one may
-/// answer.
+/// After a crash of the leader, routers that send to a follower serve again as soon as the
+/// next leader may answer.
 #[parameterized(a = { 11 }, b = { 12 }, c = { 13 }, d = { 14 }, e = { 15 })]
 fn routers_serve_on_soon_with_the_next_leader(seed: u64) {
     let (mut lab, leader) = lab(seed);
@@ -52,10 +56,10 @@
     }
 }
 
-/// Claims, leases and what is agreed hold beside losses, doubled messages and replicas that
-/// crash while they pass on (the laboratory checks its rules at each step).
+/// Claims, leases and committed entries stay consistent under message loss, duplication and
+/// crashes of replicas that relay requests. The lab checks its invariants at each step.
 #[parameterized(a = { 21 }, b = { 22 }, c = { 23 }, d = { 24 }, e = { 25 }, f = { 26 })]
-fn what_is_passed_on_keeps_all_rules_beside_faults(seed: u64) {
+fn relayed_requests_keep_all_invariants_under_faults(seed: u64) {
     let mut lab = Lab::new(3, 4, seed, NetFaults::BAD);
     lab.run_until_led();
     for round in 0..6 {
@@ -101,7 +105,8 @@
     })
 }
 
-/// Answers come back as they were, each with its own state, through the wire.
+/// Relayed answers that share a delta are encoded and decoded without loss, each with its
+/// own delta.
 #[test]
 fn answers_that_share_state_come_back_whole() {
     let answers = [
@@ -112,13 +117,13 @@
         (11, ControlReply::Done),
         (12, ControlReply::NotLeader { leader: Some(2) }),
     ];
-    let mut passed_back = RelayedReplies::new(5);
+    let mut relayed = RelayedReplies::new(5);
     for (token, reply) in answers.clone() {
-        passed_back.push(token, reply);
+        relayed.push(token, reply);
     }
-    let wire = encode(&PeerMessage::Answers(passed_back));
+    let wire = encode(&PeerMessage::Answers(relayed));
     let PeerMessage::Answers(read) = decode(&wire).unwrap() else {
-        panic!("another message");
+        panic!("decoded another kind of message");
     };
     assert_eq!(read.life, 5);
     assert_eq!(read.into_answers(), answers);
@@ -142,17 +147,17 @@
 const MEMBERS: [u32; 10] = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10];
 
 fn choices(routers: u32) -> Vec<ReplicaChoice> {
-    let of = |i: u32| {
+    let choice_of = |i: u32| {
         let mut choice = ReplicaChoice::new(format!("router-{i}").into(), vec![1, 2, 3]);
         choice.members_are(&MEMBERS);
         choice
     };
-    (0..routers).map(of).collect()
+    (0..routers).map(choice_of).collect()
 }
 
 const NOW: Instant = Instant::from_millis(1_000);
 
-/// Requests spread over the replicas, without anybody who counts them.
+/// Routers spread evenly over the replicas without coordination.
 #[test]
 fn routers_spread_evenly_over_the_replicas() {
     let mut asked: BTreeMap<u32, u32> = BTreeMap::new();
@@ -163,17 +168,17 @@
     assert!(asked.values().all(|n| (70..140).contains(n)), "{asked:?}");
 }
 
-/// A replica that is gone moves only the routers that asked there, to all the others;
-/// they come back to it.
+/// When a replica fails, only the routers that sent to it move, and they spread over all
+/// others. They return to it later.
 #[test]
 fn a_replica_that_is_gone_moves_its_own_routers_only() {
-    let gone = 4;
+    let failed_slot = 4;
     let mut moved_to: BTreeMap<u32, u32> = BTreeMap::new();
     for mut choice in choices(1_000) {
         let first = choice.next(NOW).unwrap();
-        choice.failed(NOW, gone);
+        choice.failed(NOW, failed_slot);
         let then = choice.next(NOW).unwrap();
-        match first == gone {
+        match first == failed_slot {
             true => *moved_to.entry(then).or_default() += 1,
             false => assert_eq!(then, first),
         }
@@ -183,24 +188,28 @@
     assert_eq!(moved_to.len(), MEMBERS.len() - 1, "{moved_to:?}");
 }
 
-/// Who is named as the leader is asked once; a replica that knows none is left alone for
-/// seconds, one that is slow for one; where all have failed the one that did so first is
-/// asked.
+/// A replica that is named as the leader is tried once. A replica that knows no leader is
+/// avoided for several seconds, a slow one for one second. If all have failed, the one that
+/// failed first is tried.
 #[test]
-fn a_router_asks_where_it_may_be_helped() {
+fn a_router_avoids_replicas_that_can_not_answer() {
     let mut choice = choices(1).remove(0);
-    let home = choice.next(NOW).unwrap();
-    let leader = MEMBERS.into_iter().find(|slot| *slot != home).unwrap();
-    choice.not_passed_on(NOW, home, Some(leader));
+    let preferred = choice.next(NOW).unwrap();
+    let leader = MEMBERS.into_iter().find(|slot| *slot != preferred).unwrap();
+    choice.not_passed_on(NOW, preferred, Some(leader));
     assert_eq!(choice.next(NOW), Some(leader));
-    let soon = NOW + Duration::from_secs(2);
-    assert_ne!(choice.next(soon), Some(home), "it is left alone");
-    choice.answered(home);
-    choice.was_slow(NOW, home);
-    assert_ne!(choice.next(NOW), Some(home));
-    assert_eq!(choice.next(soon), Some(home));
+    let two_seconds_later = NOW + Duration::from_secs(2);
+    assert_ne!(
+        choice.next(two_seconds_later),
+        Some(preferred),
+        "it is still avoided"
+    );
+    choice.answered(preferred);
+    choice.was_slow(NOW, preferred);
+    assert_ne!(choice.next(NOW), Some(preferred));
+    assert_eq!(choice.next(two_seconds_later), Some(preferred));
     for (ms, slot) in MEMBERS.into_iter().enumerate() {
         choice.failed(NOW + Duration::from_millis(ms as u64), slot);
     }
-    assert_eq!(choice.next(soon), Some(MEMBERS[0]));
+    assert_eq!(choice.next(two_seconds_later), Some(MEMBERS[0]));
 }
--- a/crates/deckwind-testkit/tests/testsuite/placement_at_size.rs
+++ b/crates/deckwind-testkit/tests/testsuite/placement_at_size.rs
@@ -1,5 +1,5 @@
-//! The placement of layers in fleets of hundreds of engines a data centre: what a look
-//! goes through, engines that come all the time, and odd ones among them. No network.
+//! Placement of layers in fleets of hundreds of engines per data centre: the engines scanned
+//! per round, engines that keep joining, and engines that can't hold layers. No network.
 
 use crate::support::announced;
 use deckwind_core::control::{PlaceWork, PlacementDesk};
@@ -11,26 +11,27 @@
 use std::time::Duration;
 use yare::parameterized;
 
-/// Between two looks of the leader.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval between two rounds of the leader's placement.
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 
-struct Desk {
+/// Drives a [`PlacementDesk`] against a state machine, as a leader does.
+struct PlacementRig {
     desk: PlacementDesk,
     machine: StateMachine,
     release: Release,
     now: Instant,
 }
 
-impl Desk {
+impl PlacementRig {
     fn new(fleet: Vec<Instance>) -> Self {
-        let mut desk = Self {
+        let mut rig = Self {
             desk: PlacementDesk::default(),
             machine: StateMachine::default(),
             release: engine_release(1, 1),
             now: Instant::from_millis(1_000),
         };
-        desk.apply(fleet.into_iter().map(announced).collect());
-        desk
+        rig.apply(fleet.into_iter().map(announced).collect());
+        rig
     }
 
     fn apply(&mut self, changes: Vec<InstanceChange>) {
@@ -42,9 +43,9 @@
         self.machine.configuration().instances()
     }
 
-    /// One look; its orders are carried out at once.
-    fn look(&mut self) -> PlaceWork {
-        self.now = self.now + LOOK_EVERY;
+    /// Runs one round and carries out its orders at once.
+    fn run_round(&mut self) -> PlaceWork {
+        self.now = self.now + ROUND_INTERVAL;
         let instances = self.instances().clone();
         let work = self.desk.work(self.now, &self.release, &instances);
         self.apply(work.changes.clone());
@@ -59,73 +60,75 @@
         work
     }
 
-    fn looks_for(&mut self, looks: usize) -> usize {
-        let orders = (0..looks).map(|_| self.look().orders.len());
+    /// Runs `rounds` rounds and returns the number of orders.
+    fn run_rounds(&mut self, rounds: usize) -> usize {
+        let orders = (0..rounds).map(|_| self.run_round().orders.len());
         orders.sum()
     }
 
-    /// Engines that this look went through.
-    fn gone_through(&mut self) -> u64 {
+    /// Runs one round and returns the number of engines that it scanned.
+    fn run_round_counting_scans(&mut self) -> u64 {
         let before = self.desk.looks();
-        self.look();
+        self.run_round();
         self.desk.looks() - before
     }
 }
 
-/// Engines of one chain that move when it is mended, at most.
-const MENDED: u64 = 32;
+/// The most engines whose layers change when one chain is repaired.
+const MAX_REPAIRED: u64 = 32;
 
-/// After one engine is lost a look goes through its data centre and what has changed, and
-/// through nothing once the chain is whole again.
+/// After the loss of an engine, a round scans only its data centre and the engines that have
+/// changed. Once all layers are placed, a round scans nothing.
 #[parameterized(
     hundreds = { 300 },
     thousands = { 3_000 },
 )]
-fn one_loss_costs_one_data_centre(engines: usize) {
-    let mut desk = Desk::new(engine_fleet(engines));
-    assert!(desk.looks_for(40) > 0);
-    assert_eq!(desk.gone_through(), 0, "all is placed");
-    let held = desk.instances().iter().find(|i| !i.layers.is_empty());
+fn a_loss_scans_one_data_centre_only(engines: usize) {
+    let mut rig = PlacementRig::new(engine_fleet(engines));
+    assert!(rig.run_rounds(40) > 0);
+    assert_eq!(rig.run_round_counting_scans(), 0, "all layers are placed");
+    let held = rig.instances().iter().find(|i| !i.layers.is_empty());
     let lost = held.map(Instance::life).expect("one holds layers");
-    desk.apply(vec![InstanceChange::Left(lost)]);
-    let most = engines as u64 / 3 + MENDED;
-    let through: Vec<u64> = (0..10).map(|_| desk.gone_through()).collect();
-    assert!(through.iter().all(|n| *n <= most), "{through:?}");
-    assert!(through.iter().any(|n| *n > 0), "{through:?}");
+    rig.apply(vec![InstanceChange::Left(lost)]);
+    let max_scanned = engines as u64 / 3 + MAX_REPAIRED;
+    let scanned: Vec<u64> = (0..10).map(|_| rig.run_round_counting_scans()).collect();
+    assert!(scanned.iter().all(|n| *n <= max_scanned), "{scanned:?}");
+    assert!(scanned.iter().any(|n| *n > 0), "{scanned:?}");
 }
 
-/// Engines that join one after the other, faster than a data centre is waited for: layers
-/// are placed all the same.
+/// Engines keep joining at shorter intervals than the leader waits for a data centre to
+/// settle. Layers must be placed all the same.
 #[test]
-fn engines_that_come_all_the_time_hold_nothing_up() {
+fn engines_that_keep_joining_do_not_delay_the_placement() {
     let mut fleet = engine_fleet(600);
     let late = fleet.split_off(300);
-    let mut desk = Desk::new(fleet);
+    let mut rig = PlacementRig::new(fleet);
     let mut orders = 0;
     for engine in late.into_iter().take(120) {
-        desk.apply(vec![announced(engine)]);
-        orders += desk.looks_for(1);
+        rig.apply(vec![announced(engine)]);
+        orders += rig.run_rounds(1);
     }
     assert!(orders > 0, "nothing was placed in 12 s");
 }
 
-/// Engines that start together announce themselves within a period, in one data centre
-/// with longer pauses than in all: no chain is laid out before the last of them is there.
+/// Engines that start together announce themselves within one interval, and the gaps between
+/// announcements are longer within one data centre than over all. No chain must be planned
+/// before the last engine has announced itself.
 #[test]
 fn a_data_centre_waits_for_engines_that_start_together_with_those_of_others() {
     let fleet = engine_fleet(36);
-    let (there, rest): (Vec<_>, Vec<_>) =
+    let (local, rest): (Vec<_>, Vec<_>) =
         fleet.into_iter().partition(|e| e.data_centre == "a".into());
-    let mut there = there;
-    let last = there.pop().expect("some stand there");
-    let mut desk = Desk::new(there);
+    let mut local = local;
+    let last = local.pop().expect("the data centre has engines");
+    let mut rig = PlacementRig::new(local);
     for engine in rest {
-        desk.apply(vec![announced(engine)]);
-        assert_eq!(desk.looks_for(1), 0, "an engine may still come");
+        rig.apply(vec![announced(engine)]);
+        assert_eq!(rig.run_rounds(1), 0, "an engine may still come");
     }
-    desk.apply(vec![announced(last)]);
-    assert_eq!(desk.looks_for(5), 0, "an engine may still come");
-    assert!(desk.looks_for(20) > 0);
+    rig.apply(vec![announced(last)]);
+    assert_eq!(rig.run_rounds(5), 0, "an engine may still come");
+    assert!(rig.run_rounds(20) > 0);
 }
 
 fn of_kind(number: u16, kind: Option<&str>) -> Instance {
@@ -136,52 +139,67 @@
     }
 }
 
-/// What can hold nothing is left out, and the others are placed as without it.
+/// An engine that can't hold any layers is left out, and the others are placed as if it
+/// weren't there.
 #[parameterized(
     a_data_centre_with_one_engine = { of_kind(9_000, Some("large")) },
     a_kind_that_the_model_does_not_list = { of_kind(9_000, Some("tpu")) },
     no_kind = { of_kind(9_000, None) },
 )]
-fn an_odd_engine_changes_nothing_for_the_others(odd: Instance) {
-    let mut without = Desk::new(engine_fleet(300));
-    let mut with = Desk::new(engine_fleet(300).into_iter().chain([odd]).collect());
-    assert_eq!(with.looks_for(40), without.looks_for(40));
-    let odd = with.instances().get("engine-9000").expect("it is there");
-    assert!(odd.layers.is_empty());
-    assert_eq!(with.gone_through(), 0, "nothing waits for it");
+fn an_unusable_engine_changes_nothing_for_the_others(unusable: Instance) {
+    let mut without = PlacementRig::new(engine_fleet(300));
+    let mut with = PlacementRig::new(engine_fleet(300).into_iter().chain([unusable]).collect());
+    assert_eq!(with.run_rounds(40), without.run_rounds(40));
+    let unusable = with
+        .instances()
+        .get("engine-9000")
+        .expect("the engine is registered");
+    assert!(unusable.layers.is_empty());
+    assert_eq!(
+        with.run_round_counting_scans(),
+        0,
+        "no round waits for the engine"
+    );
 }
 
-/// A life that is over and comes back many times leaves nothing behind.
+/// Engines that restart many times leave no order of an ended incarnation under way.
 #[test]
 fn engines_that_start_again_and_again_are_placed_in_the_end() {
-    let mut desk = Desk::new(engine_fleet(300));
-    desk.looks_for(20);
+    let mut rig = PlacementRig::new(engine_fleet(300));
+    rig.run_rounds(20);
     for start in 1..=20u64 {
         let again = engine_fleet(30).into_iter().map(|mut e| {
             e.born = Some(start);
             announced(e)
         });
-        desk.apply(again.collect());
-        desk.looks_for(1);
+        rig.apply(again.collect());
+        rig.run_rounds(1);
     }
-    desk.looks_for(60);
-    let ids: Vec<String> = desk.instances().iter().map(|i| i.id.clone()).collect();
+    rig.run_rounds(60);
+    let ids: Vec<String> = rig.instances().iter().map(|i| i.id.clone()).collect();
     assert_eq!(ids.len(), 300);
     for id in ids {
-        assert!(desk.desk.ordered(&id).is_none(), "{id} is under way");
+        assert!(
+            rig.desk.ordered(&id).is_none(),
+            "the order to {id} is still under way"
+        );
     }
 }
 
-/// A whole fleet starts at once: its orders leave in turns, and all chains are whole in
-/// the end.
+/// When a whole fleet starts at once, its orders are sent over several rounds, and all chains
+/// are whole in the end.
 #[test]
-fn a_fleet_that_starts_at_once_is_placed_in_turns() {
-    const MOST: usize = 256;
+fn a_fleet_that_starts_at_once_is_placed_over_several_rounds() {
+    const MAX_UNDER_WAY: usize = 256;
     const LONGEST_CHAIN: usize = 64;
-    let mut desk = Desk::new(engine_fleet(3_000));
-    let orders: Vec<usize> = (0..60).map(|_| desk.look().orders.len()).collect();
-    let most = orders.iter().max().copied().unwrap_or_default();
-    assert!(most < MOST + LONGEST_CHAIN, "{orders:?}");
-    assert!(orders.iter().sum::<usize>() > MOST, "{orders:?}");
-    assert_eq!(desk.gone_through(), 0, "all is placed: {orders:?}");
+    let mut rig = PlacementRig::new(engine_fleet(3_000));
+    let orders: Vec<usize> = (0..60).map(|_| rig.run_round().orders.len()).collect();
+    let largest_round = orders.iter().max().copied().unwrap_or_default();
+    assert!(largest_round < MAX_UNDER_WAY + LONGEST_CHAIN, "{orders:?}");
+    assert!(orders.iter().sum::<usize>() > MAX_UNDER_WAY, "{orders:?}");
+    assert_eq!(
+        rig.run_round_counting_scans(),
+        0,
+        "all layers are placed: {orders:?}"
+    );
 }
--- a/crates/deckwind-testkit/tests/testsuite/published.rs
+++ b/crates/deckwind-testkit/tests/testsuite/published.rs
@@ -1,5 +1,5 @@
-//! Releases, announced targets, events and repeats, as tables and in virtual
-//! time.
+//! Releases, announced targets, event streams and the retry budget: table-driven unit tests
+//! and simulations in virtual time.
 
 use crate::repeat_rig::{Control, STARTED};
 use crate::support::announced;
@@ -69,7 +69,7 @@
 fn index(release: Release) -> ReleaseIndex {
     let mut machine = StateMachine::default();
     publish(&mut machine, release);
-    ReleaseIndex::of(machine.configuration()).expect("a release holds")
+    ReleaseIndex::of(machine.configuration()).expect("a release is in force")
 }
 
 #[parameterized(
@@ -92,15 +92,19 @@
     open_and_missing = { None, true, true },
     open_and_unknown = { Some([2; 32]), true, true },
 )]
-fn keys_are_asked_for_on_routes_that_are_not_open(key: Option<[u8; 32]>, open: bool, let_in: bool) {
+fn keys_are_asked_for_on_routes_that_are_not_open(
+    key: Option<[u8; 32]>,
+    open: bool,
+    admitted: bool,
+) {
     let index = index(release(1));
     let mut route = route("r", "h", "/");
     route.open = open;
-    assert_eq!(index.admit(&route, key.as_ref()).is_ok(), let_in);
+    assert_eq!(index.admit(&route, key.as_ref()).is_ok(), admitted);
 }
 
 #[test]
-fn the_split_follows_the_weights_and_leaves_out_zero() {
+fn the_split_follows_the_weights_and_skips_zero_weights() {
     let index = index(release(1));
     let mut route = route("r", "h", "/");
     let split = |pool: &str, weight| Split {
@@ -157,7 +161,7 @@
     cfg.merge(machine.configuration().delta_since(Revision::ZERO));
     assert_eq!(cfg.release(), machine.configuration().release());
     assert!(cfg.document().is_empty());
-    // An older delta that comes late changes nothing.
+    // An older delta that arrives late changes nothing.
     let old = machine.configuration().delta_since(Revision::ZERO);
     publish(&mut machine, release(5));
     cfg.merge(machine.configuration().delta_since(cfg.revision()));
@@ -181,7 +185,7 @@
     }
 }
 
-fn change(machine: &mut StateMachine, change: InstanceChange) {
+fn apply_change(machine: &mut StateMachine, change: InstanceChange) {
     machine.apply(Command {
         at_ms: 1,
         body: CommandBody::Instances(vec![change]),
@@ -196,18 +200,18 @@
 fn a_late_announcement_does_not_bring_a_draining_target_back() {
     let mut machine = StateMachine::default();
     let draining = instance("i", 1, InstanceState::Draining, 7);
-    change(
+    apply_change(
         &mut machine,
         announced(instance("i", 1, InstanceState::Ready, 5)),
     );
-    change(&mut machine, announced(draining));
-    change(
+    apply_change(&mut machine, announced(draining));
+    apply_change(
         &mut machine,
         announced(instance("i", 1, InstanceState::Ready, 6)),
     );
     assert_eq!(state_of(&machine, "i"), Some(InstanceState::Draining));
-    // What the leader itself finds out changes only that.
-    change(
+    // Results of the leader's own orders and probes don't end the drain either.
+    apply_change(
         &mut machine,
         InstanceChange::Holds {
             life: "i".into(),
@@ -215,10 +219,10 @@
             in_memory: 4,
         },
     );
-    change(&mut machine, InstanceChange::Silent("i".into()));
+    apply_change(&mut machine, InstanceChange::Silent("i".into()));
     assert_eq!(state_of(&machine, "i"), Some(InstanceState::Draining));
-    change(&mut machine, InstanceChange::Left("i".into()));
-    change(
+    apply_change(&mut machine, InstanceChange::Left("i".into()));
+    apply_change(
         &mut machine,
         announced(instance("i", 1, InstanceState::Ready, 9)),
     );
@@ -226,19 +230,19 @@
 }
 
 #[test]
-fn another_life_at_the_same_address_ends_the_one_before() {
+fn another_target_at_the_same_address_ends_the_previous_one() {
     let mut machine = StateMachine::default();
-    change(
+    apply_change(
         &mut machine,
         announced(instance("old", 1, InstanceState::Ready, 5)),
     );
-    change(
+    apply_change(
         &mut machine,
         announced(instance("new", 1, InstanceState::Ready, 1)),
     );
     assert_eq!(state_of(&machine, "old"), None);
     assert_eq!(state_of(&machine, "new"), Some(InstanceState::Ready));
-    change(
+    apply_change(
         &mut machine,
         announced(instance("old", 1, InstanceState::Ready, 6)),
     );
@@ -246,15 +250,15 @@
 }
 
 #[test]
-fn targets_that_left_are_remembered_in_a_bounded_number() {
+fn a_bounded_number_of_ended_targets_is_kept() {
     let mut machine = StateMachine::default();
     for i in 0..6_000u16 {
         let id = format!("i{i}");
-        change(
+        apply_change(
             &mut machine,
             announced(instance(&id, i, InstanceState::Ready, 1)),
         );
-        change(&mut machine, InstanceChange::Left(id.into()));
+        apply_change(&mut machine, InstanceChange::Left(id.into()));
     }
     let since = machine.configuration().delta_since(Revision::ZERO);
     assert!(since.instances.len() <= 4_096, "{}", since.instances.len());
@@ -269,7 +273,7 @@
     seen_before = { &["id: 1\nd\n\nid: 2\ne\n\n"], Some(1), "id: 2\ne\n\n", "" },
     without_id = { &["data: x\n\n"], Some(9), "data: x\n\n", "" },
 )]
-fn events_are_passed_on_whole(pieces: &[&str], after: Option<u64>, passed: &str, rest: &str) {
+fn events_are_forwarded_whole(pieces: &[&str], after: Option<u64>, forwarded: &str, rest: &str) {
     let mut cutter = EventCutter::default();
     let mut out = Vec::new();
     for piece in pieces {
@@ -277,7 +281,7 @@
             out.extend(events.bytes);
         }
     }
-    assert_eq!(String::from_utf8_lossy(&out), passed);
+    assert_eq!(String::from_utf8_lossy(&out), forwarded);
     assert_eq!(String::from_utf8_lossy(&cutter.rest()), rest);
 }
 
@@ -312,14 +316,14 @@
     }
 }
 
-/// The bound over all routers holds in every window, also where all load and all
-/// failures come to one router.
+/// Retries of all routers together stay within the bound in every window, also where most
+/// requests and failures fall on one router.
 #[parameterized(
     even = { 9, 0.0 },
     lopsided = { 9, 0.8 },
     few = { 2, 0.3 },
 )]
-fn all_routers_together_keep_the_bound_on_repeats(routers: u32, to_first: f64) {
+fn all_routers_together_keep_the_bound_on_retries(routers: u32, to_first: f64) {
     const BEYOND: f64 = 200.0;
     let limits = RepeatLimits {
         share: 0.2,
@@ -332,7 +336,7 @@
     let mut control = Control::new(Instant::from_millis(1_000));
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut requests = Vec::new();
-    let mut repeats = Vec::new();
+    let mut retries = Vec::new();
     for ms in (0..60_000u64).step_by(5) {
         let now = Instant::from_millis(1_000 + ms);
         let first = rng.random::<f64>() < to_first;
@@ -346,7 +350,7 @@
                 control.ask(now, &holder(i, 0), budgets);
             }
         }
-        // Bursts: a second of load, a second of little.
+        // Bursts: one second of full load, then one second at a tenth of it.
         if ms / 1_000 % 2 == 0 || rng.random::<f64>() < 0.1 {
             budgets[i].of_pool("pool").requested(now);
             requests.push(ms);
@@ -354,7 +358,7 @@
         for _ in 0..2 {
             let budget = budgets[i].of_pool("pool");
             if budget.spend(now, Claim::Begun, rng.random()).is_some() {
-                repeats.push(ms);
+                retries.push(ms);
             }
         }
     }
@@ -364,18 +368,18 @@
                 .filter(|t| **t >= start && **t < start + 10_000)
                 .count()
         };
-        let most = 0.2 * inside(&requests) as f64 + BEYOND;
-        let sent = inside(&repeats) as f64;
+        let max_retries = 0.2 * inside(&requests) as f64 + BEYOND;
+        let sent = inside(&retries) as f64;
         assert!(
-            sent <= most,
-            "{sent} repeats from {start} ms on, {most} allowed"
+            sent <= max_retries,
+            "{sent} retries from {start} ms on, {max_retries} allowed"
         );
     }
-    assert!(repeats.len() > 100, "the bound is made use of");
+    assert!(retries.len() > 100, "the bound is made use of");
 }
 
 #[test]
-fn requests_for_one_pool_earn_no_repeats_for_another() {
+fn requests_for_one_pool_earn_no_retries_for_another() {
     let limits = RepeatLimits {
         share: 0.5,
         beyond: 0.0,
@@ -392,13 +396,13 @@
     assert_eq!(busy, Some(Paid::Share));
     budgets.retain(|pool| pool == "idle");
     let gone = budgets.of_pool("busy").spend(now, Claim::Begun, 1);
-    assert_eq!(gone, None, "a pool that is gone is forgotten");
+    assert_eq!(gone, None, "the budget of a removed pool is discarded");
 }
 
-/// Routers that stop and start in turn forget what they sent, and fewer of them
-/// have a lease at any time: the bound holds all the same.
+/// Routers that restart one after the other lose their record of sent retries, and fewer of
+/// them hold a lease at any time. The bound must hold all the same.
 #[test]
-fn the_bound_on_repeats_holds_while_routers_restart_in_turn() {
+fn the_bound_on_retries_holds_while_routers_restart_in_turn() {
     const BEYOND: f64 = 200.0;
     let limits = RepeatLimits {
         share: 0.0,
@@ -409,10 +413,10 @@
         .map(|_| (RepeatBudgets::new(limits, STARTED), 0u64))
         .collect();
     let mut control = Control::new(Instant::from_millis(20_000));
-    let mut repeats = Vec::new();
+    let mut retries = Vec::new();
     for ms in (0..40_000u64).step_by(10) {
         let now = Instant::from_millis(20_000 + ms);
-        // Each is down for 3 s, one after the other, from 5 s on.
+        // From 5 s on, the routers go down one after the other, each for 3 s.
         let stopped = |i: usize| {
             let from = 5_000 + 1_300 * i as u64;
             (from..from + 3_000).contains(&ms)
@@ -428,16 +432,16 @@
             }
             let budget = budgets.of_pool("pool");
             if budget.spend(now, Claim::Begun, ms).is_some() {
-                repeats.push(ms);
+                retries.push(ms);
             }
         }
     }
     for start in (0..30_000u64).step_by(100) {
-        let inside = repeats
+        let inside = retries
             .iter()
             .filter(|t| **t >= start && **t < start + 10_000);
         let sent = inside.count() as f64;
-        assert!(sent <= BEYOND, "{sent} repeats from {start} ms on");
+        assert!(sent <= BEYOND, "{sent} retries from {start} ms on");
     }
-    assert!(repeats.len() > 100, "the bound is made use of");
+    assert!(retries.len() > 100, "the bound is made use of");
 }
--- a/crates/deckwind-testkit/tests/testsuite/release_changes.rs
+++ b/crates/deckwind-testkit/tests/testsuite/release_changes.rs
@@ -1,5 +1,5 @@
-//! Releases by difference: whatever is missed, doubled or overtaken, a receiver
-//! ends with the release that was published.
+//! Incremental updates of releases: with missed, duplicated and reordered deltas a receiver
+//! still ends with the release that was published last.
 
 use deckwind_core::state::{
     Command, CommandBody, Configuration, Delta, InstanceChange, KeyHolder, PackedDelta, Pool,
@@ -8,15 +8,15 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// A release in which numbers stand for contents: `routes[place]` is a route's
-/// time-out, `holders[account]` the first byte of its key.
+/// A compact description of a release, for generated test cases: `routes[place]` is the
+/// timeout of a route, `holders[account]` determines the bytes of the account's key.
 #[derive(Clone, Debug, Default)]
-struct Sketch {
+struct ReleaseSketch {
     routes: BTreeMap<u8, u64>,
     pools: BTreeMap<u8, u32>,
     holders: Option<BTreeMap<u8, u8>>,
     /// Whether one account is listed twice.
-    twice: bool,
+    has_duplicate_account: bool,
 }
 
 fn route(place: u8, timeout_ms: u64) -> Route {
@@ -54,19 +54,19 @@
     }
 }
 
-impl Sketch {
+impl ReleaseSketch {
     fn release(&self, version: u64) -> Release {
         let pools = self
             .pools
             .iter()
             .map(|(p, c)| pool(format!("pool-{p}"), *c));
         let holders = self.holders.as_ref().map(|holders| {
-            // One key is never shared by two accounts.
-            let own = holders
+            // Two accounts never share a key.
+            let keys_of_accounts = holders
                 .iter()
                 .map(|(a, k)| holder(*a, a.wrapping_mul(16) + k % 16));
-            let again = self.twice.then(|| holder(0, 15));
-            own.chain(again).collect()
+            let again = self.has_duplicate_account.then(|| holder(0, 15));
+            keys_of_accounts.chain(again).collect()
         });
         Release {
             version,
@@ -78,19 +78,21 @@
     }
 }
 
-fn sketches() -> impl Strategy<Value = Vec<Sketch>> {
+fn sketches() -> impl Strategy<Value = Vec<ReleaseSketch>> {
     let routes = prop::collection::btree_map(0u8..12, 0u64..3, 0..8);
     let pools = prop::collection::btree_map(0u8..4, 0u32..3, 0..4);
     let holders = prop::option::weighted(0.8, prop::collection::btree_map(0u8..6, 0u8..3, 0..5));
-    let twice = prop::bool::weighted(0.1);
-    let one = (routes, pools, holders, twice);
-    let one = one.prop_map(|(routes, pools, holders, twice)| Sketch {
-        routes,
-        pools,
-        holders,
-        twice,
-    });
-    prop::collection::vec(one, 1..8)
+    let has_duplicate_account = prop::bool::weighted(0.1);
+    let fields = (routes, pools, holders, has_duplicate_account);
+    let sketch = fields.prop_map(
+        |(routes, pools, holders, has_duplicate_account)| ReleaseSketch {
+            routes,
+            pools,
+            holders,
+            has_duplicate_account,
+        },
+    );
+    prop::collection::vec(sketch, 1..8)
 }
 
 fn publish(machine: &mut StateMachine, release: Release) {
@@ -104,7 +106,7 @@
     });
 }
 
-/// The same release, whatever the order of its parts.
+/// Returns the release with its parts in a canonical order.
 fn sorted(release: &Release) -> Release {
     let mut sorted = release.clone();
     sorted
@@ -125,12 +127,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, rng_seed: prop::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// A receiver hears of some of the releases only; what it hears comes late,
-    /// doubled, or after something newer.
+    /// A receiver gets deltas for only some of the releases, and some of these arrive late,
+    /// twice, or after newer ones.
     #[test]
     fn any_deltas_in_any_order_end_in_the_release_published_last(
         sketches in sketches(),
-        heard in prop::collection::vec(any::<bool>(), 8),
+        received_by_router in prop::collection::vec(any::<bool>(), 8),
         restarted in prop::collection::vec(prop::bool::weighted(0.15), 8),
         late in prop::collection::vec(any::<prop::sample::Index>(), 6),
     ) {
@@ -144,7 +146,7 @@
                 machine.hand_out(i % 2 == 0);
             }
             publish(&mut machine, sketch.release(i as u64 + 1));
-            if heard[i] {
+            if received_by_router[i] {
                 let delta = packed(&machine, router.revision());
                 sent.push(delta.clone());
                 router.merge(delta);
@@ -154,9 +156,9 @@
             }
         }
         router.merge(packed(&machine, router.revision()));
-        let want = machine.configuration().release().unwrap();
-        let have = router.release().unwrap();
-        prop_assert_eq!(sorted(have), sorted(want));
+        let published = machine.configuration().release().unwrap();
+        let received = router.release().unwrap();
+        prop_assert_eq!(sorted(received), sorted(published));
         prop_assert_eq!(router.revision(), machine.configuration().revision());
     }
 }
@@ -168,21 +170,20 @@
     machine
 }
 
-/// A release with many routes, one of which has another time-out in every
-/// version.
+/// Returns a release with many routes, the first of which has the given timeout.
 fn large(version: u64, routes: u16, timeout_ms: u64) -> Release {
-    let mut release = Sketch::default().release(version);
+    let mut release = ReleaseSketch::default().release(version);
     for i in 0..routes {
-        let mut one = route(0, if i == 0 { timeout_ms } else { 0 });
-        one.name = format!("route-{i}");
-        one.path_prefix = format!("/path-{i}/of/some/length");
-        release.routes.push(one);
+        let mut route = route(0, if i == 0 { timeout_ms } else { 0 });
+        route.name = format!("route-{i}");
+        route.path_prefix = format!("/path-{i}/of/some/length");
+        release.routes.push(route);
     }
     release
 }
 
 #[test]
-fn one_changed_route_of_many_goes_alone() {
+fn a_change_of_one_route_sends_that_route_only() {
     let mut machine = machine_with(1_400);
     let whole = PackedDelta::of(&machine.configuration().delta_since(Revision::ZERO));
     let held = machine.configuration().revision();
@@ -192,10 +193,10 @@
     assert!(whole.size() < 20_000, "{}", whole.size());
 }
 
-/// What changed is known only where it is handed out; elsewhere nothing is spent
-/// on it.
+/// Only a replica that hands out releases records what changed in them; others don't spend
+/// anything on it and can only send whole releases.
 #[test]
-fn a_replica_that_hands_nothing_out_knows_the_whole_only() {
+fn a_replica_that_does_not_hand_out_releases_sends_whole_ones_only() {
     let mut machine = machine_with(3);
     let held = machine.configuration().revision();
     machine.hand_out(false);
@@ -209,9 +210,10 @@
     assert!(matches!(change, Some(ReleaseDelta::Changes(_))));
 }
 
-/// Targets announce themselves before anything is published.
+/// Targets announce themselves before the first release, so a router has a revision without
+/// having a release. It must get the first release whole.
 #[test]
-fn who_was_there_before_the_first_release_gets_all_of_it() {
+fn a_router_that_was_there_before_the_first_release_gets_it_whole() {
     let mut machine = StateMachine::default();
     machine.apply(Command {
         at_ms: 1,
@@ -228,7 +230,7 @@
 }
 
 #[test]
-fn a_change_that_builds_on_a_release_never_held_is_not_taken() {
+fn a_change_to_a_release_that_the_router_never_had_is_not_applied() {
     let mut machine = machine_with(3);
     let held = machine.configuration().revision();
     publish(&mut machine, large(2, 3, 5));
--- a/crates/deckwind-testkit/tests/testsuite/renewals.rs
+++ b/crates/deckwind-testkit/tests/testsuite/renewals.rs
@@ -1,4 +1,4 @@
-//! Renewals around a change of leader, and how soon a leader is found.
+//! Lease renewals around elections, and the time until a leader is elected.
 
 use deckwind_core::control::{
     ControlEvent, ControlLimits, ControlReply, ControlRequest, LimitReport, Renewal,
@@ -31,8 +31,9 @@
     })
 }
 
-/// A lone replica among `slots`, and the replies it gives to a renewal that came
-/// with its start, with their times in milliseconds.
+/// Starts one replica of the cluster `slots`, alone, with a renewal that arrives at its
+/// start. Returns the replies to the renewal within `run_ms`, with their times in
+/// milliseconds.
 fn replies(slots: &[u32], run_ms: u64) -> Vec<(u64, ControlReply)> {
     let id = ReplicaId {
         slot: 0,
@@ -75,14 +76,14 @@
 }
 
 #[test]
-fn a_renewal_does_not_wait_long_where_nobody_will_lead() {
+fn a_renewal_does_not_wait_long_where_no_leader_can_be_elected() {
     let replies = replies(&[0, 1, 2], 3_000);
-    let nobody = ControlReply::NotLeader { leader: None };
-    assert_eq!(replies, [(500, nobody)]);
+    let no_leader = ControlReply::NotLeader { leader: None };
+    assert_eq!(replies, [(500, no_leader)]);
 }
 
-/// All replicas stop, and start one after the other: the first pre-votes are
-/// refused by those that may have promised something to a leader of before.
+/// All replicas stop, and three of five start one after the other. The first pre-votes are
+/// refused by replicas that may still have a promise to a previous leader.
 #[test]
 fn a_leader_is_found_soon_after_a_start_of_all() {
     let mut slowest = Duration::ZERO;
@@ -90,7 +91,7 @@
         let mut lab = Lab::new(5, 0, seed, NetFaults::NONE);
         lab.run_until_led();
         (0..5).for_each(|slot| lab.crash(slot, 0));
-        // The two others stay down, so each of these must take part.
+        // The two others stay down, so all of these three are needed for a quorum.
         for slot in 0..2 {
             lab.start(slot);
             lab.run_for(Duration::from_millis(250));
@@ -100,6 +101,7 @@
         lab.run_until_led();
         slowest = slowest.max(lab.now().since(begun));
     }
-    // With an ordinary wait after each lost election 1,885 ms, now 1,015 ms.
+    // Takes 1,015 ms; 1,885 ms with the ordinary wait after each lost election instead
+    // of the shorter one.
     assert!(slowest < Duration::from_millis(1_200), "{slowest:?}");
 }
--- a/crates/deckwind-testkit/tests/testsuite/replication.rs
+++ b/crates/deckwind-testkit/tests/testsuite/replication.rs
@@ -1,5 +1,5 @@
-//! The replicated log under failure, in virtual time. [`Lab`] checks its
-//! invariants after every step.
+//! The replicated log under failures, in virtual time. [`Lab`] checks the invariants of
+//! the log after every step.
 
 use deckwind_core::control::{ControlEvent, ControlLimits, OperatorReply};
 use deckwind_core::membership::{InForce, LeaseTiming};
@@ -14,7 +14,7 @@
 use std::time::Duration;
 use yare::parameterized;
 
-fn change(name: &str, layers: u32) -> Change {
+fn template_change(name: &str, layers: u32) -> Change {
     Change::Template(chat_template(name, layers))
 }
 
@@ -31,7 +31,7 @@
     let slot = lab.run_until_led();
     let members = lab.node(slot).unwrap().core().replica().members().clone();
     assert_eq!(members.voters.len(), 3);
-    let reply = lab.apply_and_wait("first", None, change("rosters", 24));
+    let reply = lab.apply_and_wait("first", None, template_change("rosters", 24));
     assert_eq!(
         reply,
         OperatorReply::Accepted {
@@ -50,12 +50,12 @@
 }
 
 #[test]
-fn what_was_accepted_is_there_after_hundreds_of_changes_and_a_restart_of_all() {
+fn accepted_changes_survive_a_restart_of_all_replicas() {
     let mut lab = Lab::new(3, 1, 3, NetFaults::NONE);
     for i in 0..300u32 {
         let id = format!("change-{i}");
         let name = format!("t{}", i % 7);
-        accepted(&lab.apply_and_wait(&id, None, change(&name, i + 1)));
+        accepted(&lab.apply_and_wait(&id, None, template_change(&name, i + 1)));
     }
     for slot in 0..3 {
         lab.crash(slot, 0);
@@ -69,11 +69,11 @@
 }
 
 #[test]
-fn a_resend_gets_the_first_reply_and_changes_nothing() {
+fn a_resent_request_gets_the_first_reply_and_changes_nothing() {
     let mut lab = Lab::new(3, 1, 4, NetFaults::NONE);
-    let first = lab.apply_and_wait("same", None, change("rosters", 24));
-    let other = lab.apply_and_wait("other", None, change("rosters", 25));
-    let again = lab.apply_and_wait("same", None, change("rosters", 24));
+    let first = lab.apply_and_wait("same", None, template_change("rosters", 24));
+    let other = lab.apply_and_wait("other", None, template_change("rosters", 25));
+    let again = lab.apply_and_wait("same", None, template_change("rosters", 24));
     assert_eq!(accepted(&first), Revision(1));
     assert_eq!(accepted(&other), Revision(2));
     assert_eq!(accepted(&again), Revision(1));
@@ -94,10 +94,14 @@
 #[test]
 fn of_two_operators_with_the_same_revision_one_wins_and_the_other_sees_it() {
     let mut lab = Lab::new(3, 1, 5, NetFaults::NONE);
-    lab.apply_and_wait("first", Some(Revision::ZERO), change("rosters", 24));
+    lab.apply_and_wait(
+        "first",
+        Some(Revision::ZERO),
+        template_change("rosters", 24),
+    );
     let slot = lab.run_until_led();
-    lab.apply(slot, "a", Some(Revision(1)), change("rosters", 25));
-    lab.apply(slot, "b", Some(Revision(1)), change("rosters", 26));
+    lab.apply(slot, "a", Some(Revision(1)), template_change("rosters", 25));
+    lab.apply(slot, "b", Some(Revision(1)), template_change("rosters", 26));
     lab.run_for(Duration::from_secs(4));
     assert_eq!(accepted(&lab.replies["a"][0]), Revision(2));
     assert_eq!(
@@ -109,16 +113,16 @@
 }
 
 #[test]
-fn a_leader_that_is_cut_off_answers_nothing_and_its_change_is_not_lost_silently() {
+fn a_partitioned_leader_answers_nothing_and_its_change_is_not_lost_silently() {
     let mut lab = Lab::new(3, 1, 6, NetFaults::NONE);
-    lab.apply_and_wait("before", None, change("rosters", 24));
+    lab.apply_and_wait("before", None, template_change("rosters", 24));
     let old = lab.run_until_led();
     lab.cut_off(old, true);
-    lab.apply(old, "cut", None, change("rosters", 99));
+    lab.apply(old, "cut", None, template_change("rosters", 99));
     lab.run_for(Duration::from_millis(700));
     let new = lab.run_until_led();
     assert_ne!(new, old);
-    accepted(&lab.apply_and_wait("after", None, change("rosters", 30)));
+    accepted(&lab.apply_and_wait("after", None, template_change("rosters", 30)));
     assert!(
         lab.replies
             .get("cut")
@@ -143,11 +147,11 @@
 #[test]
 fn a_leader_that_was_frozen_does_not_go_on_leading() {
     let mut lab = Lab::new(3, 1, 7, NetFaults::NONE);
-    lab.apply_and_wait("before", None, change("rosters", 24));
+    lab.apply_and_wait("before", None, template_change("rosters", 24));
     let old = lab.run_until_led();
     lab.freeze(old, true);
     lab.run_for(Duration::from_secs(4));
-    accepted(&lab.apply_and_wait("meanwhile", None, change("rosters", 25)));
+    accepted(&lab.apply_and_wait("meanwhile", None, template_change("rosters", 25)));
     lab.freeze(old, false);
     lab.run_for(Duration::from_secs(1));
     assert_ne!(lab.leader(), Some(old));
@@ -158,7 +162,7 @@
     let mut lab = Lab::new(3, 1, 8, NetFaults::NONE);
     for i in 0..40 {
         let id = format!("change-{i}");
-        lab.apply_and_wait(&id, None, change("rosters", i + 1));
+        lab.apply_and_wait(&id, None, template_change("rosters", i + 1));
     }
     let leader = lab.run_until_led();
     let lost = (leader + 1) % 3;
@@ -183,13 +187,13 @@
     );
     lab.crash((lost + 1) % 3, 0);
     lab.run_for(Duration::from_secs(3));
-    accepted(&lab.apply_and_wait("with-it", None, change("rosters", 99)));
+    accepted(&lab.apply_and_wait("with-it", None, template_change("rosters", 99)));
 }
 
 #[test]
 fn two_lost_disks_of_three_leave_no_quorum_and_form_no_second_cluster() {
     let mut lab = Lab::new(3, 0, 9, NetFaults::NONE);
-    lab.apply_and_wait("before", None, change("rosters", 24));
+    lab.apply_and_wait("before", None, template_change("rosters", 24));
     lab.lose_disk(0);
     lab.lose_disk(1);
     lab.start(0);
@@ -201,18 +205,18 @@
 #[test]
 fn in_force_waits_for_a_router_that_lags_until_its_lease_has_run_out() {
     let mut lab = Lab::new(3, 2, 10, NetFaults::NONE);
-    lab.apply_and_wait("before", None, change("rosters", 24));
+    lab.apply_and_wait("before", None, template_change("rosters", 24));
     lab.run_for(Duration::from_secs(1));
     let begun = lab.now();
-    let reply = lab.apply_and_wait("next", None, change("rosters", 25));
+    let reply = lab.apply_and_wait("next", None, template_change("rosters", 25));
     assert_eq!(accepted(&reply), Revision(2));
     assert!(lab.now().since(begun) < Duration::from_secs(3));
 }
 
-/// Seeded schedules over everything at once: a bad network, crashes at any
-/// operation of the disk, lost disks, cuts, freezes, restarts of routers,
-/// operators and claims. One disk at a time is lost, as two of three would be
-/// beyond what three replicas can bear.
+/// Seeded random schedules that combine all faults: message loss and duplication, crashes
+/// at any disk operation, lost disks, partitions, freezes and restarts of routers, beside
+/// changes by operators and claims. At most one disk is lost at a time, since three
+/// replicas can't survive the loss of two.
 #[parameterized(
     first = { 1_000 }, second = { 2_000 }, third = { 3_000 }, fourth = { 4_000 },
 )]
@@ -227,18 +231,18 @@
     let mut lab = Lab::new(3, 3, seed, NetFaults::BAD);
     lab.run_until_led();
     for round in 0..25 {
-        disturb(&mut lab);
+        inject_fault(&mut lab);
         for router in &mut lab.routers {
             router.want_claims(2);
         }
         let slot = lab.rng().random_range(0..3);
         let id = format!("{seed}-{round}");
-        lab.apply(slot, &id, None, round_change(round));
+        lab.apply(slot, &id, None, change_of_round(round));
         let pause = lab.rng().random_range(50..900);
         lab.run_for(Duration::from_millis(pause));
     }
     lab.heal();
-    let reply = lab.apply_and_wait(&format!("{seed}-end"), None, change("rosters", 99));
+    let reply = lab.apply_and_wait(&format!("{seed}-end"), None, template_change("rosters", 99));
     assert!(!matches!(reply, OperatorReply::Rejected(_)), "{reply:?}");
     let mut runs: BTreeMap<&str, u32> = BTreeMap::new();
     for key in lab.routers.iter().flat_map(|r| &r.ran) {
@@ -248,10 +252,11 @@
     assert!(twice.is_empty(), "seed {seed}: ran twice: {twice:?}");
 }
 
-/// A template, or an engine that does not check fences.
-fn round_change(round: u32) -> Change {
+/// Returns the change of a round: a template in even rounds, an engine that doesn't check
+/// fences in odd ones.
+fn change_of_round(round: u32) -> Change {
     if round.is_multiple_of(2) {
-        return change("rosters", round + 1);
+        return template_change("rosters", round + 1);
     }
     let address = "127.0.0.1:1".parse().unwrap();
     let name = format!("runner-{}", round % 5);
@@ -263,7 +268,7 @@
 #[test]
 fn a_new_leader_gives_the_orders_again_with_a_higher_fence() {
     let mut lab = Lab::new(3, 0, 11, NetFaults::NONE);
-    lab.apply_and_wait("runner", None, round_change(1));
+    lab.apply_and_wait("runner", None, change_of_round(1));
     lab.run_for(Duration::from_secs(1));
     let first = lab.ordered()[&TargetName::from("runner-1")];
     let leader = lab.run_until_led();
@@ -272,7 +277,7 @@
     assert!(lab.ordered()[&TargetName::from("runner-1")] > first);
 }
 
-fn disturb(lab: &mut Lab) {
+fn inject_fault(lab: &mut Lab) {
     let slot = lab.rng().random_range(0..3usize);
     match lab.rng().random_range(0..9) {
         0 => {
@@ -285,7 +290,7 @@
         }
         2 => lab.cut_off(slot, true),
         3 => lab.freeze(slot, true),
-        4 if all_up(lab) => {
+        4 if all_are_committed_voters(lab) => {
             lab.lose_disk(slot);
             lab.start(slot);
         }
@@ -299,10 +304,10 @@
     }
 }
 
-/// Whether every replica is up and a voter in the members that are agreed: a vote that
-/// is not agreed may be gone with the leader that gave it, and the disk lost then be one
-/// of two.
-fn all_up(lab: &Lab) -> bool {
+/// Returns whether every replica is up, has committed as far as the leader, and is a voter
+/// in the committed membership. A membership change that isn't committed may be lost with
+/// its leader, and the next lost disk could then be the second of three.
+fn all_are_committed_voters(lab: &Lab) -> bool {
     let Some(leader) = lab.leader() else {
         return false;
     };
@@ -317,8 +322,8 @@
     })
 }
 
-/// A command that this version can't read must stop the replica: passing over
-/// it would make its state differ from the others'.
+/// A command that this version can't read must stop the replica. Skipping it would make the
+/// replica's state diverge from that of the others.
 #[test]
 fn a_command_of_another_version_stops_the_replica() {
     let id = ReplicaId {
--- a/crates/deckwind-testkit/tests/testsuite/replication_flow.rs
+++ b/crates/deckwind-testkit/tests/testsuite/replication_flow.rs
@@ -1,5 +1,5 @@
-//! How much a leader sends to a follower that comes back far behind, with
-//! entries of its own that were never agreed.
+//! The volume that a leader sends to a follower that reconnects far behind, with entries of
+//! its own that were never committed.
 
 use deckwind_core::replication::{
     Action, Body, ClusterId, Entry, Event, HardState, Index, Members, Message, Payload, Position,
@@ -9,22 +9,23 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Bytes of one entry: a release of a hundred routes.
-const ENTRY: usize = 36_000;
+/// Bytes per entry: the size of a release with a hundred routes.
+const ENTRY_BYTES: usize = 36_000;
 
-/// Entries that the leader has, those that the late follower has too, and those
-/// that it wrote alone.
-const ALL: u64 = 160;
-const EARLY: u64 = 90;
-const ALONE: u64 = 8;
+/// Entries in the leader's log.
+const LEADER_ENTRIES: u64 = 160;
+/// Entries that the lagging follower shares with the leader.
+const SHARED_ENTRIES: u64 = 90;
+/// Uncommitted entries that only the lagging follower has.
+const UNCOMMITTED_ENTRIES: u64 = 8;
 
-/// Heartbeats that waited for the late follower while it was cut off.
-const WAITED: u64 = 80;
+/// Heartbeats that were queued for the lagging follower while it was partitioned.
+const QUEUED_HEARTBEATS: u64 = 80;
 
-/// What a link carries in a millisecond: 170 Mbit/s.
+/// Link capacity in bytes per millisecond: 170 Mbit/s.
 const BYTES_PER_MS: u64 = 21_000;
 
-const TICK_MS: u64 = 10;
+const TICK_INTERVAL_MS: u64 = 10;
 
 fn id(slot: u32) -> ReplicaId {
     ReplicaId {
@@ -33,24 +34,28 @@
     }
 }
 
-fn stored(entries: u64, term_after_early: u64) -> Stored {
+fn stored(entries: u64, term_after_shared: u64) -> Stored {
     let members = Members {
         voters: (0..3).map(id).collect(),
         learners: BTreeSet::new(),
     };
     let entry = |i| Entry {
         at: Position {
-            term: Term(if i > EARLY { term_after_early } else { 1 }),
+            term: Term(if i > SHARED_ENTRIES {
+                term_after_shared
+            } else {
+                1
+            }),
             index: Index(i),
         },
         payload: match i {
             1 => Payload::Members(members.clone()),
-            _ => Payload::Command(vec![0; ENTRY]),
+            _ => Payload::Command(vec![0; ENTRY_BYTES]),
         },
     };
     Stored {
         hard_state: HardState {
-            term: Term(term_after_early),
+            term: Term(term_after_shared),
             voted_for: None,
             cluster: Some(ClusterId(7)),
         },
@@ -66,18 +71,19 @@
     }
 }
 
-struct Net {
+struct SimulatedNet {
     replicas: Vec<Replica>,
-    /// By the time of arrival and a number that keeps them apart.
-    flying: BTreeMap<(u64, u64), Message>,
+    /// Messages in transit, by time of arrival in milliseconds and a sequence number that
+    /// keeps the keys unique.
+    in_transit: BTreeMap<(u64, u64), Message>,
     link_free_ms: u64,
-    next: u64,
-    sent_to_late: u64,
-    /// Messages to the late follower while it is cut off.
-    held: Option<Vec<Message>>,
+    next_sequence: u64,
+    sent_to_lagging: u64,
+    /// Messages queued for the lagging follower while it is partitioned.
+    queued: Option<Vec<Message>>,
 }
 
-impl Net {
+impl SimulatedNet {
     fn new() -> Self {
         let replica = |slot: u32, entries, term| {
             let cfg = ReplicaConfig::new(id(slot), 0..3, u64::from(slot) + 1);
@@ -85,40 +91,41 @@
         };
         Self {
             replicas: vec![
-                replica(0, ALL, 3),
-                replica(1, ALL, 3),
-                replica(2, EARLY + ALONE, 2),
+                replica(0, LEADER_ENTRIES, 3),
+                replica(1, LEADER_ENTRIES, 3),
+                replica(2, SHARED_ENTRIES + UNCOMMITTED_ENTRIES, 2),
             ],
-            flying: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             link_free_ms: 0,
-            next: 0,
-            sent_to_late: 0,
-            held: Some(Vec::new()),
+            next_sequence: 0,
+            sent_to_lagging: 0,
+            queued: Some(Vec::new()),
         }
     }
 
-    fn fly(&mut self, now_ms: u64, message: Message) {
-        if message.from.slot == 2 && self.held.is_some() {
+    fn send(&mut self, now_ms: u64, message: Message) {
+        if message.from.slot == 2 && self.queued.is_some() {
             return;
         }
         if message.to_slot == 2
-            && let Some(held) = &mut self.held
+            && let Some(queued) = &mut self.queued
         {
-            held.push(message);
+            queued.push(message);
             return;
         }
         let bytes = bytes(&message);
         let mut arrives = now_ms + 1;
         if message.to_slot == 2 {
-            self.sent_to_late += bytes;
+            self.sent_to_lagging += bytes;
         }
-        // A large message waits for the link; a small one finds a gap.
+        // Large messages queue for the link; small ones are sent between them.
         if bytes > 1_000 {
             self.link_free_ms = self.link_free_ms.max(now_ms) + bytes / BYTES_PER_MS;
             arrives = self.link_free_ms + 1;
         }
-        self.next += 1;
-        self.flying.insert((arrives, self.next), message);
+        self.next_sequence += 1;
+        self.in_transit
+            .insert((arrives, self.next_sequence), message);
     }
 
     fn step(&mut self, now_ms: u64, slot: usize, event: Event) {
@@ -130,7 +137,7 @@
         for action in out {
             match action {
                 Action::Append(entries) => synced = entries.last().map(|e| e.at),
-                Action::Send { message, .. } => self.fly(now_ms, message),
+                Action::Send { message, .. } => self.send(now_ms, message),
                 _ => {}
             }
         }
@@ -139,23 +146,23 @@
         }
     }
 
-    /// Ends the cut: what waited goes out at once.
+    /// Ends the partition. All queued messages are sent at once.
     fn heal(&mut self, now_ms: u64) {
-        for message in self.held.take().unwrap_or_default() {
-            self.fly(now_ms, message);
+        for message in self.queued.take().unwrap_or_default() {
+            self.send(now_ms, message);
         }
     }
 
-    /// Runs one millisecond.
+    /// Delivers the messages due at `now_ms` and ticks the replicas.
     fn run_ms(&mut self, now_ms: u64) {
-        while let Some(entry) = self.flying.first_entry() {
+        while let Some(entry) = self.in_transit.first_entry() {
             if entry.key().0 > now_ms {
                 break;
             }
             let message = entry.remove();
             self.step(now_ms, message.to_slot as usize, Event::Receive(message));
         }
-        if now_ms.is_multiple_of(TICK_MS) {
+        if now_ms.is_multiple_of(TICK_INTERVAL_MS) {
             for slot in 0..3 {
                 self.step(now_ms, slot, Event::Tick);
             }
@@ -165,9 +172,9 @@
 
 #[test]
 fn a_follower_far_behind_is_sent_little_more_than_it_lacks() {
-    let mut net = Net::new();
-    let end = Index(ALL);
-    let heal_at = WAITED * 100;
+    let mut net = SimulatedNet::new();
+    let end = Index(LEADER_ENTRIES);
+    let heal_at = QUEUED_HEARTBEATS * 100;
     let caught_up = (1..heal_at + 10_000).find(|now_ms| {
         if *now_ms == heal_at {
             net.heal(*now_ms);
@@ -176,9 +183,9 @@
         net.replicas[2].commit() >= end
     });
     let led = net.replicas.iter().any(|r| r.role() == Role::Leader);
-    assert!(led, "somebody leads");
-    let lacked = (ALL - EARLY) * ENTRY as u64;
-    let sent = net.sent_to_late as f64 / lacked as f64;
+    assert!(led, "a leader is elected");
+    let lacked = (LEADER_ENTRIES - SHARED_ENTRIES) * ENTRY_BYTES as u64;
+    let sent = net.sent_to_lagging as f64 / lacked as f64;
     assert!(
         caught_up.is_some(),
         "never caught up; sent {sent:.1} times what it lacked"
--- a/crates/deckwind-testkit/tests/testsuite/spare_engines.rs
+++ b/crates/deckwind-testkit/tests/testsuite/spare_engines.rs
@@ -1,6 +1,6 @@
-//! What routers hear of engines that hold no layers: nothing, until they can be
-//! chosen. Of 3,000 engines 2,600 are spare, and at a start all of them announce
-//! themselves within 1.2 s.
+//! Routers receive no updates about engines that hold no layers until requests can be sent
+//! to them. Of 3,000 engines 2,600 are spare, and after a start of the fleet all of them
+//! announce themselves within 1.2 s.
 
 use crate::support::announced;
 use deckwind_core::state::{
@@ -23,7 +23,7 @@
     apply(machine, CommandBody::Instances(vec![announced(instance)]));
 }
 
-fn hold(machine: &mut StateMachine, id: &str, layers: u32) {
+fn set_layers(machine: &mut StateMachine, id: &str, layers: u32) {
     let change = InstanceChange::Holds {
         life: id.into(),
         layers: LayerRange::new(0, layers),
@@ -32,17 +32,18 @@
     apply(machine, CommandBody::Instances(vec![change]));
 }
 
-/// A machine with a release of layered engines and one engine without layers, and
-/// a router that has applied all of it.
+/// Returns a state machine with a release of layered engines and one engine without layers,
+/// and the configuration of a router that has applied all of its state.
 fn with_spare_engine() -> (StateMachine, Configuration) {
     let mut machine = StateMachine::default();
     publish(&mut machine, engine_release(1, 1));
     announce(&mut machine, engine(1, 0, 1));
-    let router = follow(&machine, Configuration::default());
+    let router = catch_up(&machine, Configuration::default());
     (machine, router)
 }
 
-fn follow(machine: &StateMachine, mut router: Configuration) -> Configuration {
+/// Applies everything that the router's configuration lacks.
+fn catch_up(machine: &StateMachine, mut router: Configuration) -> Configuration {
     let delta = machine.configuration().delta_since(router.revision());
     router.merge(delta);
     assert_eq!(router.revision(), machine.configuration().revision());
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn a_spare_engine_is_not_told_and_wakes_nobody() {
+fn a_spare_engine_is_not_sent_to_routers() {
     let (mut machine, router) = with_spare_engine();
     assert_eq!(layers(&router), None);
     let shown = machine.configuration().shown();
@@ -64,52 +65,55 @@
 }
 
 #[test]
-fn an_engine_is_told_once_it_holds_layers_and_when_it_gives_them_up() {
+fn an_engine_is_sent_to_routers_once_it_holds_layers_and_when_it_unloads_them() {
     let (mut machine, router) = with_spare_engine();
-    hold(&mut machine, "engine-1", 8);
+    set_layers(&mut machine, "engine-1", 8);
     assert_eq!(
         machine.configuration().shown(),
         machine.configuration().revision()
     );
-    let router = follow(&machine, router);
+    let router = catch_up(&machine, router);
     assert_eq!(layers(&router), Some(8));
-    hold(&mut machine, "engine-1", 0);
-    let router = follow(&machine, router);
+    set_layers(&mut machine, "engine-1", 0);
+    let router = catch_up(&machine, router);
     assert_eq!(layers(&router), Some(0));
     let left = InstanceChange::Left("engine-1".into());
     apply(&mut machine, CommandBody::Instances(vec![left]));
-    let router = follow(&machine, router);
+    let router = catch_up(&machine, router);
     assert_eq!(layers(&router), None);
 }
 
-/// An engine that has left, and is heard once more, is still told as gone to a
-/// router that has missed its end.
+/// After a late announcement of an engine that has left, a router that missed the end of the
+/// engine must still learn that it has left.
 #[test]
 fn a_late_announcement_does_not_hide_that_an_engine_has_left() {
     let (mut machine, router) = with_spare_engine();
-    hold(&mut machine, "engine-1", 8);
-    let router = follow(&machine, router);
+    set_layers(&mut machine, "engine-1", 8);
+    let router = catch_up(&machine, router);
     let left = InstanceChange::Left("engine-1".into());
     apply(&mut machine, CommandBody::Instances(vec![left]));
     announce(&mut machine, engine(1, 0, 2));
-    let router = follow(&machine, router);
+    let router = catch_up(&machine, router);
     assert_eq!(layers(&router), None);
 }
 
-/// Engines of a pool that is not layered any more are chosen without layers.
+/// Once a release turns a layered pool into one without layers, its engines are used
+/// without layers, so routers must receive the spare ones.
 #[test]
-fn a_release_without_layers_shows_the_spare_engines() {
+fn a_release_without_layers_makes_spare_engines_visible() {
     let (mut machine, router) = with_spare_engine();
     publish(&mut machine, release(2, 1));
-    let router = follow(&machine, router);
+    let router = catch_up(&machine, router);
     assert_eq!(layers(&router), Some(0));
 }
 
-/// A replica that starts from a snapshot does not know who was told of what.
+/// A replica that starts from a snapshot doesn't know which engines routers have received,
+/// so it sends all of them.
 #[test]
-fn a_replica_from_a_snapshot_tells_of_all() {
+fn a_replica_from_a_snapshot_sends_all_engines() {
     let (machine, _) = with_spare_engine();
-    let again = StateMachine::from_snapshot(&machine.to_snapshot()).expect("a snapshot");
-    let delta = again.configuration().delta_since(Revision::ZERO);
+    let restored =
+        StateMachine::from_snapshot(&machine.to_snapshot()).expect("the snapshot is readable");
+    let delta = restored.configuration().delta_since(Revision::ZERO);
     assert_eq!(delta.instances.len(), 1);
 }
