--- a/crates/deckwind-testkit/tests/testsuite/placement.rs
+++ b/crates/deckwind-testkit/tests/testsuite/placement.rs
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn each_data_centre_that_can_holds_a_chain_of_its_own_and_else_all_hold_one() {
+fn data_centres_hold_chains_of_their_own_or_all_share_one() {
     let mut all = cards("a", 1, 5, 8);
     all.extend(cards("b", 0, 0, 3));
     let groups = chain_groups(&model(), &all);
@@ -380,9 +380,15 @@
         orders = work.orders;
     }
     for order in orders {
-        let engine = rig.instances().get(&order.id).expect("known");
-        let max_layers = order.layers.len().max(order.believed.len());
-        assert!(engine.in_memory >= max_layers, "{engine:?} under {order:?}");
+        let engine = rig
+            .instances()
+            .get(&order.id)
+            .expect("the engine is registered");
+        let needed_layers = order.layers.len().max(order.believed.len());
+        assert!(
+            engine.in_memory >= needed_layers,
+            "{engine:?} under {order:?}"
+        );
         assert_eq!(engine.layers, common(order.believed, order.layers));
     }
 }
@@ -424,7 +430,12 @@
         assert_eq!(interrupting, 0, "without {}", lost.id);
         let ready = rig.instances().iter();
         let ready = ready.filter(|i| i.state == InstanceState::Ready);
-        let card = |i: &Instance| cards.iter().find(|c| c.id == i.id).expect("known");
+        let card = |i: &Instance| {
+            cards
+                .iter()
+                .find(|c| c.id == i.id)
+                .expect("the engine is registered")
+        };
         let kept = |i: &Instance| tokens_beside(&model(), card(i).memory_mb, i.layers.len());
         let fewest = ready.map(kept).fold(f64::INFINITY, f64::min);
         assert!(fewest >= 35_000.0, "{fewest} tokens without {}", lost.id);
