--- a/crates/deckwind-testkit/tests/testsuite/placement.rs
+++ b/crates/deckwind-testkit/tests/testsuite/placement.rs
@@ -430,12 +430,7 @@
         assert_eq!(interrupting, 0, "without {}", lost.id);
         let ready = rig.instances().iter();
         let ready = ready.filter(|i| i.state == InstanceState::Ready);
-        let card = |i: &Instance| {
-            cards
-                .iter()
-                .find(|c| c.id == i.id)
-                .expect("the engine is registered")
-        };
+        let card = |i: &Instance| cards.iter().find(|c| c.id == i.id).expect("a card");
         let kept = |i: &Instance| tokens_beside(&model(), card(i).memory_mb, i.layers.len());
         let fewest = ready.map(kept).fold(f64::INFINITY, f64::min);
         assert!(fewest >= 35_000.0, "{fewest} tokens without {}", lost.id);
