--- a/crates/deckwind-testkit/tests/testsuite/caller_bodies.rs
+++ b/crates/deckwind-testkit/tests/testsuite/caller_bodies.rs
@@ -1,5 +1,5 @@
-//! What callers send that can't be read: each gets a clear answer, no target
-//! sees any of it, and the next caller is served.
+//! Requests that a router can't parse: each gets a clear error status, no target
+//! receives any part of it, and the next request is served.
 
 use crate::rig::{KEY, Rig};
 use crate::run;
@@ -10,21 +10,21 @@
 use tokio::net::TcpStream;
 use yare::parameterized;
 
-/// Longest wait for the router's answer, beyond its own limits.
-const ANSWER_WITHIN: Duration = Duration::from_secs(20);
+/// Timeout for the router's answer; longer than the timeouts of the router itself.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Sends bytes as they are and gives back the status of the answer; none if the
-/// connection ended without one.
-async fn send_raw(rig: &Rig, bytes: &[u8], ends: bool) -> Option<u16> {
+/// Sends raw bytes and returns the status of the answer, or `None` if the
+/// connection ended without one. `half_close` closes the sending side after them.
+async fn send_raw(rig: &Rig, bytes: &[u8], half_close: bool) -> Option<u16> {
     let router = rig.cluster.layout.routers[0].routes;
     let mut stream = TcpStream::connect(router).await.expect("a connection");
     stream.write_all(bytes).await.expect("sent");
-    if ends {
+    if half_close {
         stream.shutdown().await.expect("closed for writing");
     }
     let mut answer = Vec::new();
     let reading = stream.read_to_end(&mut answer);
-    let ended = tokio::time::timeout(ANSWER_WITHIN, reading).await;
+    let ended = tokio::time::timeout(ANSWER_TIMEOUT, reading).await;
     if let Err(e) = ended.expect("an answer or an end") {
         assert_eq!(e.kind(), std::io::ErrorKind::ConnectionReset);
     }
@@ -33,7 +33,8 @@
     Some(status.parse().expect("a status"))
 }
 
-/// A request to the plain route with these headers and this body.
+/// Builds a request to the plain route `once` with the given headers and body; an
+/// empty `id` leaves out the header with the request's id.
 fn request(id: &str, headers: &str, body: &str) -> Vec<u8> {
     let id = match id.is_empty() {
         true => String::new(),
@@ -55,13 +56,13 @@
     ends_within_its_length = { "bad", "Content-Length: 10\r\n", "ab", true, None },
     ends_within_a_chunk = { "bad", "Transfer-Encoding: chunked\r\n", "a\r\nab", true, None },
     never_ends = { "bad", "Content-Length: 10\r\n", "ab", false, Some(408) },
-    bad_time_left = { "bad", "Content-Length: 0\r\nLast-Event-Id: x\r\n", "", false, Some(400) },
+    bad_last_event_id = { "bad", "Content-Length: 0\r\nLast-Event-Id: x\r\n", "", false, Some(400) },
 )]
 fn a_body_that_can_not_be_read_reaches_no_target(
     id: &str,
     headers: &str,
     body: &str,
-    ends: bool,
+    half_close: bool,
     status: Option<u16>,
 ) {
     let bytes = request(id, headers, body);
@@ -69,20 +70,21 @@
         let rig = Rig::start(1, 0).await;
         rig.until_served("/once/x", false).await;
         let before = rig.plain[0].seen().len();
-        let answered = send_raw(&rig, &bytes, ends).await;
+        let answered = send_raw(&rig, &bytes, half_close).await;
         if status.is_some() {
             assert_eq!(answered, status);
         } else {
             assert!(matches!(answered, None | Some(400)), "{answered:?}");
         }
-        assert_eq!(rig.plain[0].seen().len(), before, "no target saw it");
+        assert_eq!(rig.plain[0].seen().len(), before, "no target received it");
         let next = rig.ask("next", "/once/x", KEY, false).await;
         assert_eq!(next.status, StatusCode::OK);
         rig.cluster.close().await.expect("closed");
     });
 }
 
-/// A length and chunks at once is how one request is hidden in another.
+/// Guards against request smuggling: with `Content-Length` and `Transfer-Encoding` in
+/// one request, a second request in its body must not run.
 #[test]
 fn a_request_hidden_in_another_s_body_does_not_run() {
     let hidden = String::from_utf8(request("hidden", "Content-Length: 0\r\n", ""));
--- a/crates/deckwind-testkit/tests/testsuite/callers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/callers.rs
@@ -1,4 +1,5 @@
-//! What callers see: keys, bounds, errors, waiting.
+//! Answers of a router to callers: unknown keys, limits, error codes, readiness and
+//! bursts of connections.
 
 use crate::any;
 use deckwind_core::state::Change;
@@ -29,12 +30,12 @@
     crate::run(async {
         let cluster = cluster().await;
         let caller = Caller::new(cluster.callers(0), "key");
-        let stranger = Caller::new(cluster.callers(0), "wrong");
+        let unknown_caller = Caller::new(cluster.callers(0), "wrong");
         let long_key = "k".repeat(201);
         let chat = "/v1/chat/completions";
         let cases = [
             (
-                stranger.post("/s/card-status/1", "{}", &[]).await,
+                unknown_caller.post("/s/card-status/1", "{}", &[]).await,
                 401,
                 "unknown-key",
             ),
@@ -151,8 +152,8 @@
     });
 }
 
-/// A burst of callers finds room before any of them is accepted; one that finds
-/// none would wait a second for its handshake to be sent again.
+/// The listen backlog takes a burst of connections before any of them is accepted. A
+/// connection that doesn't fit would wait a second until its SYN is retransmitted.
 #[test]
 fn five_hundred_callers_at_once_lose_no_handshake() {
     crate::run(async {
--- a/crates/deckwind-testkit/tests/testsuite/connections.rs
+++ b/crates/deckwind-testkit/tests/testsuite/connections.rs
@@ -1,4 +1,5 @@
-//! A target's bound on connections is for all routers together.
+//! Idle connections to a target: its connection limit applies to all routers together,
+//! so each router keeps a share of it.
 
 use deckwind_core::state::Pool;
 use deckwind_fakes::FakeRunner;
@@ -8,7 +9,8 @@
 use std::time::Duration;
 use yare::parameterized;
 
-/// What a target takes, routers, and what each of them may leave idle.
+/// Cases: connection limit of a target, number of routers, and idle connections that
+/// each router may keep.
 #[parameterized(
     one = { 50, 1, 25 },
     nine = { 110, 9, 6 },
@@ -16,31 +18,45 @@
     more_than_it_takes = { 50, 350, 1 },
     none_known = { 50, 0, 25 },
 )]
-fn routers_together_leave_half_to_what_is_in_use(takes: u32, routers: u32, most: usize) {
+fn idle_connections_of_all_routers_share_half_of_the_limit(
+    limit: u32,
+    routers: u32,
+    max_idle: usize,
+) {
     let pool = Pool {
         name: "pool".into(),
-        max_connections: takes,
+        max_connections: limit,
         engine: None,
     };
-    assert_eq!(pool.most_idle(routers), most);
+    assert_eq!(pool.most_idle(routers), max_idle);
 }
 
-/// Five are in use at once; two may be idle then.
+/// Five connections are in use at once; two of them may be kept once they are idle.
 #[tokio::test]
-async fn no_more_connections_are_kept_than_may_be() {
-    let rest = Duration::from_secs(60);
+async fn idle_connections_above_the_limit_are_closed() {
+    let idle_timeout = Duration::from_secs(60);
     let target = FakeRunner::start("t").await.expect("a target");
-    let kept = KeptConnections::new(Clock::start());
-    let mut all = Vec::new();
+    let connections = KeptConnections::new(Clock::start());
+    let mut in_use = Vec::new();
     for _ in 0..5 {
-        all.push(kept.get(target.address, rest).await.expect("it listens"));
+        in_use.push(
+            connections
+                .get(target.address, idle_timeout)
+                .await
+                .expect("the target listens"),
+        );
     }
-    for one in all {
-        kept.give_back(one, &HeaderMap::new(), 2);
+    for connection in in_use {
+        connections.give_back(connection, &HeaderMap::new(), 2);
     }
     let mut reused = Vec::new();
     for _ in 0..3 {
-        reused.push(kept.get(target.address, rest).await.expect("it listens"));
+        reused.push(
+            connections
+                .get(target.address, idle_timeout)
+                .await
+                .expect("the target listens"),
+        );
     }
     let reused: Vec<bool> = reused.iter().map(|c| c.reused).collect();
     assert_eq!(reused, [true, true, false]);
--- a/crates/deckwind-testkit/tests/testsuite/engine_use.rs
+++ b/crates/deckwind-testkit/tests/testsuite/engine_use.rs
@@ -1,5 +1,6 @@
-//! What routers hear of what the streams of all routers hold at engines: what has moved,
-//! closely in their own data centre and roughly in others. No network.
+//! Updates that routers receive on the load of all routers' streams at engines. Only
+//! changed loads are sent: finely resolved for engines of the router's own data centre,
+//! coarsely for others. No network.
 
 use deckwind_core::control::{EngineUse, UseNews, UseNumber};
 use deckwind_core::replication::Term;
@@ -10,9 +11,9 @@
 use std::time::Duration;
 use yare::parameterized;
 
-/// Bytes that a router hears a second while it and all others hold streams at the engines
-/// of a fleet, and nothing moves.
-fn bytes_a_router(routers: usize, engines: usize) -> u64 {
+/// Returns the bytes that a router receives per second while all routers have streams at
+/// the engines of a fleet and no load changes.
+fn steady_bytes_per_s(routers: usize, engines: usize) -> u64 {
     let mut fan_out = FanOut::new(routers, 0, 420.0).unwrap();
     fan_out.publish(engine_release(1, 10));
     engine_fleet(engines)
@@ -31,23 +32,23 @@
     more_engines = { 60, 600 },
     more_routers = { 240, 150 },
 )]
-fn streams_that_go_on_cost_a_router_nothing(routers: usize, engines: usize) {
-    let bytes = bytes_a_router(routers, engines);
+fn unchanged_load_costs_a_router_little_traffic(routers: usize, engines: usize) {
+    let bytes = steady_bytes_per_s(routers, engines);
     assert!(bytes < 600, "{bytes} bytes a second");
 }
 
-fn at(port: u16) -> SocketAddr {
+fn engine_address(port: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
-fn held(layer_tokens: u64, begun: u32) -> Held {
+fn load(layer_tokens: u64, begun: u32) -> Held {
     Held {
         layer_tokens,
         begun,
     }
 }
 
-fn news(number: u64, all: bool, engines: Vec<EngineUse>) -> UseNews {
+fn update(number: u64, all: bool, engines: Vec<EngineUse>) -> UseNews {
     UseNews {
         upto: UseNumber {
             term: Term(1),
@@ -58,32 +59,49 @@
     }
 }
 
-/// What a router reported is part of what it hears of all: the rest is the others'.
+/// The total that a router receives includes the load that it reported itself; the rest
+/// is the load of other routers.
 #[test]
 fn a_router_counts_its_own_streams_once() {
     let mut book = TargetBook::default();
-    let own = [EngineUse::new(at(1), held(300, 1))];
-    let all = vec![EngineUse::new(at(1), held(1_000, 3))];
-    book.use_told(&own, Some(&news(1, true, all)));
-    // Its own streams have ended since.
-    assert_eq!(book.held(at(1)), held(700, 2));
-    // It reported nothing, and what others hold is as before.
+    let own = [EngineUse::new(engine_address(1), load(300, 1))];
+    let all = vec![EngineUse::new(engine_address(1), load(1_000, 3))];
+    book.use_told(&own, Some(&update(1, true, all)));
+    // The router's own streams have ended since its report.
+    assert_eq!(book.held(engine_address(1)), load(700, 2));
+    // The router reported nothing, and the load of the others is unchanged.
     book.use_told(&[], None);
-    assert_eq!(book.held(at(1)), held(1_000, 3));
+    assert_eq!(book.held(engine_address(1)), load(1_000, 3));
 }
 
-/// Engines that are not named stay as they were, but for what another leader tells.
+/// Engines that an update doesn't name keep their load, unless it is a full update, such
+/// as the first one of another leader.
 #[test]
-fn what_is_not_named_holds_on_until_all_is_told_anew() {
+fn engines_keep_their_load_until_an_update_names_them_or_is_full() {
     let mut book = TargetBook::default();
-    let one = |port, tokens| EngineUse::new(at(port), held(tokens, 0));
-    book.use_told(&[], Some(&news(1, true, vec![one(1, 10), one(2, 20)])));
-    book.use_told(&[], Some(&news(2, false, vec![one(2, 25), one(3, 30)])));
-    let tokens = |book: &TargetBook| [1, 2, 3].map(|port| book.held(at(port)).layer_tokens);
+    let engine_load = |port, tokens| EngineUse::new(engine_address(port), load(tokens, 0));
+    book.use_told(
+        &[],
+        Some(&update(
+            1,
+            true,
+            vec![engine_load(1, 10), engine_load(2, 20)],
+        )),
+    );
+    book.use_told(
+        &[],
+        Some(&update(
+            2,
+            false,
+            vec![engine_load(2, 25), engine_load(3, 30)],
+        )),
+    );
+    let tokens =
+        |book: &TargetBook| [1, 2, 3].map(|port| book.held(engine_address(port)).layer_tokens);
     assert_eq!(tokens(&book), [10, 25, 30]);
-    book.use_told(&[], Some(&news(3, false, vec![one(2, 0)])));
+    book.use_told(&[], Some(&update(3, false, vec![engine_load(2, 0)])));
     assert_eq!(tokens(&book), [10, 0, 30]);
-    book.use_told(&[], Some(&news(1, true, vec![one(3, 5)])));
+    book.use_told(&[], Some(&update(1, true, vec![engine_load(3, 5)])));
     assert_eq!(tokens(&book), [0, 0, 5]);
     assert_eq!(book.use_known().map(|known| known.number), Some(1));
 }
--- a/crates/deckwind-testkit/tests/testsuite/held_back.rs
+++ b/crates/deckwind-testkit/tests/testsuite/held_back.rs
@@ -1,4 +1,5 @@
-//! Who is cut when callers that don't read fill a router's memory, in virtual time.
+//! Which callers a router disconnects when callers that don't read fill its memory.
+//! Runs in virtual time.
 
 use deckwind_core::routes::{AnswerArena, AnswerKey, Behind, FEW, HoldLimits, Way};
 use deckwind_core::time::Instant;
@@ -7,67 +8,67 @@
 use std::time::Duration;
 use yare::parameterized;
 
-const BOUND: u64 = 4 << 20;
+const MEMORY_LIMIT: u64 = 4 << 20;
 const TICK: Duration = Duration::from_millis(40);
-/// Requests a tick: 100 a second.
-const COME: u32 = 4;
-/// Events of a stream, one a tick: 4 s.
-const EVENTS: u32 = 100;
+/// Requests that begin in each tick: 100 per second.
+const REQUESTS_PER_TICK: u32 = 4;
+/// Events of a stream, one per tick: a stream lasts 4 s.
+const EVENTS_PER_STREAM: u32 = 100;
 const TICKS: u64 = 1_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Reads {
+enum ReadPattern {
     AtOnce,
-    /// Nothing for so many ticks after the 20th, then all.
+    /// Reads nothing for the given number of ticks from the 20th on, then everything.
     AfterPause(u32),
-    /// One event in two ticks.
+    /// Reads one event in every two ticks.
     Half,
     Never,
 }
 
 struct Stream {
     account: u64,
-    event: u64,
-    reads: Reads,
+    event_bytes: u64,
+    reads: ReadPattern,
     age: u32,
-    waiting: u32,
+    unread_events: u32,
     since: Instant,
 }
 
 #[derive(Debug, Default, PartialEq, Eq)]
-struct Came {
-    whole: u32,
-    /// Callers that would have read all of it.
-    cut_readers: u32,
-    cut_stuck: u32,
-    cut_few: u32,
-    peak: u64,
+struct Outcome {
+    completed: u32,
+    /// Disconnected callers that would have read the whole stream.
+    disconnected_readers: u32,
+    disconnected_non_readers: u32,
+    disconnected_with_few_events: u32,
+    peak_bytes: u64,
 }
 
-fn stream(rng: &mut ChaCha8Rng, now: Instant, stuck_account: Option<u64>) -> Stream {
-    let stuck = stuck_account.filter(|_| rng.random_range(0..100) < 40);
-    let account = stuck.unwrap_or_else(|| rng.random_range(0..12));
+fn random_stream(rng: &mut ChaCha8Rng, now: Instant, non_reading_account: Option<u64>) -> Stream {
+    let non_reading = non_reading_account.filter(|_| rng.random_range(0..100) < 40);
+    let account = non_reading.unwrap_or_else(|| rng.random_range(0..12));
     let reads = match rng.random_range(0..100) {
-        0..60 => Reads::AtOnce,
-        60..80 => Reads::AfterPause(rng.random_range(10..45)),
-        80..90 => Reads::Half,
-        _ if stuck_account.is_some() => Reads::AtOnce,
-        _ => Reads::Never,
+        0..60 => ReadPattern::AtOnce,
+        60..80 => ReadPattern::AfterPause(rng.random_range(10..45)),
+        80..90 => ReadPattern::Half,
+        _ if non_reading_account.is_some() => ReadPattern::AtOnce,
+        _ => ReadPattern::Never,
     };
     Stream {
         account,
-        event: if rng.random_range(0..100) < 15 {
+        event_bytes: if rng.random_range(0..100) < 15 {
             4_000
         } else {
             400
         },
-        reads: if stuck_account == Some(account) {
-            Reads::Never
+        reads: if non_reading_account == Some(account) {
+            ReadPattern::Never
         } else {
             reads
         },
         age: 0,
-        waiting: 0,
+        unread_events: 0,
         since: now,
     }
 }
@@ -75,91 +76,101 @@
 impl Stream {
     fn step(&mut self, now: Instant) {
         self.age += 1;
-        if self.age <= EVENTS {
-            if self.waiting == 0 {
+        if self.age <= EVENTS_PER_STREAM {
+            if self.unread_events == 0 {
                 self.since = now;
             }
-            self.waiting += 1;
+            self.unread_events += 1;
         }
-        let takes = match self.reads {
-            Reads::AtOnce => self.waiting,
-            Reads::AfterPause(ticks) if (20..20 + ticks).contains(&self.age) => 0,
-            Reads::AfterPause(_) => self.waiting,
-            Reads::Half => self.age % 2,
-            Reads::Never => 0,
+        let read_events = match self.reads {
+            ReadPattern::AtOnce => self.unread_events,
+            ReadPattern::AfterPause(ticks) if (20..20 + ticks).contains(&self.age) => 0,
+            ReadPattern::AfterPause(_) => self.unread_events,
+            ReadPattern::Half => self.age % 2,
+            ReadPattern::Never => 0,
         };
-        if takes > 0 {
+        if read_events > 0 {
             self.since = now;
         }
-        self.waiting -= takes.min(self.waiting);
+        self.unread_events -= read_events.min(self.unread_events);
     }
 
     fn behind(&self, key: AnswerKey) -> Option<Behind> {
-        (self.waiting > 0).then_some(Behind {
+        (self.unread_events > 0).then_some(Behind {
             key,
             account: self.account,
-            bytes: u64::from(self.waiting) * self.event,
-            pieces: self.waiting,
+            bytes: u64::from(self.unread_events) * self.event_bytes,
+            pieces: self.unread_events,
             since: self.since,
         })
     }
 }
 
-fn play(way: Way, seed: u64, stuck_account: Option<u64>) -> (Came, Vec<u64>) {
-    let limits = HoldLimits::of(BOUND);
+fn simulate(order: Way, seed: u64, non_reading_account: Option<u64>) -> (Outcome, Vec<u64>) {
+    let limits = HoldLimits::of(MEMORY_LIMIT);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
-    let mut all: AnswerArena<Stream> = AnswerArena::default();
-    let mut came = Came::default();
-    let mut cut_accounts = Vec::new();
+    let mut streams: AnswerArena<Stream> = AnswerArena::default();
+    let mut outcome = Outcome::default();
+    let mut disconnected_accounts = Vec::new();
     let mut now = Instant::ZERO;
     for _ in 0..TICKS {
         now = now + TICK;
-        for _ in 0..COME {
-            all.insert(stream(&mut rng, now, stuck_account));
+        for _ in 0..REQUESTS_PER_TICK {
+            streams.insert(random_stream(&mut rng, now, non_reading_account));
         }
-        all.values_mut().for_each(|s| s.step(now));
-        let behind: Vec<Behind> = all.iter().filter_map(|(k, s)| s.behind(k)).collect();
+        streams.values_mut().for_each(|s| s.step(now));
+        let behind: Vec<Behind> = streams.iter().filter_map(|(k, s)| s.behind(k)).collect();
         let held: u64 = behind.iter().map(|b| b.bytes).sum();
-        came.peak = came.peak.max(held);
-        for key in limits.cut(way, held, &behind) {
-            let s = all.remove(key).expect("it is there");
-            cut_accounts.push(s.account);
+        outcome.peak_bytes = outcome.peak_bytes.max(held);
+        for key in limits.cut(order, held, &behind) {
+            let s = streams.remove(key).expect("the stream exists");
+            disconnected_accounts.push(s.account);
             match s.reads {
-                Reads::Never => came.cut_stuck += 1,
-                _ => came.cut_readers += 1,
+                ReadPattern::Never => outcome.disconnected_non_readers += 1,
+                _ => outcome.disconnected_readers += 1,
             }
-            came.cut_few += u32::from(s.waiting <= FEW);
+            outcome.disconnected_with_few_events += u32::from(s.unread_events <= FEW);
         }
-        let done = |s: &Stream| s.age >= EVENTS && s.waiting == 0;
-        came.whole += all.values().filter(|s| done(s)).count() as u32;
-        all.retain(|_, s| !done(s));
+        let done = |s: &Stream| s.age >= EVENTS_PER_STREAM && s.unread_events == 0;
+        outcome.completed += streams.values().filter(|s| done(s)).count() as u32;
+        streams.retain(|_, s| !done(s));
     }
-    (came, cut_accounts)
+    (outcome, disconnected_accounts)
 }
 
 #[parameterized(first = { 1 }, second = { 2 }, third = { 3 })]
-fn whoever_has_not_read_for_longest_goes_first_and_fewer_readers_are_cut(seed: u64) {
-    let (longest, _) = play(Way::LongestUnread, seed, None);
-    let (most, _) = play(Way::MostBytes, seed, None);
+fn disconnecting_the_longest_unread_first_spares_more_readers(seed: u64) {
+    let (longest, _) = simulate(Way::LongestUnread, seed, None);
+    let (most, _) = simulate(Way::MostBytes, seed, None);
     println!("longest unread {longest:?}\nmost bytes     {most:?}");
-    for came in [&longest, &most] {
-        assert_eq!(came.cut_few, 0);
-        assert!(came.peak <= BOUND, "{}", came.peak);
-        assert!(came.cut_stuck > 0, "there was something to cut");
+    for outcome in [&longest, &most] {
+        assert_eq!(outcome.disconnected_with_few_events, 0);
+        assert!(outcome.peak_bytes <= MEMORY_LIMIT, "{}", outcome.peak_bytes);
+        assert!(
+            outcome.disconnected_non_readers > 0,
+            "callers that never read were disconnected"
+        );
     }
-    assert!(longest.cut_readers < most.cut_readers);
-    assert!(longest.whole > most.whole);
+    assert!(longest.disconnected_readers < most.disconnected_readers);
+    assert!(longest.completed > most.completed);
 }
 
 #[parameterized(
     longest_unread = { Way::LongestUnread },
     most_bytes = { Way::MostBytes },
 )]
-fn an_account_that_reads_nothing_pays_first(way: Way) {
-    let (_, cut) = play(way, 4, Some(3));
-    let its = cut.iter().filter(|a| **a == 3).count();
-    println!("{way:?}: {its} of {} cut are the account's", cut.len());
-    assert!(its * 10 > cut.len() * 9, "{its} of {}", cut.len());
+fn an_account_that_reads_nothing_is_disconnected_first(order: Way) {
+    let (_, cut) = simulate(order, 4, Some(3));
+    let non_reading = cut.iter().filter(|a| **a == 3).count();
+    println!(
+        "{order:?}: {non_reading} of {} disconnected are the account's",
+        cut.len()
+    );
+    assert!(
+        non_reading * 10 > cut.len() * 9,
+        "{non_reading} of {}",
+        cut.len()
+    );
 }
 
 fn behind(all: &mut AnswerArena<()>, account: u64, bytes: u64, pieces: u32, since: u64) -> Behind {
@@ -185,16 +196,16 @@
 }
 
 #[test]
-fn a_large_account_gives_down_to_its_part_before_others_give() {
+fn a_large_account_is_cut_down_to_its_share_before_others() {
     let limits = HoldLimits::of(1_000);
     let mut all = AnswerArena::default();
     let small = behind(&mut all, 1, 200, 20, 1);
     let older = behind(&mut all, 2, 400, 20, 5);
     let newer = behind(&mut all, 2, 400, 20, 6);
-    let given = limits.cut(Way::LongestUnread, 1_000, &[small, older, newer]);
+    let cut = limits.cut(Way::LongestUnread, 1_000, &[small, older, newer]);
     assert_eq!(
-        given,
+        cut,
         [older.key],
-        "longest unread, but of the large account"
+        "the longest unread one of the large account"
     );
 }
--- a/crates/deckwind-testkit/tests/testsuite/inbox.rs
+++ b/crates/deckwind-testkit/tests/testsuite/inbox.rs
@@ -1,11 +1,11 @@
-//! What a replica takes first: the replicated log before all else, and a bounded part of
-//! that at a time.
+//! Order of a control replica's inputs: messages of the replicated log come before all
+//! others, and each batch is bounded.
 
 use deckwind_core::replication::{Body, Message, ReplicaId, Term};
 use deckwindd::control::{ControlHandle, Input};
 use std::time::Duration;
 
-fn of_log() -> Input {
+fn log_message() -> Input {
     Input::Replication(Message {
         cluster: None,
         from: ReplicaId {
@@ -19,18 +19,20 @@
     })
 }
 
-/// A leader's heartbeat behind the renewals of a whole fleet: it is in the first batch, and
-/// the batch is short.
+/// A leader's heartbeat that arrives after the renewals of a whole fleet is in the first
+/// batch, and that batch is short.
 #[test]
 fn a_message_of_the_log_waits_for_a_short_batch_at_most() {
     let (handle, inbox) = ControlHandle::new();
     for _ in 0..5_000 {
         handle.send(Input::Seeds(Vec::new()));
     }
-    handle.send(of_log());
-    let batch = inbox.gather(Duration::ZERO).expect("it goes on");
-    let of_log = batch.iter().filter(|i| matches!(i, Input::Replication(_)));
-    assert_eq!(of_log.count(), 1);
+    handle.send(log_message());
+    let batch = inbox
+        .gather(Duration::ZERO)
+        .expect("the inbox is not stopped");
+    let log_messages = batch.iter().filter(|i| matches!(i, Input::Replication(_)));
+    assert_eq!(log_messages.count(), 1);
     assert!(batch.len() < 200, "{} inputs", batch.len());
 }
 
@@ -38,14 +40,14 @@
 fn nothing_is_lost_over_several_batches() {
     let (handle, inbox) = ControlHandle::new();
     (0..1_000).for_each(|i| handle.send(Input::Seeds(vec![i])));
-    let mut seen = Vec::new();
+    let mut received = Vec::new();
     while let Some(batch) = inbox.gather(Duration::ZERO).filter(|b| !b.is_empty()) {
-        seen.extend(batch.into_iter().filter_map(|i| match i {
+        received.extend(batch.into_iter().filter_map(|i| match i {
             Input::Seeds(slots) => Some(slots[0]),
             _ => None,
         }));
     }
-    assert_eq!(seen, (0..1_000).collect::<Vec<u32>>());
+    assert_eq!(received, (0..1_000).collect::<Vec<u32>>());
 }
 
 #[test]
--- a/crates/deckwind-testkit/tests/testsuite/leaving.rs
+++ b/crates/deckwind-testkit/tests/testsuite/leaving.rs
@@ -1,4 +1,4 @@
-//! The platform's word that a VM is leaving, and routers that are killed.
+//! VMs that the platform reports as leaving, and router processes that are killed.
 
 use crate::any;
 use crate::processes::processes;
@@ -15,12 +15,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const LEAVING: &str = "127.0.0.2";
+const LEAVING_IP: &str = "127.0.0.2";
 
-/// Two engines for the whole model, on two addresses. The list lags by one
-/// change. What runs at the leaving one goes on; nothing new starts there.
+/// Two engines hold the whole model, on two IP addresses, and the platform's list lags
+/// by one change. Streams at the engine on the leaving VM complete; no new ones start
+/// there.
 #[test]
-fn the_platforms_word_is_enough() {
+fn a_vm_reported_as_leaving_gets_no_new_streams() {
     crate::run(async {
         let list = FakePlatformList::lagging(1);
         let served = serve::platform(any(), list.clone()).await.unwrap();
@@ -36,17 +37,17 @@
             .await
             .unwrap();
         let mut engines = Vec::new();
-        for ip in ["127.0.0.1", LEAVING] {
+        for ip in ["127.0.0.1", LEAVING_IP] {
             let mut cfg = FakeEngineConfig::new(LayerRange::new(0, 4), 4);
             cfg.step_time = Duration::from_millis(2);
             let engine = FakeEngine::new(cfg);
             let address = SocketAddr::new(ip.parse().unwrap(), 0);
-            let at = serve::engine(address, Arc::new(engine.clone()))
+            let server = serve::engine(address, Arc::new(engine.clone()))
                 .await
                 .unwrap();
             let name = format!("engine-{ip}");
             cluster
-                .apply(Change::Target(engine_target(&name, at.address, 0, 4)))
+                .apply(Change::Target(engine_target(&name, server.address, 0, 4)))
                 .await
                 .unwrap();
             engines.push(engine);
@@ -58,7 +59,7 @@
             stream.token().await.unwrap();
             streams.push(stream);
         }
-        let ip: IpAddr = LEAVING.parse().unwrap();
+        let ip: IpAddr = LEAVING_IP.parse().unwrap();
         list.set(ip, PlatformStatus::Live);
         list.set(ip, PlatformStatus::Leaving);
         list.set("127.0.0.3".parse().unwrap(), PlatformStatus::Live);
@@ -81,9 +82,9 @@
     });
 }
 
-/// A router is killed after its target has run a not-repeatable call and before
-/// it has answered. Through another router the same key is first "in progress",
-/// then, when the dead router's lease has run out, "may have run"; never run.
+/// A router is killed after its target has run a request that must not be repeated and
+/// before it has answered. At another router the same key gets `in-progress` and, once
+/// the lease of the killed router has expired, `may-have-run`; it never runs again.
 #[test]
 fn a_router_killed_between_send_and_answer_leaves_no_second_run() {
     crate::run(async {
@@ -110,34 +111,34 @@
             .collect();
         let first = callers[0].clone();
         let headers = [("idempotency-key", "k")];
-        let asking = tokio::spawn(async move {
+        let request = tokio::spawn(async move {
             first
                 .post("/s/confirm/1", "{}", &[("idempotency-key", "k")])
                 .await
         });
-        eventually_async("the target runs it", || async {
+        eventually_async("the target runs the request", || async {
             service.runs().contains_key("k").then_some(())
         })
         .await;
         router.kill();
-        assert!(asking.await.unwrap().is_err());
+        assert!(request.await.unwrap().is_err());
         service.set_fault(ServiceFault::None);
-        let mut seen = Vec::new();
-        eventually_async("the claim is given up as unknown", || {
+        let mut codes = Vec::new();
+        eventually_async("the other router answers", || {
             let caller = callers[1].clone();
             async move { caller.post("/s/confirm/1", "{}", &headers).await.ok() }
         })
         .await;
-        while seen.last().is_none_or(|code| code == "in-progress") {
+        while codes.last().is_none_or(|code| code == "in-progress") {
             let answer = callers[1]
                 .post("/s/confirm/1", "{}", &headers)
                 .await
                 .unwrap();
             assert_eq!(answer.status, 409);
-            seen.push(answer.code());
+            codes.push(answer.code());
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        assert_eq!(seen.last().map(String::as_str), Some("may-have-run"));
+        assert_eq!(codes.last().map(String::as_str), Some("may-have-run"));
         assert_eq!(service.runs()["k"], 1);
     });
 }
--- a/crates/deckwind-testkit/tests/testsuite/paths.rs
+++ b/crates/deckwind-testkit/tests/testsuite/paths.rs
@@ -1,4 +1,4 @@
-//! Paths over engines that hold layers, and the room on them.
+//! Paths over engines that hold layers, and the free capacity of these engines.
 
 use crate::support::{cards, instances, model, place};
 use deckwind_core::control::EngineUse;
@@ -16,15 +16,16 @@
 use std::time::Duration;
 use yare::parameterized;
 
-const SOME: Need = Need {
+const DEFAULT_NEED: Need = Need {
     tokens: 1_000,
     most: 1.0,
     draw: 1,
 };
 
-struct Avoiding(Vec<SocketAddr>);
+/// A view of engines without load that avoids the given ones.
+struct AvoidedEngines(Vec<SocketAddr>);
 
-impl EngineView for Avoiding {
+impl EngineView for AvoidedEngines {
     fn refused_at(&self, _: SocketAddr) -> Option<u64> {
         None
     }
@@ -46,7 +47,13 @@
     place(&mut b);
     a.extend(b);
     let all = instances(&a);
-    let found = paths(&model(), all.iter(), &Avoiding(Vec::new()), &SOME).expect("two");
+    let found = paths(
+        &model(),
+        all.iter(),
+        &AvoidedEngines(Vec::new()),
+        &DEFAULT_NEED,
+    )
+    .expect("two");
     assert_eq!(found.len(), 2);
     for path in found {
         let mut next = 0;
@@ -75,14 +82,14 @@
     let mut model = model();
     model.layers = 18;
     let all = overlapping();
-    let round = |avoided: usize| {
-        let view = Avoiding(vec![all[avoided].address]);
-        paths(&model, all.iter(), &view, &SOME)
+    let paths_avoiding = |avoided: usize| {
+        let view = AvoidedEngines(vec![all[avoided].address]);
+        paths(&model, all.iter(), &view, &DEFAULT_NEED)
     };
-    let found = round(2).expect("one");
+    let found = paths_avoiding(2).expect("one");
     let addresses: Vec<_> = found[0].stages.iter().map(|s| s.address).collect();
     assert_eq!(addresses, [all[0].address, all[1].address, all[3].address]);
-    let none = round(0);
+    let none = paths_avoiding(0);
     assert_eq!(
         none,
         Err(NoPath::Broken),
@@ -90,7 +97,7 @@
     );
 }
 
-/// Stages as engine and layers, of the overlapping ones.
+/// Builds stages from the index of an engine, the first layer and the end of the layers.
 fn stages(all: &[Instance], of: &[(usize, u32, u32)]) -> Vec<Stage> {
     let stage = |(i, first, last): &(usize, u32, u32)| Stage {
         address: all[*i].address,
@@ -108,21 +115,24 @@
 fn others_take_the_place_of_a_stage_and_the_rest_stays(
     path: &[(usize, u32, u32)],
     replaced: usize,
-    round: Option<&[(usize, u32, u32)]>,
+    expected: Option<&[(usize, u32, u32)]>,
 ) {
     let mut model = model();
     model.layers = 18;
     let all = overlapping();
     let path = stages(&all, path);
-    let out = all[replaced].address;
-    let view = Avoiding(vec![out]);
-    let found = path_round(&model, all.iter(), &view, &SOME, &path, &|a| a == out);
-    assert_eq!(found.map(|p| p.stages), round.map(|r| stages(&all, r)));
+    let replaced_address = all[replaced].address;
+    let view = AvoidedEngines(vec![replaced_address]);
+    let found = path_round(&model, all.iter(), &view, &DEFAULT_NEED, &path, &|a| {
+        a == replaced_address
+    });
+    assert_eq!(found.map(|p| p.stages), expected.map(|e| stages(&all, e)));
 }
 
-struct Suspecting(Vec<SocketAddr>);
+/// A view of engines without load that suspects the given ones.
+struct SuspectedEngines(Vec<SocketAddr>);
 
-impl EngineView for Suspecting {
+impl EngineView for SuspectedEngines {
     fn refused_at(&self, _: SocketAddr) -> Option<u64> {
         None
     }
@@ -149,12 +159,15 @@
     model.layers = 18;
     let all = overlapping();
     let suspect = all[suspect].address;
-    let view = Suspecting(vec![suspect]);
+    let view = SuspectedEngines(vec![suspect]);
     for draw in 0..20 {
-        let need = Need { draw, ..SOME };
+        let need = Need {
+            draw,
+            ..DEFAULT_NEED
+        };
         let found = paths(&model, all.iter(), &view, &need).expect("one");
-        let on_it = found[0].stages.iter().any(|s| s.address == suspect);
-        assert_eq!(on_it, used);
+        let is_used = found[0].stages.iter().any(|s| s.address == suspect);
+        assert_eq!(is_used, used);
     }
 }
 
@@ -163,20 +176,26 @@
     let mut model = model();
     model.layers = 16;
     let all = overlapping();
-    let found = paths(&model, all.iter(), &Avoiding(Vec::new()), &SOME).expect("one");
+    let found = paths(
+        &model,
+        all.iter(),
+        &AvoidedEngines(Vec::new()),
+        &DEFAULT_NEED,
+    )
+    .expect("one");
     for path in found {
         let last = path.stages.last().expect("a stage");
         assert_eq!(last.layers.last, 16);
     }
 }
 
-fn choose(book: &TargetBook, all: &[Instance], room: Room) -> Result<Choice, NoChoice> {
+fn choose(book: &TargetBook, all: &[Instance], demand: Room) -> Result<Choice, NoChoice> {
     let own = all[0].data_centre.clone();
     let now = Instant::from_millis(1);
-    choose_path(&model(), all, book, &own, room, &HashSet::new(), now)
+    choose_path(&model(), all, book, &own, demand, &HashSet::new(), now)
 }
 
-fn room(tokens: u64, begun: bool, draw: u64) -> Room {
+fn demand(tokens: u64, begun: bool, draw: u64) -> Room {
     let claim = match begun {
         true => Claim::Begun,
         false => Claim::New,
@@ -209,28 +228,28 @@
     let all = instances(&several_chains(chains));
     let mut book = TargetBook::default();
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let mut given = 0;
+    let mut placed = 0;
     let refused = loop {
-        let room = room(900, false, rng.random());
-        match choose(&book, &all, room) {
+        let demand = demand(900, false, rng.random());
+        match choose(&book, &all, demand) {
             Ok(choice) => {
                 let path = choice.path.expect("a path");
                 assert!(path.fullest.used <= 1.0);
-                book.takes(&path.stages, room.tokens);
-                given += 1;
+                book.takes(&path.stages, demand.tokens);
+                placed += 1;
             }
             Err(none) => break none,
         }
     };
     assert!(matches!(refused, NoChoice::Full(_)), "{refused:?}");
-    let least = chains as u32 * 100_000 / 900;
+    let expected = chains as u32 * 100_000 / 900;
     assert!(
-        given * 100 >= least * 75,
-        "{given} of {least}: some engine filled up before the others"
+        placed * 100 >= expected * 75,
+        "{placed} of {expected}: some engine filled up before the others"
     );
     assert!(
-        choose(&book, &all, room(900, true, 1)).is_ok(),
-        "one that has begun may crowd the others a little"
+        choose(&book, &all, demand(900, true, 1)).is_ok(),
+        "a request that has begun may go a little beyond the limit"
     );
 }
 
@@ -238,20 +257,20 @@
 fn what_other_routers_hold_counts_as_ones_own() {
     let all = instances(&several_chains(2));
     let mut book = TargetBook::default();
-    let first = choose(&book, &all, room(900, false, 1)).expect("a path");
+    let first = choose(&book, &all, demand(900, false, 1)).expect("a path");
     let path = first.path.expect("a path");
-    let of = |stage: &deckwind_core::routing::paths::Stage| EngineUse {
+    let load = |stage: &deckwind_core::routing::paths::Stage| EngineUse {
         address: stage.address,
         layer_tokens: 99_500 * u64::from(stage.layers.len()),
         begun: 100,
     };
-    let told: Vec<EngineUse> = path.stages.iter().map(of).collect();
-    book.others_hold(&told);
+    let loads: Vec<EngineUse> = path.stages.iter().map(load).collect();
+    book.others_hold(&loads);
     for draw in 0..20 {
-        let next = choose(&book, &all, room(900, false, draw)).expect("the other chain");
+        let next = choose(&book, &all, demand(900, false, draw)).expect("the other chain");
         let next = next.path.expect("a path");
-        let meets = |a: &SocketAddr| path.stages.iter().any(|s| s.address == *a);
-        assert!(!next.stages.iter().any(|s| meets(&s.address)));
+        let is_on_path = |a: &SocketAddr| path.stages.iter().any(|s| s.address == *a);
+        assert!(!next.stages.iter().any(|s| is_on_path(&s.address)));
     }
     book.others_hold(&[]);
     assert_eq!(book.held(path.stages[0].address), Held::default());
@@ -260,21 +279,21 @@
 #[test]
 fn layers_that_an_engine_gives_up_take_its_memory_until_it_has() {
     let mut all = instances(&several_chains(1));
-    let one = room(80_000, false, 1);
-    assert!(choose(&TargetBook::default(), &all, one).is_ok());
+    let large = demand(80_000, false, 1);
+    assert!(choose(&TargetBook::default(), &all, large).is_ok());
     let mut book = TargetBook::default();
-    let path = choose(&book, &all, room(1_000, false, 1)).expect("a path");
+    let path = choose(&book, &all, demand(1_000, false, 1)).expect("a path");
     book.takes(&path.path.expect("a path").stages, 1_000);
-    assert!(choose(&book, &all, one).is_ok());
+    assert!(choose(&book, &all, large).is_ok());
     for engine in &mut all {
         engine.in_memory = engine.layers.len() + 1;
     }
-    let least = all
+    let small_engines = all
         .iter()
         .filter(|i| i.accelerator.as_deref() == Some("small"));
-    assert!(least.count() > 0);
+    assert!(small_engines.count() > 0);
     assert!(
-        choose(&book, &all, one).is_err(),
+        choose(&book, &all, large).is_err(),
         "a small engine keeps 54,000 tokens beside seven layers"
     );
 }
@@ -283,12 +302,12 @@
 fn memory_that_streams_give_back_can_be_given_again() {
     let all = instances(&several_chains(1));
     let mut book = TargetBook::default();
-    let path = choose(&book, &all, room(60_000, false, 1)).expect("a path");
+    let path = choose(&book, &all, demand(60_000, false, 1)).expect("a path");
     let path = path.path.expect("a path");
     book.takes(&path.stages, 60_000);
-    assert!(choose(&book, &all, room(60_000, false, 2)).is_err());
+    assert!(choose(&book, &all, demand(60_000, false, 2)).is_err());
     book.gives_back(&path.stages, 60_000);
-    assert!(choose(&book, &all, room(60_000, false, 2)).is_ok());
+    assert!(choose(&book, &all, demand(60_000, false, 2)).is_ok());
     assert!(book.own_use().is_empty());
 }
 
@@ -304,27 +323,30 @@
     assert!(!book.avoids(at(1_400), address), "however often it refused");
 }
 
-/// Routers that were all told the same, each choosing once.
+/// Routers that have all received the same load report choose one path each.
 #[test]
 fn routers_with_the_same_old_report_do_not_rush_to_one_chain() {
     let all = instances(&several_chains(4));
-    let mut told = TargetBook::default();
-    let empty = |i: &&Instance| i.layers.first == 0 && i.id.ends_with("-0");
-    let others = all.iter().filter(|i| !empty(i));
-    let half = |i: &Instance| EngineUse {
+    let mut book = TargetBook::default();
+    let is_unloaded = |i: &&Instance| i.layers.first == 0 && i.id.ends_with("-0");
+    let loaded = all.iter().filter(|i| !is_unloaded(i));
+    let half_load = |i: &Instance| EngineUse {
         address: i.address,
         layer_tokens: 40_000 * u64::from(i.layers.len()),
         begun: 40,
     };
-    let uses: Vec<EngineUse> = others.map(half).collect();
-    told.others_hold(&uses);
+    let loads: Vec<EngineUse> = loaded.map(half_load).collect();
+    book.others_hold(&loads);
     let mut begun = std::collections::BTreeMap::new();
     for draw in 0..200 {
-        let path = choose(&told, &all, room(900, false, draw)).expect("room");
+        let path = choose(&book, &all, demand(900, false, draw)).expect("free capacity");
         *begun.entry(path.address).or_insert(0) += 1;
     }
     let most = begun.values().max().copied().unwrap_or_default();
-    assert!(most <= 120, "{most} of 200 began at the emptiest engine");
+    assert!(
+        most <= 120,
+        "{most} of 200 began at the engine with the least load"
+    );
     assert_eq!(begun.len(), 4, "each chain is used");
 }
 
@@ -337,22 +359,22 @@
         all.extend(cards);
     }
     let all = instances(&all);
-    let mut told = TargetBook::default();
+    let mut book = TargetBook::default();
     let tokens = |i: &Instance| match i.data_centre.as_str() {
         "a" => 85_000,
         "b" => 60_000,
         _ => 50_000,
     };
-    let used = |i: &Instance| EngineUse {
+    let load = |i: &Instance| EngineUse {
         address: i.address,
         layer_tokens: tokens(i) * u64::from(i.layers.len()),
         begun: 50,
     };
-    let uses: Vec<EngineUse> = all.iter().map(used).collect();
-    told.others_hold(&uses);
+    let loads: Vec<EngineUse> = all.iter().map(load).collect();
+    book.others_hold(&loads);
     let mut begun = std::collections::BTreeMap::new();
     for draw in 0..300 {
-        let path = choose(&told, &all, room(900, false, draw)).expect("room");
+        let path = choose(&book, &all, demand(900, false, draw)).expect("free capacity");
         let path = path.path.expect("a path");
         *begun.entry(path.data_centre.to_string()).or_insert(0) += 1;
     }
@@ -365,20 +387,20 @@
     fails_two_of_five = { &[false, true, true, false, true], 2_000 },
     fails_one_of_five = { &[false, true, true, true, true], 1_000 },
 )]
-fn a_target_that_fails_often_is_avoided_for_longer(answers: &[bool], most_ms: u64) {
+fn a_target_that_fails_often_is_avoided_for_longer(answers: &[bool], max_backoff_ms: u64) {
     let mut book = TargetBook::default();
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     let mut longest = std::time::Duration::ZERO;
-    for (i, good) in answers.iter().cycle().take(60).enumerate() {
-        // Each is sent well after the one before.
+    for (i, is_good) in answers.iter().cycle().take(60).enumerate() {
+        // Each request is sent well after the previous one.
         let now = Instant::from_millis(10_000 * (i as u64 + 1));
-        match good {
+        match is_good {
             true => book.answered(address),
             false => longest = longest.max(book.failed(now, address, TargetFault::Answer)),
         }
     }
-    let often = most_ms >= 2_000;
-    assert_eq!(longest.as_millis() as u64 >= 2_000, often, "{longest:?}");
+    let is_long = max_backoff_ms >= 2_000;
+    assert_eq!(longest.as_millis() as u64 >= 2_000, is_long, "{longest:?}");
     for _ in 0..8 {
         book.answered(address);
     }
@@ -386,12 +408,13 @@
     assert_eq!(
         book.failed(now, address, TargetFault::Answer).as_millis(),
         500,
-        "it is well again"
+        "the backoff is short again"
     );
 }
 
-/// One engine that all of a data centre's paths need has broken an answer off:
-/// its answers are better than a refusal. One that is down is not.
+/// One data centre is full, and all paths of the other need one engine. If that engine has
+/// broken an answer off, it is used rather than refusing the request; if it is down, it is
+/// not.
 #[parameterized(
     answers_badly = { TargetFault::Answer, true },
     down = { TargetFault::Down, false },
@@ -408,25 +431,26 @@
     }
     let all = instances(&all);
     let mut book = TargetBook::default();
-    let full = |i: &&Instance| i.data_centre.as_str() == "b";
-    let uses = all.iter().filter(full).map(|i| EngineUse {
+    let is_full = |i: &&Instance| i.data_centre.as_str() == "b";
+    let loads = all.iter().filter(is_full).map(|i| EngineUse {
         address: i.address,
         layer_tokens: 100_000 * u64::from(i.layers.len()),
         begun: 100,
     });
-    book.others_hold(&uses.collect::<Vec<EngineUse>>());
+    book.others_hold(&loads.collect::<Vec<EngineUse>>());
     let first = all.iter().find(|i| i.layers.first == 0).expect("one");
     book.failed(Instant::from_millis(1_000), first.address, fault);
-    let chosen = choose(&book, &all, room(900, false, 1));
+    let chosen = choose(&book, &all, demand(900, false, 1));
     assert_eq!(chosen.is_ok(), used, "{chosen:?}");
     assert_eq!(
         book.doubts(Instant::from_millis(1_000), first.address),
         !used,
-        "streams leave only what is down"
+        "streams leave only an engine that is down"
     );
 }
 
-/// An engine that is avoided for another reason is down for the whole time.
+/// An engine that is found to be down while it is avoided for another reason counts as
+/// down for the whole backoff, not only for the rest of the earlier one.
 #[test]
 fn an_engine_that_is_avoided_and_then_down_is_down_for_the_whole_time() {
     let mut book = TargetBook::default();
@@ -437,7 +461,7 @@
     assert!(book.is_down(Instant::from_millis(1_700), address));
 }
 
-/// A caller that was refused and comes back says less patience than at first.
+/// A caller that was refused and retries names a shorter wait time than at first.
 #[parameterized(
     first = { 20_000, false },
     soon_back = { 19_700, false },
@@ -459,26 +483,27 @@
     );
 }
 
-/// What is left at the edge is for callers that can still be in time.
+/// When engines are nearly full, the remaining capacity is kept for callers that can still
+/// be answered in time.
 #[parameterized(
     new = { Claim::New, true },
     late = { Claim::Late, false },
     begun = { Claim::Begun, true },
 )]
-fn late_callers_leave_the_last_room_to_others(claim: Claim, has_room: bool) {
+fn late_callers_leave_the_last_room_to_others(claim: Claim, has_capacity: bool) {
     let mut cards = cards("a", 0, 4, 8);
     place(&mut cards);
     let all = instances(&cards);
     let mut book = TargetBook::default();
-    let uses = all.iter().map(|i| EngineUse {
+    let loads = all.iter().map(|i| EngineUse {
         address: i.address,
         layer_tokens: 94_500 * u64::from(i.layers.len()),
         begun: 80,
     });
-    book.others_hold(&uses.collect::<Vec<EngineUse>>());
-    let room = Room {
+    book.others_hold(&loads.collect::<Vec<EngineUse>>());
+    let demand = Room {
         claim,
-        ..room(900, false, 1)
+        ..demand(900, false, 1)
     };
-    assert_eq!(choose(&book, &all, room).is_ok(), has_room);
+    assert_eq!(choose(&book, &all, demand).is_ok(), has_capacity);
 }
--- a/crates/deckwind-testkit/tests/testsuite/rig.rs
+++ b/crates/deckwind-testkit/tests/testsuite/rig.rs
@@ -1,4 +1,4 @@
-//! A small cluster with stand-ins of the users' targets, for tests of routes.
+//! A small cluster with fake targets, for tests of routes.
 
 use bytes::Bytes;
 use deckwind_fakes::{FakeCall, FakeRunner, release_document};
@@ -14,10 +14,11 @@
 use std::time::Duration;
 use tokio::task::JoinHandle;
 
-/// A key that the first release knows.
+/// An API key that the first release contains.
 pub const KEY: &str = "a-key";
 
-/// Targets with an even number stand in the router's own data centre.
+/// Returns the data centre of target `i`: targets with an even number are in the router's
+/// own one.
 pub fn data_centre(i: usize) -> &'static str {
     match i % 2 {
         0 => "recife-a",
@@ -25,11 +26,11 @@
     }
 }
 
-/// A kind of request, and the targets that serve it in a test.
+/// A kind of request, and the number of targets that serve it in a test.
 #[derive(Clone, Copy)]
 pub struct Kind {
     pub path: &'static str,
-    /// Whether it is a generation.
+    /// Whether the request generates tokens.
     pub tokens: bool,
     pub plain: usize,
     pub engines: usize,
@@ -44,16 +45,16 @@
     }
 }
 
-/// Streams over engines that hand on.
+/// Streams over a chain of engines that forward to each other.
 pub const STREAMS: Kind = kind("/stream/x", true, 0, 4);
-/// Plain requests that may be repeated.
+/// Plain requests that may be retried.
 pub const REPEATABLE: Kind = kind("/safe/x", false, 2, 0);
-/// Plain requests that run once.
+/// Plain requests that run at most once.
 pub const ONCE: Kind = kind("/once/x", false, 2, 0);
-/// Streams that one target serves alone, and that can't be taken up.
+/// Streams that one target serves by itself, and that can't be resumed.
 pub const NOT_RESUMABLE: Kind = kind("/tell/x", true, 2, 0);
 
-/// Control replica, router, and stand-ins of targets.
+/// A control replica, a router and fake targets.
 pub struct Rig {
     pub cluster: Cluster,
     pub plain: Vec<FakeRunner>,
@@ -61,37 +62,37 @@
     announcer: Announcer,
 }
 
-/// Between two announcements of a target.
-const ANNOUNCE_EVERY: Duration = Duration::from_millis(1_200);
+/// Interval between two announcements of a target.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1_200);
 
-/// A target that announces itself, and how it says that it is.
-struct Announced {
+/// A target that announces itself, and the state that it announces.
+struct AnnouncedTarget {
     runner: FakeRunner,
     pool: String,
     data_centre: &'static str,
     state: String,
 }
 
-/// Targets by the path at which they announce themselves, and the number of the
-/// last announcement.
-type AllAnnounced = Arc<Mutex<(BTreeMap<String, Announced>, u64)>>;
+/// Targets by the path at which they announce themselves, and the number of the last
+/// announcement.
+type AnnouncedTargets = Arc<Mutex<(BTreeMap<String, AnnouncedTarget>, u64)>>;
 
-/// Has targets announce themselves again and again, as theirs do, for as long as
-/// they are ready and listen.
+/// A task that announces targets periodically, as real ones do themselves, for as long as
+/// they are ready and reachable.
 struct Announcer {
-    all: AllAnnounced,
+    all: AnnouncedTargets,
     task: JoinHandle<()>,
 }
 
 impl Announcer {
     fn start(control: SocketAddr) -> Self {
-        let all = AllAnnounced::default();
+        let all = AnnouncedTargets::default();
         let task = tokio::spawn(announce_all(control, all.clone()));
         Self { all, task }
     }
 
-    /// Remembers how a target is. What it says of itself now.
-    fn put(&self, path: &str, target: Announced) -> Value {
+    /// Records a target and its state, and returns the announcement to send now.
+    fn record(&self, path: &str, target: AnnouncedTarget) -> Value {
         let mut all = self.all.lock().expect("no holder panics");
         all.1 += 1;
         let body = target.body(all.1);
@@ -106,36 +107,36 @@
     }
 }
 
-impl Announced {
+impl AnnouncedTarget {
     fn body(&self, number: u64) -> Value {
         let Self { runner, state, .. } = self;
         runner.announcement(&self.pool, self.data_centre, state, number)
     }
 }
 
-/// What all targets say that are ready, and where.
-fn said(all: &AllAnnounced) -> Vec<(String, Value)> {
+/// Returns the next announcement of each target that is ready and reachable, with its path.
+fn next_announcements(all: &AnnouncedTargets) -> Vec<(String, Value)> {
     let mut all = all.lock().expect("no holder panics");
     let (targets, number) = &mut *all;
     let ready = targets.iter().filter(|(_, t)| t.state == "ready");
-    let listening = ready.filter(|(_, t)| t.runner.listens());
-    let say = |(path, target): (&String, &Announced)| {
+    let reachable = ready.filter(|(_, t)| t.runner.listens());
+    let announcement = |(path, target): (&String, &AnnouncedTarget)| {
         *number += 1;
         (path.clone(), target.body(*number))
     };
-    listening.map(say).collect()
+    reachable.map(announcement).collect()
 }
 
-async fn announce_all(control: SocketAddr, all: AllAnnounced) {
+async fn announce_all(control: SocketAddr, all: AnnouncedTargets) {
     loop {
-        tokio::time::sleep(ANNOUNCE_EVERY).await;
-        for (path, body) in said(&all) {
+        tokio::time::sleep(ANNOUNCE_INTERVAL).await;
+        for (path, body) in next_announcements(&all) {
             post(control, &path, &body).await;
         }
     }
 }
 
-/// What a caller heard.
+/// An answer as a caller received it.
 pub struct Heard {
     pub status: StatusCode,
     pub headers: HeaderMap,
@@ -143,14 +144,18 @@
 }
 
 impl Heard {
-    /// Seconds after which the caller is to come back.
+    /// Seconds until the caller may retry, from `Retry-After`.
     pub fn come_back_after(&self) -> f64 {
-        let after = self.headers.get("retry-after").expect("when to come back");
+        let after = self
+            .headers
+            .get("retry-after")
+            .expect("a Retry-After header");
         after.to_str().expect("text").parse().expect("seconds")
     }
 }
 
-/// Sends a call to a control replica.
+/// Sends a POST request to a control replica and returns the status, which is 503 if there
+/// was no answer.
 pub async fn post(address: SocketAddr, path: &str, body: &Value) -> StatusCode {
     let client = Client::builder(TokioExecutor::new()).build_http();
     let req = Request::post(format!("http://{address}{path}"))
@@ -161,13 +166,14 @@
 }
 
 impl Rig {
-    /// One control replica, one router, so many plain targets and engines.
+    /// Starts one control replica, one router, and the given numbers of plain targets and
+    /// engines.
     pub async fn start(plain: usize, engines: usize) -> Self {
         let layout = Layout::new(1, 1).expect("a layout");
         Self::start_with(layout, plain, engines).await
     }
 
-    /// The same with a layout that was changed.
+    /// Like [`Rig::start`], with the given layout.
     pub async fn start_with(layout: Layout, plain: usize, engines: usize) -> Self {
         let cluster = Cluster::start_with(layout).await.expect("a cluster");
         let announcer = Announcer::start(cluster.layout.control_calls[0]);
@@ -177,9 +183,9 @@
             engines: Vec::new(),
             announcer,
         };
-        // As operators do: a release without a clear answer is sent again, as
-        // where the only replica lost its lease because its VM was busy.
-        eventually_async("the first release is taken", || async {
+        // A release without a clear answer is sent again, as operators do: the only
+        // replica may have lost its lease because its VM was busy.
+        eventually_async("the first release is accepted", || async {
             (rig.publish(1, &[KEY]).await == StatusCode::OK).then_some(())
         })
         .await;
@@ -196,7 +202,7 @@
         rig
     }
 
-    /// The same once the engines have been told which layers to hold: before both data
+    /// Like [`Rig::start_with`], and waits until every engine holds layers: before both data
     /// centres have a chain, requests begin at whichever engine there is.
     pub async fn start_placed(layout: Layout, plain: usize, engines: usize) -> Self {
         let mut rig = Self::start_with(layout, plain, engines).await;
@@ -227,44 +233,45 @@
             _ => &self.engines[i],
         };
         let path = format!("/v1/instances/{id}-{i}/heartbeat");
-        let target = Announced {
+        let target = AnnouncedTarget {
             runner: runner.clone(),
             pool: pool.to_string(),
             data_centre: data_centre(i),
             state: state.to_string(),
         };
-        let body = self.announcer.put(&path, target);
+        let body = self.announcer.record(&path, target);
         let address = self.control();
-        eventually_async("the announcement is taken", || async {
+        eventually_async("the announcement is accepted", || async {
             (post(address, &path, &body).await == StatusCode::OK).then_some(())
         })
         .await;
     }
 
-    /// Waits until the routers know all that was announced: targets that are
-    /// ready are answered before that, one that drains is answered after it.
+    /// Waits until the routers know everything that was announced. A ready target's
+    /// announcement is answered before that and a draining one's after it, so this
+    /// announces a draining target.
     pub async fn until_in_force(&mut self) {
         let last = FakeRunner::start("last").await.expect("a target");
         let path = "/v1/instances/last/heartbeat";
-        let target = Announced {
+        let target = AnnouncedTarget {
             runner: last,
             pool: "plain".to_string(),
             data_centre: data_centre(0),
             state: "draining".to_string(),
         };
-        let body = self.announcer.put(path, target);
+        let body = self.announcer.record(path, target);
         let address = self.control();
-        eventually_async("what was announced is in force", || async {
+        eventually_async("the announcements are in force", || async {
             (post(address, path, &body).await == StatusCode::OK).then_some(())
         })
         .await;
     }
 
-    /// Waits until a request to a path is answered with 200.
+    /// Waits until a request to the path is answered with 200.
     pub async fn until_served(&self, path: &str, tokens: bool) {
         eventually_async("a request is served", || async {
-            let heard = self.ask("warm-up", path, KEY, tokens).await;
-            (heard.status == StatusCode::OK).then_some(())
+            let answer = self.ask("warm-up", path, KEY, tokens).await;
+            (answer.status == StatusCode::OK).then_some(())
         })
         .await;
     }
@@ -284,7 +291,7 @@
         self.ask_at(0, id, path, key, tokens, last_event).await
     }
 
-    /// Asks this router.
+    /// Sends a request to the given router, with `Last-Event-Id` if `last_event` is set.
     pub async fn ask_at(
         &self,
         router: usize,
@@ -314,12 +321,12 @@
         }
     }
 
-    /// All targets.
+    /// Returns all plain targets and engines.
     pub fn targets(&self) -> impl Iterator<Item = &FakeRunner> {
         self.plain.iter().chain(&self.engines)
     }
 
-    /// Times that a request was sent to any target.
+    /// Returns how often the request with this id was sent to a target.
     pub fn sends(&self, id: &str) -> usize {
         let seen = self.targets().flat_map(FakeRunner::seen);
         seen.filter(|r| r.headers["x-deckwind-request-id"] == id)
--- a/crates/deckwind-testkit/tests/testsuite/sessions.rs
+++ b/crates/deckwind-testkit/tests/testsuite/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions whose stages die, freeze and come late. The fake model's text shows
+//! Sessions whose stages crash, freeze or answer late. The fake model's text shows
 //! whether every layer ran once for each token, in order; the fakes' counts show
 //! it too.
 
@@ -17,7 +17,7 @@
 const TOKENS: u32 = 16;
 const PROMPT: &str = "rewrite the swap of tuesday";
 
-/// Three ranges of layers, two engines each.
+/// A cluster whose model is split into three layer ranges, with two engines for each.
 struct Rig {
     cluster: Cluster,
     engines: Vec<FakeEngine>,
@@ -48,7 +48,7 @@
         rig
     }
 
-    /// Engine `i` holds range `i % 3`.
+    /// Adds engine `i`, which holds layer range `i % 3`.
     async fn add_engine(&mut self, i: usize, step: Duration) {
         let first = (i as u32 % 3) * 4;
         let layers = LayerRange::new(first, first + 4);
@@ -69,14 +69,14 @@
         Caller::new(self.cluster.callers(0), "key")
     }
 
-    /// Engines of one range.
+    /// Returns the engines of one layer range.
     fn range(&self, range: usize) -> impl Iterator<Item = &FakeEngine> {
         self.engines.iter().skip(range).step_by(3)
     }
 
-    /// Every layer ran once for each position that counts: in the engines that
-    /// hold a range, the newest attempt of each position ran exactly once, and
-    /// ranges that lost nothing ran each position exactly once in all.
+    /// Asserts that every layer ran once for each position that counts: among the engines
+    /// of a range, the newest attempt of each position ran exactly once, and ranges not in
+    /// `lost` ran each position exactly once in total.
     fn check_runs(&self, lost: &[usize]) {
         let positions = PROMPT.split_whitespace().count() as u32 + 1 + TOKENS - 1;
         for range in 0..3 {
@@ -119,9 +119,9 @@
     expected_answer(LAYERS, &prompt, TOKENS as usize)
 }
 
-/// A stage is lost in every range, at every kind of moment. Both engines of a
-/// range get the fault, so whichever is chosen fails; they are healed when the
-/// second has failed too ("again right after repair").
+/// A stage crashes, in each range and at each kind of moment. Both engines of the range
+/// get the fault, so the one that is chosen fails and then its replacement, right after
+/// the repair. The fault is removed once both have failed.
 #[parameterized(
     first_before_prompt = { 0, EngineFault::DiesBeforeStep(0) },
     first_after_prompt = { 0, EngineFault::DiesAfterStep(1) },
@@ -143,27 +143,27 @@
             engine.set_fault(fault);
         }
         let caller = rig.caller();
-        let answering = tokio::spawn(async move {
+        let answer_task = tokio::spawn(async move {
             let stream = caller.stream("swaps", PROMPT, TOKENS).await?;
             stream.text().await
         });
-        let both = || async {
-            let dead = rig
+        let both_crashed = || async {
+            let crashed = rig
                 .range(range)
                 .all(|e| e.open_stages() == 0 && e.is_dead());
-            (dead || answering.is_finished()).then_some(())
+            (crashed || answer_task.is_finished()).then_some(())
         };
-        eventually_async("both engines of the range have died", both).await;
+        eventually_async("both engines of the range have crashed", both_crashed).await;
         for engine in rig.range(range) {
             engine.set_fault(EngineFault::None);
         }
-        assert_eq!(answering.await.unwrap().unwrap(), expected());
+        assert_eq!(answer_task.await.unwrap().unwrap(), expected());
         rig.check_runs(&[range]);
         rig.close().await;
     });
 }
 
-/// Two stages of one chain die at the same token.
+/// Two stages of one chain crash at the same token.
 #[test]
 fn two_stages_that_die_together_do_not_change_the_answer() {
     crate::run(async {
@@ -173,23 +173,26 @@
         rig.engines[1].set_fault(EngineFault::DiesAfterStep(4));
         rig.engines[4].set_fault(EngineFault::DiesBeforeStep(4));
         let stream = rig.caller().stream("swaps", PROMPT, TOKENS).await.unwrap();
-        let answering = tokio::spawn(stream.text());
-        eventually_async("all four have died or the answer is there", || async {
-            let dead = [0, 1, 3, 4].iter().all(|i| rig.engines[*i].is_dead());
-            (dead || answering.is_finished()).then_some(())
-        })
+        let answer_task = tokio::spawn(stream.text());
+        eventually_async(
+            "all four have crashed or the answer is complete",
+            || async {
+                let crashed = [0, 1, 3, 4].iter().all(|i| rig.engines[*i].is_dead());
+                (crashed || answer_task.is_finished()).then_some(())
+            },
+        )
         .await;
         for engine in &rig.engines {
             engine.set_fault(EngineFault::None);
         }
-        assert_eq!(answering.await.unwrap().unwrap(), expected());
+        assert_eq!(answer_task.await.unwrap().unwrap(), expected());
         rig.check_runs(&[0, 1]);
         rig.close().await;
     });
 }
 
-/// A stage freezes: it answers probes, and its late answer comes after the new
-/// attempt has taken its place.
+/// A frozen stage still answers probes, and its late answer arrives after a new attempt
+/// has replaced it.
 #[test]
 fn a_frozen_stage_is_replaced_and_its_late_answer_dropped() {
     crate::run(async {
@@ -239,7 +242,7 @@
         let daemon = rig.cluster.take_router(0);
         let shared = daemon.router().unwrap().shared().clone();
         let caller = rig.caller();
-        let closing = tokio::spawn(daemon.close());
+        let stop_task = tokio::spawn(daemon.close());
         eventually_async("the router drains", || async {
             (!shared.core().is_ready(shared.clock.now())).then_some(())
         })
@@ -249,14 +252,14 @@
         assert_eq!(refused.header("deckwind-ran"), Some("not-run"));
         text.push_str(&stream.text().await.unwrap());
         assert_eq!(text, expected());
-        closing.await.unwrap().unwrap();
+        stop_task.await.unwrap().unwrap();
         rig.check_runs(&[]);
         rig.close().await;
     });
 }
 
-/// An operator's word that a target is leaving is in force everywhere when the
-/// change is; what runs there goes on.
+/// Once an operator's change that marks a target as leaving is in force, no router sends
+/// it new sessions; those that run there complete.
 #[test]
 fn a_leaving_target_gets_no_new_work_and_loses_none() {
     crate::run(async {
@@ -286,7 +289,8 @@
     });
 }
 
-/// A caller whose router is gone goes on at another where the stream broke off.
+/// A caller that has lost its router resumes the stream at another one, after the last
+/// event that it received.
 #[test]
 fn a_stream_goes_on_at_another_router_after_its_last_event() {
     crate::run(async {
@@ -315,8 +319,8 @@
     });
 }
 
-/// The way to one engine of a range gets slow, then so slow that its steps are
-/// late: the answer stays the same.
+/// The link to one engine gets slow, in the second case so slow that its steps are late.
+/// The answer stays the same.
 #[parameterized(slow = { 30 }, later_than_any_step_may_be = { 30_000 })]
 fn a_link_that_degrades_does_not_change_the_answer(more_ms: u64) {
     crate::run(async {
--- a/crates/deckwind-testkit/tests/testsuite/slow.rs
+++ b/crates/deckwind-testkit/tests/testsuite/slow.rs
@@ -1,4 +1,5 @@
-//! Engines that are slow, not gone: asked for their pace, and avoided.
+//! Engines that are slow but not down: the leader asks them for their pace, and routers
+//! avoid them.
 
 use crate::support::{cards, instances, model, place};
 use deckwind_core::control::{
@@ -17,7 +18,7 @@
 use std::time::Duration;
 use yare::parameterized;
 
-const RENEWAL: u64 = 7;
+const RENEWAL_TOKEN: u64 = 7;
 
 struct Leader {
     node: ControlNode,
@@ -25,7 +26,7 @@
 }
 
 impl Leader {
-    /// A lone replica that has heard of these engines.
+    /// Starts a lone replica that knows the given engines.
     fn new(engines: &[Instance]) -> Self {
         let id = ReplicaId {
             slot: 0,
@@ -43,7 +44,8 @@
             leader.take(vec![ControlEvent::Operator { token: 1, request }]);
         }
         leader.run(Duration::from_secs(1));
-        // The first renewal of a router is answered at once; later ones wait for news.
+        // The first renewal of a router is answered at once; later ones wait
+        // for a change.
         leader.renew();
         leader
     }
@@ -89,7 +91,7 @@
             repeats: None,
             limits: LimitReport::default(),
         };
-        self.ask(RENEWAL, ControlRequest::Renew(renewal))
+        self.ask(RENEWAL_TOKEN, ControlRequest::Renew(renewal))
     }
 
     fn pace(&mut self, address: SocketAddr, percent: u32) -> Vec<Effect> {
@@ -97,17 +99,17 @@
     }
 }
 
-fn asked(effects: &[Effect]) -> Vec<SocketAddr> {
-    let asked = effects.iter().filter_map(|e| match e {
+fn pace_requests(effects: &[Effect]) -> Vec<SocketAddr> {
+    let requests = effects.iter().filter_map(|e| match e {
         Effect::AskPace(address) => Some(*address),
         _ => None,
     });
-    asked.collect()
+    requests.collect()
 }
 
-fn told_slow(effects: &[Effect]) -> Option<Vec<EnginePace>> {
+fn reported_slow(effects: &[Effect]) -> Option<Vec<EnginePace>> {
     effects.iter().find_map(|e| match e {
-        Effect::Reply(RENEWAL, ControlReply::Granted(grant)) => Some(grant.slow.clone()),
+        Effect::Reply(RENEWAL_TOKEN, ControlReply::Granted(grant)) => Some(grant.slow.clone()),
         _ => None,
     })
 }
@@ -119,39 +121,43 @@
 }
 
 #[test]
-fn an_engine_that_several_pauses_name_is_asked_and_routers_hear_that_it_is_slow() {
+fn an_engine_named_by_several_pauses_is_asked_for_its_pace_and_reported_slow() {
     let all = engines();
     let mut leader = Leader::new(&all);
     let engine = all[2].address;
-    let hint = |of: &[SocketAddr]| ControlRequest::PerhapsSlow(of.to_vec());
-    assert!(asked(&leader.ask(1, hint(&[engine, all[3].address]))).is_empty());
-    assert!(asked(&leader.ask(2, hint(&[engine]))).is_empty());
-    assert_eq!(asked(&leader.ask(3, hint(&[engine]))), [engine]);
+    let hint = |engines: &[SocketAddr]| ControlRequest::PerhapsSlow(engines.to_vec());
+    assert!(pace_requests(&leader.ask(1, hint(&[engine, all[3].address]))).is_empty());
+    assert!(pace_requests(&leader.ask(2, hint(&[engine]))).is_empty());
+    assert_eq!(pace_requests(&leader.ask(3, hint(&[engine]))), [engine]);
     assert!(
-        asked(&leader.ask(4, hint(&[engine]))).is_empty(),
-        "just asked"
+        pace_requests(&leader.ask(4, hint(&[engine]))).is_empty(),
+        "it was asked just before"
     );
 
-    assert_eq!(told_slow(&leader.renew()), None, "it waits for news");
-    let told = leader.pace(engine, 1_200);
+    assert_eq!(
+        reported_slow(&leader.renew()),
+        None,
+        "it waits for a change"
+    );
+    let effects = leader.pace(engine, 1_200);
     let slow = EnginePace {
         address: engine,
         percent: 1_200,
     };
-    assert_eq!(told_slow(&told), Some(vec![slow]), "at once");
+    assert_eq!(reported_slow(&effects), Some(vec![slow]), "at once");
 
     assert_eq!(
-        asked(&leader.run(Duration::from_millis(800))),
+        pace_requests(&leader.run(Duration::from_millis(800))),
         [engine],
         "again"
     );
-    assert_eq!(told_slow(&leader.renew()), None);
-    let told = [
+    assert_eq!(reported_slow(&leader.renew()), None);
+    let effects = [
         leader.pace(engine, 100),
         leader.run(Duration::from_millis(30)),
     ]
     .concat();
-    assert_eq!(told_slow(&told), Some(Vec::new()), "no longer slow");
+    assert_eq!(reported_slow(&effects), Some(Vec::new()), "no longer slow");
 }
 
 #[test]
@@ -160,57 +166,64 @@
     let mut leader = Leader::new(&all);
     leader.pace(all[2].address, 400);
     leader.run(Duration::from_millis(1_700));
-    // It has missed the round that told of it, and is answered at once.
-    let told = [leader.renew(), leader.run(Duration::from_millis(500))].concat();
-    assert_eq!(told_slow(&told), Some(Vec::new()));
+    // The router has missed the round with that report, so it is answered at once.
+    let effects = [leader.renew(), leader.run(Duration::from_millis(500))].concat();
+    assert_eq!(reported_slow(&effects), Some(Vec::new()));
 }
 
 #[parameterized(
     others_hold_its_layers = { 2, 200, true },
     no_chain_without_it = { 1, 200, false },
-    told_long_ago = { 2, 2_000, false },
+    reported_long_ago = { 2, 2_000, false },
 )]
 fn new_requests_avoid_slow_engines(chains: usize, after_ms: u64, avoided: bool) {
-    let mut cards: Vec<_> = (0..chains).flat_map(|_| chain()).collect();
+    let mut cards: Vec<_> = (0..chains).flat_map(|_| chain_cards()).collect();
     for (i, card) in cards.iter_mut().enumerate() {
         card.id = format!("{}-{i}", card.id);
     }
     let all = instances(&cards);
     let slow = all[1].address;
     let mut book = TargetBook::default();
-    let told = Instant::from_millis(1_000);
-    book.slow_are(told + Duration::from_millis(1_600), [slow].into_iter());
-    let now = told + Duration::from_millis(after_ms);
-    let uses = |draw| {
-        let room = Room {
+    let reported_at = Instant::from_millis(1_000);
+    book.slow_are(
+        reported_at + Duration::from_millis(1_600),
+        [slow].into_iter(),
+    );
+    let now = reported_at + Duration::from_millis(after_ms);
+    let uses_slow = |draw| {
+        let demand = Room {
             tokens: 1_000,
             claim: Claim::New,
             draw,
         };
         let own = all[0].data_centre.clone();
-        let choice = choose_path(&model(), &all, &book, &own, room, &HashSet::new(), now);
-        let path = choice.expect("there is room").path.expect("a path");
+        let choice = choose_path(&model(), &all, &book, &own, demand, &HashSet::new(), now);
+        let path = choice.expect("there is capacity").path.expect("a path");
         path.stages.iter().any(|s| s.address == slow)
     };
-    assert_eq!(!(0..40).any(uses), avoided);
+    assert_eq!(!(0..40).any(uses_slow), avoided);
 }
 
-fn chain() -> Vec<deckwind_core::routing::placement::Card> {
+fn chain_cards() -> Vec<deckwind_core::routing::placement::Card> {
     let mut cards = cards("a", 0, 4, 8);
     place(&mut cards);
     cards
 }
 
-/// Two rounds of news close together: a router whose next renewal was on its way during
-/// the second one hears of it as soon as it comes, not when it has waited.
+/// Two rounds of updates follow each other closely. A router whose next renewal was in
+/// transit during the second one gets that update as soon as the renewal arrives.
 #[test]
 fn a_router_that_missed_a_round_is_told_at_once() {
     let all = engines();
     let mut leader = Leader::new(&all);
-    assert_eq!(told_slow(&leader.renew()), None, "it waits for news");
-    assert!(told_slow(&leader.pace(all[2].address, 400)).is_some());
+    assert_eq!(
+        reported_slow(&leader.renew()),
+        None,
+        "it waits for a change"
+    );
+    assert!(reported_slow(&leader.pace(all[2].address, 400)).is_some());
     leader.pace(all[3].address, 400);
     leader.run(Duration::from_millis(30));
-    let told = told_slow(&leader.renew()).map(|slow| slow.len());
-    assert_eq!(told, Some(2), "at once");
+    let reported = reported_slow(&leader.renew()).map(|slow| slow.len());
+    assert_eq!(reported, Some(2), "at once");
 }
--- a/crates/deckwind-testkit/tests/testsuite/slow_readers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/slow_readers.rs
@@ -1,5 +1,5 @@
 //! Callers that read slowly or not at all: engines never wait for them, and a
-//! router holds no more for them than its bound.
+//! router buffers no more for them than its memory limit.
 
 use crate::rig::{KEY, Rig};
 use crate::run;
@@ -12,21 +12,21 @@
 use tokio::net::{TcpSocket, TcpStream};
 use yare::parameterized;
 
-/// Larger than what sockets on the way take up by themselves.
+/// Events of a long stream; with their size, more than the socket buffers on the way hold.
 const EVENTS: u64 = 5_000;
 const EVENT_BYTES: usize = 4_000;
 
-/// The least bound that a router has is 4 MB.
-const LITTLE_MEMORY_MB: f64 = 1.0;
+/// Memory setting of a router with little memory; the smallest limit of a router is 4 MB.
+const LOW_MEMORY_MB: f64 = 1.0;
 
-/// A caller that reads when it is told to.
+/// A caller that reads nothing until [`SlowCaller::read`] is called.
 struct SlowCaller(TcpStream);
 
-/// What it has read.
-struct Read {
+/// The part of an answer that a caller has read.
+struct ReadAnswer {
     head: String,
     events: Vec<u64>,
-    whole: bool,
+    complete: bool,
 }
 
 impl SlowCaller {
@@ -53,8 +53,8 @@
         Self::ask(router, id, path, &headers, b"").await
     }
 
-    /// Reads to the end of the connection.
-    async fn read(mut self) -> Read {
+    /// Reads until the connection ends.
+    async fn read(mut self) -> ReadAnswer {
         let mut bytes = Vec::new();
         let mut buf = vec![0; 64 * 1024];
         while let Ok(length) = self.0.read(&mut buf).await
@@ -66,18 +66,18 @@
     }
 }
 
-fn parse(bytes: &[u8]) -> Read {
+fn parse(bytes: &[u8]) -> ReadAnswer {
     let end = bytes.windows(4).position(|w| w == b"\r\n\r\n");
     let end = end.expect("a head");
     let head = String::from_utf8_lossy(&bytes[..end]).into_owned();
-    let (body, whole) = unchunk(&bytes[end + 4..]);
+    let (body, complete) = unchunk(&bytes[end + 4..]);
     let body = String::from_utf8(body).expect("text");
     let ids = body.lines().filter_map(|l| l.strip_prefix("id: "));
     let events = ids.map(|id| id.parse().expect("a number")).collect();
-    Read {
+    ReadAnswer {
         head,
         events,
-        whole,
+        complete,
     }
 }
 
@@ -132,7 +132,7 @@
     layout
 }
 
-async fn until_written(rig: &Rig, id: &str) {
+async fn wait_until_written(rig: &Rig, id: &str) {
     eventually_async("an engine has written its whole answer", || async {
         let written = rig.engines.iter().flat_map(FakeRunner::written);
         written.into_iter().any(|w| w == id).then_some(())
@@ -147,14 +147,14 @@
         rig.engines.iter().for_each(|e| e.set_fault(flood()));
         let router = rig.cluster.layout.routers[0].routes;
         let caller = SlowCaller::stream(router, "r1", None).await;
-        until_written(&rig, "r1").await;
+        wait_until_written(&rig, "r1").await;
         let shared = rig.cluster.router(0).router().expect("a router").shared();
         assert!(shared.routes.deliveries.held() > 0);
         assert!(shared.in_progress() > 0, "a planned stop waits for it");
         let read = caller.read().await;
-        assert!(read.whole);
+        assert!(read.complete);
         assert_eq!(read.events, (1..=EVENTS).collect::<Vec<_>>());
-        eventually_async("nothing is held any more", || async {
+        eventually_async("nothing is buffered any more", || async {
             let held = shared.routes.deliveries.held();
             (held == 0 && shared.in_progress() == 0).then_some(())
         })
@@ -166,50 +166,53 @@
 #[test]
 fn past_the_bound_the_caller_that_does_not_read_is_cut_and_may_go_on() {
     run(async {
-        let rig = placed(layout(LITTLE_MEMORY_MB), 2).await;
+        let rig = placed(layout(LOW_MEMORY_MB), 2).await;
         rig.engines.iter().for_each(|e| e.set_fault(flood()));
         let router = rig.cluster.layout.routers[0].routes;
         let stuck = SlowCaller::stream(router, "stuck", None).await;
-        // 2 MB: alone less than the bound, however late this machine reads it.
+        // 2 MB: below the limit by itself, however late a loaded machine reads it.
         let path = "/long/flood-500-4000";
-        let reads = SlowCaller::stream_of(router, "reads", path, None).await;
-        let reads = reads.read().await;
-        assert!(reads.whole, "it reads, and is not cut");
-        assert_eq!(reads.events, (1..=500).collect::<Vec<_>>());
-        eventually_async("the other is cut", || async {
+        let reader = SlowCaller::stream_of(router, "reads", path, None).await;
+        let reader = reader.read().await;
+        assert!(reader.complete, "a caller that reads is not disconnected");
+        assert_eq!(reader.events, (1..=500).collect::<Vec<_>>());
+        eventually_async("the caller that does not read is disconnected", || async {
             let router = rig.cluster.router(0).router().expect("a router");
-            let cut = router.shared().routes.deliveries.cut();
-            (cut >= 1).then_some(())
+            let disconnected = router.shared().routes.deliveries.cut();
+            (disconnected >= 1).then_some(())
         })
         .await;
         let read = stuck.read().await;
-        assert!(!read.whole, "it does not look whole");
-        let mut last = *read.events.last().expect("some were in its socket");
+        assert!(!read.complete, "the answer does not look complete");
+        let mut last = *read
+            .events
+            .last()
+            .expect("some events were in the socket buffer");
         assert_eq!(read.events, (1..=last).collect::<Vec<_>>());
         assert!(last < EVENTS);
-        // A machine under load may read so late that it is cut again.
-        let mut whole = false;
+        // On a loaded machine the caller may read so late that it is disconnected again.
+        let mut complete = false;
         for again in 0..EVENTS {
             let id = format!("again-{again}");
             let read = SlowCaller::stream(router, &id, Some(last))
                 .await
                 .read()
                 .await;
-            let came = last + read.events.len() as u64;
-            assert_eq!(read.events, (last + 1..=came).collect::<Vec<_>>());
-            assert!(came > last, "it comes on");
-            last = came;
-            whole = read.whole;
-            if whole {
+            let received_until = last + read.events.len() as u64;
+            assert_eq!(read.events, (last + 1..=received_until).collect::<Vec<_>>());
+            assert!(received_until > last, "each attempt makes progress");
+            last = received_until;
+            complete = read.complete;
+            if complete {
                 break;
             }
         }
-        assert!(whole && last == EVENTS, "at {last}");
+        assert!(complete && last == EVENTS, "at {last}");
         rig.cluster.close().await.expect("closed");
     });
 }
 
-/// The route's time is 3 s; whoever has not read by then gives up.
+/// The route's timeout is 3 s; an answer that was not read by then is dropped.
 #[test]
 fn an_answer_that_nobody_reads_is_dropped_once_its_time_is_over() {
     run(async {
@@ -220,32 +223,30 @@
         let caller = SlowCaller::ask(router, "r1", "/stream/x", headers, b"").await;
         let shared = rig.cluster.router(0).router().expect("a router").shared();
         let deliveries = &shared.routes.deliveries;
-        eventually_async("it waits", || async {
+        eventually_async("the answer is buffered", || async {
             (deliveries.held() > 0).then_some(())
         })
         .await;
-        eventually_async("it is dropped", || async {
+        eventually_async("the answer is dropped", || async {
             (deliveries.cut() == 1 && deliveries.held() == 0).then_some(())
         })
         .await;
-        assert!(!caller.read().await.whole);
+        assert!(!caller.read().await.complete);
         rig.cluster.close().await.expect("closed");
     });
 }
 
-/// The bodies of requests in progress are held too.
+/// Bodies of requests in progress count towards the memory limit too.
 #[test]
 fn past_the_bound_a_new_request_is_refused_at_once_and_not_run() {
     run(async {
-        let rig = placed(layout(LITTLE_MEMORY_MB), 2).await;
-        let goes_on = RunnerFault::Floods {
+        let rig = placed(layout(LOW_MEMORY_MB), 2).await;
+        let flood = RunnerFault::Floods {
             events: 1,
             bytes: 1,
             goes_on: true,
         };
-        rig.engines
-            .iter()
-            .for_each(|e| e.set_fault(goes_on.clone()));
+        rig.engines.iter().for_each(|e| e.set_fault(flood.clone()));
         let router = rig.cluster.layout.routers[0].routes;
         let mut held = Vec::new();
         for i in 0..4 {
@@ -253,7 +254,7 @@
             let headers = "X-Deckwind-Token-Count: 50,24\r\nContent-Length: 999000\r\n";
             let id = format!("large-{i}");
             held.push(SlowCaller::ask(router, &id, "/long/x", headers, &body).await);
-            until_written(&rig, &id).await;
+            wait_until_written(&rig, &id).await;
         }
         let headers = "Content-Length: 500000\r\n";
         let late = SlowCaller::ask(router, "late", "/once/x", headers, b"").await;
@@ -262,7 +263,7 @@
         assert!(refused.head.to_lowercase().contains("retry-after: "));
         assert_eq!(rig.sends("late"), 0);
         drop(held);
-        eventually_async("the room is given back", || async {
+        eventually_async("the memory is released", || async {
             let router = rig.cluster.router(0).router().expect("a router");
             let held = router.shared().routes.deliveries.held();
             (held < 1_000_000).then_some(())
@@ -274,7 +275,7 @@
     });
 }
 
-/// One engine on the way is about to leave.
+/// An engine on the stream's path announces that it is draining.
 #[test]
 fn a_stream_with_a_slow_caller_still_changes_its_path() {
     run(async {
@@ -287,21 +288,21 @@
         rig.engines.iter().for_each(|e| e.set_fault(fault.clone()));
         let router = rig.cluster.layout.routers[0].routes;
         let caller = SlowCaller::stream(router, "r1", None).await;
-        until_written(&rig, "r1").await;
+        wait_until_written(&rig, "r1").await;
         let seen = rig.engines.iter().flat_map(FakeRunner::seen);
         let seen = seen
             .into_iter()
             .find(|r| r.headers["x-deckwind-request-id"] == "r1");
-        let path = seen.expect("it came").headers["path"].clone();
+        let path = seen.expect("the request arrived").headers["path"].clone();
         let last = path.split(',').next_back().expect("a stage");
         let (last, _) = last.split_once('=').expect("an address");
         let i = rig
             .engines
             .iter()
             .position(|e| e.address.to_string() == last);
-        rig.announce("engines", "e", i.expect("it is known"), "draining")
+        rig.announce("engines", "e", i.expect("the engine is known"), "draining")
             .await;
-        eventually_async("its path is changed", || async {
+        eventually_async("the path is changed", || async {
             let changes = rig.engines.iter().map(FakeRunner::path_changes);
             (changes.sum::<u32>() > 0).then_some(())
         })
@@ -310,7 +311,7 @@
             .iter()
             .for_each(|e| e.set_fault(RunnerFault::None));
         let read = caller.read().await;
-        assert!(read.whole);
+        assert!(read.complete);
         let count = read.events.len() as u64;
         assert!(count >= EVENTS);
         assert_eq!(read.events, (1..=count).collect::<Vec<_>>());
@@ -318,14 +319,14 @@
     });
 }
 
-/// A target's whole answer; a caller that takes it late gets all of it.
+/// A slow caller gets a target's whole answer, also where it exceeds the connection buffers.
 #[parameterized(
     small = { 100 },
     longer_than_a_connection_buffers = { 900_000 },
 )]
 fn a_whole_answer_reaches_a_slow_caller_unchanged(bytes: usize) {
     run(async move {
-        let rig = placed(layout(LITTLE_MEMORY_MB), 2).await;
+        let rig = placed(layout(LOW_MEMORY_MB), 2).await;
         rig.plain[0].set_fault(RunnerFault::Long(bytes));
         let router = rig.cluster.layout.routers[0].routes;
         let headers = "Content-Length: 0\r\n";
@@ -344,16 +345,16 @@
 }
 
 #[test]
-fn what_is_held_together_has_a_bound_and_is_given_back() {
-    let room = Room::new(1_000);
-    let mut first = room.part();
-    let mut second = room.part();
+fn memory_of_all_requests_is_bounded_and_released() {
+    let budget = Room::new(1_000);
+    let mut first = budget.part();
+    let mut second = budget.part();
     assert_eq!(first.grow(600), Ok(()));
     assert_eq!(second.grow(500), Err(CollectError::NoRoom));
     assert_eq!(second.grow(400), Ok(()));
-    assert_eq!(room.held(), 1_000);
+    assert_eq!(budget.held(), 1_000);
     drop(first);
     assert_eq!(second.grow(500), Ok(()));
     drop(second);
-    assert_eq!(room.held(), 0);
+    assert_eq!(budget.held(), 0);
 }
--- a/crates/deckwind-testkit/tests/testsuite/suspended.rs
+++ b/crates/deckwind-testkit/tests/testsuite/suspended.rs
@@ -1,5 +1,5 @@
-//! VMs that are suspended for seconds and wake again. No timer has gone on meanwhile;
-//! all that a process believes is older by that time.
+//! VMs that are suspended for several seconds and then resume. No timer has advanced in
+//! the meantime, so everything that a process knows is older by that time.
 
 use crate::rig::{KEY, Rig};
 use crate::run;
@@ -11,57 +11,62 @@
 use http::StatusCode;
 use std::time::Duration;
 
-/// Longer than every span that protects a promise: leases, the time that a router
-/// counts as in touch, rests of connections.
-const SUSPENDED: Duration = Duration::from_secs(8);
+/// Duration of a suspension. Longer than every timeout that a guarantee depends on:
+/// leases, the time for which a router counts as connected, and the idle timeout of
+/// connections.
+const SUSPENSION: Duration = Duration::from_secs(8);
 
 #[test]
 fn time_goes_on_while_a_vm_is_suspended() {
     let time = VmTime::new();
     let clock = time.clock();
     let before = clock.now();
-    time.was_suspended(SUSPENDED);
-    assert!(clock.now().since(before) >= SUSPENDED);
-    assert!(clock.suspended() >= SUSPENDED);
+    time.was_suspended(SUSPENSION);
+    assert!(clock.now().since(before) >= SUSPENSION);
+    assert!(clock.suspended() >= SUSPENSION);
 }
 
-/// A wait that is over counts as over though its timer has most of its time left.
+/// A timeout that ended during a suspension ends the wait on resume, although its timer
+/// has most of its time left.
 #[test]
 fn a_wait_ends_when_its_time_was_suspended() {
     run(async {
         let time = VmTime::new();
         let clock = time.clock();
-        let waiting = clock.timeout(SUSPENDED, std::future::pending::<()>());
-        let waking = async {
+        let wait = clock.timeout(SUSPENSION, std::future::pending::<()>());
+        let resume = async {
             tokio::task::yield_now().await;
-            time.was_suspended(SUSPENDED);
+            time.was_suspended(SUSPENSION);
         };
         let began = std::time::Instant::now();
-        let (ended, ()) = tokio::join!(waiting, waking);
+        let (ended, ()) = tokio::join!(wait, resume);
         assert_eq!(ended, None);
-        assert!(began.elapsed() < SUSPENDED / 2, "by its timer alone: 8 s");
+        assert!(
+            began.elapsed() < SUSPENSION / 2,
+            "the timer alone would take 8 s"
+        );
     });
 }
 
-/// The lease counts from when it was asked for, so an answer that comes after the VM
-/// woke doesn't make it live.
+/// A lease starts when it is requested, so a grant that arrives after the VM has resumed
+/// doesn't make it live.
 #[test]
 fn an_answer_to_a_renewal_from_before_is_no_lease() {
     let time = VmTime::new();
     let clock = time.clock();
     let timing = LeaseTiming::default();
     let mut lease = RouterLeaseState::new(timing);
-    let asked = clock.now();
-    lease.granted(LeaseGrant::new(asked, Term(1)), Delta::default());
+    let requested_at = clock.now();
+    lease.granted(LeaseGrant::new(requested_at, Term(1)), Delta::default());
     assert!(lease.is_live(clock.now()));
-    time.was_suspended(SUSPENDED);
+    time.was_suspended(SUSPENSION);
     assert!(!lease.is_live(clock.now()));
-    lease.granted(LeaseGrant::new(asked, Term(1)), Delta::default());
+    lease.granted(LeaseGrant::new(requested_at, Term(1)), Delta::default());
     assert!(!lease.is_live(clock.now()));
 }
 
-/// Its control replica is gone: nothing can renew the lease that it still believed to
-/// hold by the steady clock.
+/// The only control replica is stopped, so nothing can renew the lease, which would still
+/// be valid by the monotonic clock.
 #[test]
 fn a_router_that_wakes_sends_nothing_on_its_old_lease() {
     run(async {
@@ -69,15 +74,15 @@
         rig.until_in_force().await;
         rig.until_served("/once/x", false).await;
         rig.cluster.take_control(0).close().await.expect("closed");
-        rig.cluster.router_was_suspended(0, SUSPENDED);
-        let heard = rig.ask("r1", "/once/x", KEY, false).await;
-        assert_eq!(heard.status, StatusCode::SERVICE_UNAVAILABLE);
+        rig.cluster.router_was_suspended(0, SUSPENSION);
+        let answer = rig.ask("r1", "/once/x", KEY, false).await;
+        assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
         assert_eq!(rig.sends("r1"), 0);
         rig.cluster.close().await.expect("closed");
     });
 }
 
-/// Its caller left long ago; the target must not go on for it.
+/// The caller has left during the suspension; the target must not go on for it.
 #[test]
 fn a_request_whose_time_was_suspended_ends_soon() {
     run(async {
@@ -85,30 +90,30 @@
         rig.until_in_force().await;
         rig.until_served("/once/x", false).await;
         rig.plain[0].set_fault(RunnerFault::Mute);
-        let sleeping = async {
+        let suspend = async {
             eventually_async("the request has arrived", || async {
                 (rig.sends("r1") > 0).then_some(())
             })
             .await;
-            let woke = std::time::Instant::now();
-            rig.cluster.router_was_suspended(0, SUSPENDED);
-            woke
+            let resumed_at = std::time::Instant::now();
+            rig.cluster.router_was_suspended(0, SUSPENSION);
+            resumed_at
         };
-        let asking = rig.ask("r1", "/once/x", KEY, false);
-        let (heard, woke) = tokio::join!(asking, sleeping);
-        assert_eq!(heard.status, StatusCode::GATEWAY_TIMEOUT);
+        let request = rig.ask("r1", "/once/x", KEY, false);
+        let (answer, resumed_at) = tokio::join!(request, suspend);
+        assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
         assert!(
-            woke.elapsed() < Duration::from_secs(2),
-            "by its timer alone: 3 s"
+            resumed_at.elapsed() < Duration::from_secs(2),
+            "the timer alone would take 3 s"
         );
         rig.cluster.close().await.expect("closed");
     });
 }
 
-/// The target has closed a connection that rested so long: a request that must run
-/// once would be lost on it.
+/// A target has closed a connection that was idle for so long. A request that must run
+/// at most once would be lost on it, so suspended time counts as idle time.
 #[test]
-fn connections_have_rested_while_the_vm_was_suspended() {
+fn suspended_time_counts_as_idle_time_of_connections() {
     run(async {
         let mut rig = Rig::start(1, 0).await;
         rig.until_in_force().await;
@@ -117,41 +122,45 @@
         let connections = || rig.plain.iter().map(FakeRunner::connections).sum::<u32>();
         let before = connections();
         rig.ask("r2", "/safe/x", KEY, false).await;
-        assert_eq!(connections(), before, "it is kept");
-        rig.cluster.router_was_suspended(0, SUSPENDED);
+        assert_eq!(connections(), before, "the connection is reused");
+        rig.cluster.router_was_suspended(0, SUSPENSION);
         rig.cluster.wait_for_lease(0).await;
         rig.until_served("/safe/x", false).await;
-        assert!(connections() > before, "it has rested too long");
+        assert!(
+            connections() > before,
+            "the connection was idle for too long"
+        );
         rig.cluster.close().await.expect("closed");
     });
 }
 
-/// Others may lead by now: nothing is answered, and no vote given on what it believed.
+/// Another replica may lead when a suspended leader resumes: the old leader answers
+/// nothing and gives no vote on its outdated state.
 #[test]
 fn a_leader_that_wakes_answers_nobody() {
     let mut lab = Lab::new(3, 2, 7, NetFaults::NONE);
     let leader = lab.run_until_led();
     lab.freeze(leader, true);
-    lab.run_for(SUSPENDED);
-    let node = lab.node(leader).expect("it is there");
+    lab.run_for(SUSPENSION);
+    let node = lab.node(leader).expect("the replica exists");
     let now = lab.now();
     assert!(!node.core().replica().may_answer(now));
-    let other = lab.leader().expect("another one leads");
+    let other = lab.leader().expect("another replica leads");
     assert_ne!(other, leader);
     lab.freeze(leader, false);
     lab.run_for(Duration::from_secs(2));
     assert!(lab.leader().is_some());
 }
 
-/// A control replica by itself: what its log holds is there after it woke, and it
-/// leads again.
+/// A lone control replica still has its log after it has resumed, and becomes leader
+/// again.
 #[test]
 fn a_control_replica_that_wakes_leads_again() {
     run(async {
         let mut rig = Rig::start(2, 0).await;
         rig.until_in_force().await;
-        rig.cluster.control_was_suspended(0, SUSPENDED);
-        eventually_async("a release is taken", || async {
+        rig.cluster.control_was_suspended(0, SUSPENSION);
+        eventually_async("a release is accepted", || async {
             (rig.publish(2, &[KEY]).await == StatusCode::OK).then_some(())
         })
         .await;
--- a/crates/deckwind-testkit/tests/testsuite/target_periods.rs
+++ b/crates/deckwind-testkit/tests/testsuite/target_periods.rs
@@ -1,5 +1,5 @@
-//! How often targets announce themselves is the platform's word: what counts as silent
-//! follows from it.
+//! The platform sets the period at which targets announce themselves; the time until a
+//! target counts as silent follows from it.
 
 use deckwind_core::state::InstanceState;
 use deckwind_testkit::fan_out::engine;
@@ -8,8 +8,8 @@
 use std::time::Duration;
 use yare::parameterized;
 
-/// A target that speaks once in its period and then no more: ready for two and a half
-/// periods, silent after three and some.
+/// A target announces itself once and then no more: it is still ready after two and a
+/// half periods, and silent after three and a quarter.
 #[parameterized(
     usual = { 1_200 },
     slow = { 3_000 },
@@ -23,7 +23,7 @@
     lab.run_for(Duration::from_secs(1));
     lab.announce(leader, engine(1, 4, 1));
     let state = |lab: &Lab| {
-        let node = lab.node(leader).expect("it is up");
+        let node = lab.node(leader).expect("the replica is running");
         let instances = node.core().machine().configuration().instances();
         instances.get("engine-1").map(|i| i.state)
     };
@@ -33,7 +33,7 @@
     assert_eq!(state(&lab), Some(InstanceState::Silent));
 }
 
-/// What can't be meant is not taken: the usual period holds.
+/// A period outside 100 ms to 60 s is ignored, and the default period is used.
 #[parameterized(
     none = { 0, None },
     too_short = { 99, None },
@@ -43,9 +43,9 @@
     longest = { 60_000, Some(60_000) },
     an_hour = { 3_600_000, None },
 )]
-fn a_period_that_can_not_be_meant_is_not_taken(given_ms: u64, taken_ms: Option<u64>) {
-    let taken = period_of_targets(Some(Duration::from_millis(given_ms)));
-    let usual = Duration::from_millis(1_200);
-    assert_eq!(taken, taken_ms.map_or(usual, Duration::from_millis));
-    assert_eq!(period_of_targets(None), usual);
+fn an_implausible_period_is_ignored(given_ms: u64, used_ms: Option<u64>) {
+    let used = period_of_targets(Some(Duration::from_millis(given_ms)));
+    let default = Duration::from_millis(1_200);
+    assert_eq!(used, used_ms.map_or(default, Duration::from_millis));
+    assert_eq!(period_of_targets(None), default);
 }
--- a/crates/deckwind-testkit/tests/testsuite/template.rs
+++ b/crates/deckwind-testkit/tests/testsuite/template.rs
@@ -1,5 +1,5 @@
-//! The settings template as the platform fills it: whatever number it fills in,
-//! the settings can be read.
+//! The settings template as the platform fills it in: the result is a readable settings
+//! file for each number that the platform may insert.
 
 use deckwind_config::Settings;
 use std::collections::BTreeMap;
@@ -28,20 +28,20 @@
     ])
 }
 
-/// Fills gaps and sections in the way that the platform's pages describe, as
+/// Expands placeholders and sections as the platform's documentation describes them, as
 /// far as the template uses them.
 fn fill(template: &str, fields: &Fields, entry: Option<(&str, bool)>) -> String {
     let mut out = String::new();
     let mut rest = template;
-    while let Some((before, gap)) = rest.split_once("{{") {
+    while let Some((before, placeholder)) = rest.split_once("{{") {
         out += before;
-        let (name, after) = gap.split_once("}}").unwrap();
+        let (name, after) = placeholder.split_once("}}").unwrap();
         rest = after;
         if let Some(section) = name.strip_prefix('#') {
             let end = format!("{{{{/{section}}}}}");
             let (body, after) = rest.split_once(&end).unwrap();
             rest = after;
-            out += &repeat(section, body, fields);
+            out += &expand_section(section, body, fields);
         } else {
             out += match (name, entry) {
                 (".", Some((value, _))) => value,
@@ -53,15 +53,15 @@
     out + rest
 }
 
-fn repeat(section: &str, body: &str, fields: &Fields) -> String {
+fn expand_section(section: &str, body: &str, fields: &Fields) -> String {
     let value = fields.get(section).copied().unwrap_or("false");
     if value == "false" {
         return String::new();
     }
     let entries: Vec<&str> = value.split(',').collect();
     let last = entries.len() - 1;
-    let one = |(i, e): (usize, &&str)| fill(body, fields, Some((*e, i == last)));
-    entries.iter().enumerate().map(one).collect()
+    let expand_entry = |(i, e): (usize, &&str)| fill(body, fields, Some((*e, i == last)));
+    entries.iter().enumerate().map(expand_entry).collect()
 }
 
 fn load(fields: &Fields) -> Result<Settings, String> {
@@ -72,7 +72,7 @@
 }
 
 #[yare::parameterized(
-    as_on_the_pages = { "zone", Some("recife-a") },
+    as_documented = { "zone", Some("recife-a") },
     grace_fraction = { "bounds.graceS", Some("2.75") },
     grace_large = { "bounds.graceS", Some("86400") },
     grace_missing = { "bounds.graceS", None },
