--- a/crates/deckwind-testkit/tests/testsuite/crowding.rs
+++ b/crates/deckwind-testkit/tests/testsuite/crowding.rs
@@ -134,7 +134,7 @@
     }
 }
 
-/// Counts of streams that came once the engines were filled.
+/// Counts of streams that were requested once the engines were filled.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     requested: f64,
--- a/crates/deckwind-testkit/tests/testsuite/held_back.rs
+++ b/crates/deckwind-testkit/tests/testsuite/held_back.rs
@@ -37,10 +37,12 @@
 
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Outcome {
+    /// Streams that were read to their end.
     completed: u32,
     /// Disconnected callers that would have read the whole stream.
     disconnected_readers: u32,
     disconnected_non_readers: u32,
+    /// Disconnected callers that were at most [`FEW`] events behind.
     disconnected_with_few_events: u32,
     peak_bytes: u64,
 }
--- a/crates/deckwind-testkit/tests/testsuite/paths.rs
+++ b/crates/deckwind-testkit/tests/testsuite/paths.rs
@@ -47,7 +47,7 @@
     place(&mut b);
     a.extend(b);
     let all = instances(&a);
-    let found = paths(&model(), all.iter(), &AvoidedEngines(Vec::new()), &NEED).expect("two");
+    let found = paths(&model(), all.iter(), &AvoidedEngines(Vec::new()), &NEED).expect("two paths");
     assert_eq!(found.len(), 2);
     for path in found {
         let mut next = 0;
@@ -55,7 +55,7 @@
             assert_eq!(stage.layers.first, next);
             next = stage.layers.last;
             let engine = all.iter().find(|i| i.address == stage.address);
-            let engine = engine.expect("it exists");
+            let engine = engine.expect("the engine exists");
             assert_eq!(engine.data_centre, path.data_centre);
             assert_eq!(common(engine.layers, stage.layers), stage.layers);
         }
@@ -80,7 +80,7 @@
         let view = AvoidedEngines(vec![all[avoided].address]);
         paths(&model, all.iter(), &view, &NEED)
     };
-    let found = paths_avoiding(2).expect("one");
+    let found = paths_avoiding(2).expect("a path");
     let addresses: Vec<_> = found[0].stages.iter().map(|s| s.address).collect();
     assert_eq!(addresses, [all[0].address, all[1].address, all[3].address]);
     let none = paths_avoiding(0);
@@ -154,7 +154,7 @@
     let view = SuspectedEngines(vec![suspect]);
     for draw in 0..20 {
         let need = Need { draw, ..NEED };
-        let found = paths(&model, all.iter(), &view, &need).expect("one");
+        let found = paths(&model, all.iter(), &view, &need).expect("a path");
         let is_used = found[0].stages.iter().any(|s| s.address == suspect);
         assert_eq!(is_used, used);
     }
@@ -165,7 +165,7 @@
     let mut model = model();
     model.layers = 16;
     let all = overlapping();
-    let found = paths(&model, all.iter(), &AvoidedEngines(Vec::new()), &NEED).expect("one");
+    let found = paths(&model, all.iter(), &AvoidedEngines(Vec::new()), &NEED).expect("a path");
     for path in found {
         let last = path.stages.last().expect("a stage");
         assert_eq!(last.layers.last, 16);
@@ -421,7 +421,7 @@
         begun: 100,
     });
     book.others_hold(&loads.collect::<Vec<EngineUse>>());
-    let first = all.iter().find(|i| i.layers.first == 0).expect("one");
+    let first = all.iter().find(|i| i.layers.first == 0).expect("an engine");
     book.failed(Instant::from_millis(1_000), first.address, fault);
     let chosen = choose(&book, &all, demand(900, false, 1));
     assert_eq!(chosen.is_ok(), used, "{chosen:?}");
--- a/crates/deckwind-testkit/tests/testsuite/rig.rs
+++ b/crates/deckwind-testkit/tests/testsuite/rig.rs
@@ -277,10 +277,11 @@
     }
 
     pub async fn ask(&self, id: &str, path: &str, key: &str, tokens: bool) -> Heard {
-        self.ask_after(id, path, key, tokens, None).await
+        self.ask_resuming(id, path, key, tokens, None).await
     }
 
-    pub async fn ask_after(
+    /// Sends a request to the first router, with `Last-Event-Id` if `last_event` is set.
+    pub async fn ask_resuming(
         &self,
         id: &str,
         path: &str,
--- a/crates/deckwind-testkit/tests/testsuite/routes.rs
+++ b/crates/deckwind-testkit/tests/testsuite/routes.rs
@@ -305,7 +305,7 @@
             });
         }
         let last = (first > 1).then(|| first - 1);
-        let answer = rig.ask_after("r1", "/stream/x", KEY, true, last).await;
+        let answer = rig.ask_resuming("r1", "/stream/x", KEY, true, last).await;
         assert_eq!(answer.status, StatusCode::OK);
         let event = |i| format!("id: {i}\ndata: token {i}\n\n");
         let want: String = (first..=EVENTS).map(event).collect();
--- a/crates/deckwind-testkit/tests/testsuite/silence.rs
+++ b/crates/deckwind-testkit/tests/testsuite/silence.rs
@@ -308,10 +308,10 @@
     too_many_alike = { &[&[1, 2, 3], &[1, 2, 3]], 20, &[] },
     nobody_is_left = { &[&[], &[], &[]], 20, &[] },
 )]
-fn the_fewest_engines_that_explain_all(silent: &[&[u32]], lively: usize, named: &[u32]) {
+fn the_fewest_engines_that_explain_all(silent: &[&[u32]], active_streams: usize, named: &[u32]) {
     let silent: Vec<Vec<u32>> = silent.iter().map(|c| c.to_vec()).collect();
     let through = |e| silent.iter().filter(|c| c.contains(&e)).count();
-    assert_eq!(explain(&silent, lively, through), named);
+    assert_eq!(explain(&silent, active_streams, through), named);
 }
 
 /// Each stage but the first crashes in turn; 90 % of the stopped streams resume in time.
--- a/crates/deckwind-testkit/tests/testsuite/slow.rs
+++ b/crates/deckwind-testkit/tests/testsuite/slow.rs
@@ -131,7 +131,7 @@
     assert_eq!(pace_requests(&leader.ask(3, hint(&[engine]))), [engine]);
     assert!(
         pace_requests(&leader.ask(4, hint(&[engine]))).is_empty(),
-        "it was asked just before"
+        "the leader has asked it just before"
     );
 
     assert_eq!(
@@ -198,7 +198,7 @@
         };
         let own = all[0].data_centre.clone();
         let choice = choose_path(&model(), &all, &book, &own, demand, &HashSet::new(), now);
-        let path = choice.expect("there is capacity").path.expect("a path");
+        let path = choice.expect("free capacity").path.expect("a path");
         path.stages.iter().any(|s| s.address == slow)
     };
     assert_eq!(!(0..40).any(uses_slow), avoided);
