--- a/crates/deckwind-core/benches/decisions.rs
+++ b/crates/deckwind-core/benches/decisions.rs
@@ -2,12 +2,12 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use deckwind_core::admission::{Admission, AdmissionConfig, Offer, Ticket, TicketId};
-use deckwind_core::control::{LimitDesk, LimitHeard, LimitKey, PermitAsk};
+use deckwind_core::control::{LimitKey, PermitRequest, ReceivedLimit, TargetLimiter};
 use deckwind_core::rate::Rate;
 use deckwind_core::replication::Term;
 use deckwind_core::routing::{ChainNeed, Estimated, Fleet, GroupKey, Policy, prefix_hashes};
 use deckwind_core::state::{
-    ApplyRequest, Change, Command, CommandBody, LayerRange, Life, Parameters, Priority,
+    ApplyRequest, Change, Command, CommandBody, Incarnation, LayerRange, Parameters, Priority,
     StateMachine, Target, TargetKind, TargetStatus, Template, Workload,
 };
 use deckwind_core::time::Instant;
@@ -164,10 +164,10 @@
     let mut group = c.benchmark_group("permits, by limited targets");
     for targets in [1u32, 100, 1_000] {
         let now = Instant::from_millis(1_000);
-        let mut limiter = LimitDesk::new(Term(1));
-        let requests: Vec<PermitAsk> = (0..targets).map(permit_request).collect();
+        let mut limiter = TargetLimiter::new(Term(1));
+        let requests: Vec<PermitRequest> = (0..targets).map(permit_request).collect();
         for request in &requests {
-            limiter.heard(now, &request.heard);
+            limiter.record_received_limit(now, &request.heard);
         }
         let mut iteration = 0usize;
         group.bench_with_input(BenchmarkId::new("leader", targets), &targets, |b, _| {
@@ -175,7 +175,7 @@
                 iteration += 1;
                 let now = now + Duration::from_millis(iteration as u64);
                 let request = &requests[iteration % requests.len()];
-                limiter.heard(now, &request.heard);
+                limiter.record_received_limit(now, &request.heard);
                 limiter.permit(now, request)
             });
         });
@@ -183,13 +183,13 @@
     group.finish();
 }
 
-fn permit_request(i: u32) -> PermitAsk {
+fn permit_request(i: u32) -> PermitRequest {
     let address = SocketAddr::from(([10, 0, (i >> 8) as u8, i as u8], 80));
-    PermitAsk {
-        heard: LimitHeard {
+    PermitRequest {
+        heard: ReceivedLimit {
             target: LimitKey {
                 address,
-                life: Life::from(format!("i-{i:010x}").as_str()),
+                life: Incarnation::from(format!("i-{i:010x}").as_str()),
             },
             rate: Rate::from_millis(5_900),
             ago: Duration::from_millis(100),
--- a/crates/deckwind-core/examples/policies/run.rs
+++ b/crates/deckwind-core/examples/policies/run.rs
@@ -10,7 +10,7 @@
 use crate::load::{Class, Fault, Scenario};
 use crate::report::{ClassResult, RunResult};
 use deckwind_core::admission::{AdmissionConfig, TicketId};
-use deckwind_core::membership::{AccountShare, LeaseGrant, LeaseTiming, share_of};
+use deckwind_core::membership::{AccountShare, LeaseGrant, LeaseTiming, account_share};
 use deckwind_core::replication::Term;
 use deckwind_core::router::{Admitted, Entered, Placed, RouterConfig, RouterCore};
 use deckwind_core::routing::{
@@ -450,7 +450,7 @@
                 .into_iter()
                 .filter_map(|(name, d)| {
                     let limit = cfg.account(&name)?.limits.requests_per_s;
-                    let share = share_of(limit, d, totals[&name], routers);
+                    let share = account_share(limit, d, totals[&name], routers);
                     Some((name, share))
                 })
                 .collect();
--- a/crates/deckwind-core/src/control/announcement_reports.rs
+++ b/crates/deckwind-core/src/control/announcement_reports.rs
@@ -12,7 +12,7 @@
 //! period. Draining and departing targets are acknowledged only once the change is in force,
 //! and only the leader answers them.
 
-use crate::state::{Instance, Instances, Life, Standing};
+use crate::state::{Incarnation, IncarnationStatus, Instance, Instances};
 use crate::time::Instant;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,10 +33,10 @@
 
 /// Report of the announcements received by a replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeardTargets {
+pub struct AnnouncementReport {
     /// Incarnations whose announcement matches the committed state, each with the number
     /// of its announcement.
-    pub same: Vec<(Life, u64)>,
+    pub same: Vec<(Incarnation, u64)>,
     /// Announcements that differ from the committed state, in order of arrival.
     pub changed: Vec<Instance>,
 }
@@ -55,10 +55,10 @@
 
 /// Compares an announcement with the committed state.
 pub(super) fn compare_announcement(instance: &Instance, committed: &Instances) -> AnnouncementDiff {
-    match committed.standing(&instance.life()) {
-        Standing::Ended => return AnnouncementDiff::Outdated,
-        Standing::Newer | Standing::Doubtful => return AnnouncementDiff::Changed,
-        Standing::Known => {}
+    match committed.incarnation_status(&instance.life()) {
+        IncarnationStatus::Ended => return AnnouncementDiff::Outdated,
+        IncarnationStatus::Newer | IncarnationStatus::Doubtful => return AnnouncementDiff::Changed,
+        IncarnationStatus::Known => {}
     }
     let Some(known) = committed.get(&instance.id) else {
         return AnnouncementDiff::Changed;
@@ -79,7 +79,7 @@
 /// Announcements received by a replica since its last report to the leader.
 #[derive(Clone, Debug, Default)]
 pub(super) struct AnnouncementBuffer {
-    same: BTreeMap<Life, u64>,
+    same: BTreeMap<Incarnation, u64>,
     /// In order of arrival: of two incarnations at one address, the later one counts.
     changed: Vec<Instance>,
     reported_at: Option<Instant>,
@@ -102,7 +102,7 @@
 
     /// Takes the report to send now, if one is due. `period` is the announcement period
     /// of the targets.
-    pub fn take_if_due(&mut self, now: Instant, period: Duration) -> Option<HeardTargets> {
+    pub fn take_if_due(&mut self, now: Instant, period: Duration) -> Option<AnnouncementReport> {
         let interval = match self.changed.is_empty() {
             true => period / UNCHANGED_REPORTS_PER_PERIOD,
             false => CHANGED_REPORT_INTERVAL,
@@ -114,8 +114,8 @@
     }
 
     /// Takes the report, or returns `None` if it would be empty.
-    pub fn take(&mut self, now: Instant) -> Option<HeardTargets> {
-        let report = HeardTargets {
+    pub fn take(&mut self, now: Instant) -> Option<AnnouncementReport> {
+        let report = AnnouncementReport {
             same: std::mem::take(&mut self.same).into_iter().collect(),
             changed: std::mem::take(&mut self.changed),
         };
@@ -131,16 +131,16 @@
 /// silence check. Announcements are numbered within an incarnation.
 #[derive(Clone, Debug, Default)]
 pub(super) struct LastAnnouncements {
-    last_received: BTreeMap<Life, (Instant, u64)>,
-    scheduled: BTreeMap<Life, Instant>,
-    checks: BTreeSet<(Instant, Life)>,
+    last_received: BTreeMap<Incarnation, (Instant, u64)>,
+    scheduled: BTreeMap<Incarnation, Instant>,
+    checks: BTreeSet<(Instant, Incarnation)>,
 }
 
 impl LastAnnouncements {
     /// Records an announcement of an incarnation. Returns `false`, and records nothing,
     /// if the announcement was delayed and has a lower number than an earlier arrival: it
     /// is no sign that the target is alive.
-    pub fn record(&mut self, now: Instant, life: &Life, number: u64) -> bool {
+    pub fn record(&mut self, now: Instant, life: &Incarnation, number: u64) -> bool {
         match self.last_received.get_mut(life) {
             Some((_, known)) if number < *known => return false,
             Some(last) => *last = (now, number),
@@ -152,12 +152,12 @@
     }
 
     /// Returns the time of the last announcement of an incarnation.
-    pub fn last_received(&self, life: &Life) -> Option<Instant> {
+    pub fn last_received(&self, life: &Incarnation) -> Option<Instant> {
         self.last_received.get(life).map(|(at, _)| *at)
     }
 
     /// Schedules a silence check of an incarnation unless one is scheduled already.
-    pub fn schedule_check(&mut self, life: Life, at: Instant) {
+    pub fn schedule_check(&mut self, life: Incarnation, at: Instant) {
         if !self.scheduled.contains_key(&life) {
             self.scheduled.insert(life.clone(), at);
             self.checks.insert((at, life));
@@ -165,7 +165,7 @@
     }
 
     /// Takes an incarnation whose silence check is due. Its schedule entry is removed.
-    pub fn take_due(&mut self, now: Instant) -> Option<Life> {
+    pub fn take_due(&mut self, now: Instant) -> Option<Incarnation> {
         let due = self.checks.first().is_some_and(|(at, _)| *at <= now);
         let (_, life) = due.then(|| self.checks.pop_first()).flatten()?;
         self.scheduled.remove(&life);
@@ -173,7 +173,7 @@
     }
 
     /// Removes an incarnation that has ended.
-    pub fn forget(&mut self, life: &Life) {
+    pub fn forget(&mut self, life: &Incarnation) {
         self.last_received.remove(life);
     }
 }
--- a/crates/deckwind-core/src/control/announcements.rs
+++ b/crates/deckwind-core/src/control/announcements.rs
@@ -2,17 +2,18 @@
 //! resulting changes on the leader.
 //!
 //! A target may restart under the same id. Each run of its process is one incarnation,
-//! identified by a [`Life`].
+//! identified by a [`Incarnation`].
 
-use super::announcement_reports::{AnnouncementDiff, HeardTargets, compare_announcement};
+use super::announcement_reports::{AnnouncementDiff, AnnouncementReport, compare_announcement};
 use super::control_core::ControlCore;
 use super::event::ControlAction;
-use super::lives::unconfirmed_life_note;
+use super::incarnations::unconfirmed_incarnation;
 use super::operator::OperatorReply;
-use super::pending::Asker;
+use super::pending::Requester;
 use crate::membership::InForce;
 use crate::state::{
-    CommandBody, Instance, InstanceChange, InstanceState, LayerRange, Life, Standing,
+    CommandBody, Incarnation, IncarnationStatus, Instance, InstanceChange, InstanceState,
+    LayerRange,
 };
 use crate::time::Instant;
 use std::net::SocketAddr;
@@ -23,7 +24,7 @@
 const IN_FORCE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Announcement periods without an announcement after which a target counts as silent.
-pub const SILENT_PERIODS: u32 = 3;
+pub const MAX_MISSED_ANNOUNCEMENTS: u32 = 3;
 
 /// Announcement periods without an announcement after which a target counts as departed,
 /// and the shortest such time.
@@ -60,7 +61,7 @@
         instance: Instance,
         out: &mut Vec<ControlAction>,
     ) {
-        let is_leader = self.replica.may_answer(now);
+        let is_leader = self.replica.can_serve_reads(now);
         let leader = self.leader_slot();
         if !is_leader && leader.is_none() {
             let deadline = now + LEADER_WAIT_TIMEOUT;
@@ -76,7 +77,8 @@
             let reply = OperatorReply::NotTaken(fault);
             out.push(ControlAction::OperatorReply { token, reply });
         } else if instance.state == InstanceState::Ready {
-            let diff = compare_announcement(&instance, self.machine.configuration().instances());
+            let diff =
+                compare_announcement(&instance, self.state_machine.configuration().instances());
             self.announcement_buffer.note(instance, diff);
             let reply = OperatorReply::Heard;
             out.push(ControlAction::OperatorReply { token, reply });
@@ -98,7 +100,7 @@
         if self.announcements_awaiting_leader.is_empty() {
             return;
         }
-        let known = self.replica.may_answer(now) || self.leader_slot().is_some();
+        let known = self.replica.can_serve_reads(now) || self.leader_slot().is_some();
         for waiting in std::mem::take(&mut self.announcements_awaiting_leader) {
             let WaitingAnnouncement { token, .. } = waiting;
             if known {
@@ -115,7 +117,7 @@
     /// Sends the leader the announcements received by this replica, if a report is due.
     /// The leader proposes the changes itself.
     pub(super) fn report_announcements(&mut self, now: Instant, out: &mut Vec<ControlAction>) {
-        let is_leader = self.replica.may_answer(now);
+        let is_leader = self.replica.can_serve_reads(now);
         let leader = self.leader_slot();
         if !is_leader && leader.is_none() {
             return;
@@ -125,19 +127,21 @@
             return;
         };
         match leader {
-            Some(slot) if !is_leader => out.push(ControlAction::TellHeard { slot, heard }),
+            Some(slot) if !is_leader => {
+                out.push(ControlAction::ReportAnnouncements { slot, heard })
+            }
             _ => self.propose_announced_changes(now, heard, out),
         }
     }
 
     /// Merges the report of another replica if this one leads. Changed announcements are
     /// buffered with those received here.
-    pub(super) fn merge_announcement_report(&mut self, now: Instant, report: HeardTargets) {
-        let Some(leading) = &mut self.leading else {
+    pub(super) fn merge_announcement_report(&mut self, now: Instant, report: AnnouncementReport) {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         for (life, number) in &report.same {
-            leading.last_announcements.record(now, life, *number);
+            leader_state.last_announcements.record(now, life, *number);
         }
         for instance in report.changed {
             self.announcement_buffer
@@ -149,29 +153,29 @@
     fn propose_announced_changes(
         &mut self,
         now: Instant,
-        report: HeardTargets,
+        report: AnnouncementReport,
         out: &mut Vec<ControlAction>,
     ) {
-        let Some(leading) = &mut self.leading else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         for (life, number) in &report.same {
-            leading.last_announcements.record(now, life, *number);
+            leader_state.last_announcements.record(now, life, *number);
         }
-        let committed = self.machine.configuration().instances();
-        let lives_by_address = committed.lives_at_addresses_of(report.changed.iter());
-        let since = self.replica.leading_since().unwrap_or(now);
+        let committed = self.state_machine.configuration().instances();
+        let incarnations_by_address = committed.incarnations_at_addresses_of(report.changed.iter());
+        let since = self.replica.leader_since().unwrap_or(now);
         let period = self.limits.announce_every;
         let mut changes = Vec::new();
         for mut instance in report.changed {
             let life = instance.life();
-            let is_newest = leading
+            let is_newest = leader_state
                 .last_announcements
                 .record(now, &life, instance.announced);
             if !is_newest {
                 continue;
             }
-            let keep_layers = leading.placement.is_under_way(&life);
+            let keep_layers = leader_state.placement.is_order_in_flight(&life);
             let known = committed
                 .get(&instance.id)
                 .filter(|i| i.born == instance.born);
@@ -182,12 +186,12 @@
             if compare_announcement(&instance, committed) != AnnouncementDiff::Changed {
                 continue;
             }
-            let over = committed.doubted_by(&instance, &lives_by_address[&instance.address]);
-            let active_life = over
+            let over = committed.blocked_by(&instance, &incarnations_by_address[&instance.address]);
+            let active_incarnation = over
                 .iter()
-                .find(|l| !leading.is_silent(now, since, committed, l, period));
-            if let Some(active_life) = active_life {
-                out.push(unconfirmed_life_note(life, active_life));
+                .find(|l| !leader_state.is_silent(now, since, committed, l, period));
+            if let Some(active_incarnation) = active_incarnation {
+                out.push(unconfirmed_incarnation(life, active_incarnation));
                 continue;
             }
             changes.push(InstanceChange::Announced {
@@ -197,7 +201,12 @@
             });
         }
         if !changes.is_empty() {
-            self.propose(now, CommandBody::Instances(changes), Asker::Nobody, out);
+            self.propose(
+                now,
+                CommandBody::Instances(changes),
+                Requester::Internal,
+                out,
+            );
         }
     }
 
@@ -213,32 +222,33 @@
         if let Some(report) = self.announcement_buffer.take(now) {
             self.propose_announced_changes(now, report, out);
         }
-        let Some(leading) = &mut self.leading else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         let life = instance.life();
-        let is_newest = leading
+        let is_newest = leader_state
             .last_announcements
             .record(now, &life, instance.announced);
-        let committed = self.machine.configuration().instances();
+        let committed = self.state_machine.configuration().instances();
         if !is_newest || compare_announcement(&instance, committed) != AnnouncementDiff::Changed {
             self.acknowledge(token, out);
             return;
         }
-        let since = self.replica.leading_since().unwrap_or(now);
+        let since = self.replica.leader_since().unwrap_or(now);
         let period = self.limits.announce_every;
-        let lives_by_address = committed.lives_at_addresses_of([&instance].into_iter());
-        let over = committed.doubted_by(&instance, &lives_by_address[&instance.address]);
-        let active_life = over
+        let incarnations_by_address =
+            committed.incarnations_at_addresses_of([&instance].into_iter());
+        let over = committed.blocked_by(&instance, &incarnations_by_address[&instance.address]);
+        let active_incarnation = over
             .iter()
-            .find(|l| !leading.is_silent(now, since, committed, l, period));
-        if let Some(active_life) = active_life {
-            out.push(unconfirmed_life_note(life, active_life));
-            let reply = OperatorReply::Doubted;
+            .find(|l| !leader_state.is_silent(now, since, committed, l, period));
+        if let Some(active_incarnation) = active_incarnation {
+            out.push(unconfirmed_incarnation(life, active_incarnation));
+            let reply = OperatorReply::Unconfirmed;
             out.push(ControlAction::OperatorReply { token, reply });
             return;
         }
-        let keep_layers = leading.placement.is_under_way(&life);
+        let keep_layers = leader_state.placement.is_order_in_flight(&life);
         let change = InstanceChange::Announced {
             instance,
             keep_layers,
@@ -255,33 +265,37 @@
         &mut self,
         now: Instant,
         token: u64,
-        mut life: Life,
+        mut life: Incarnation,
         out: &mut Vec<ControlAction>,
     ) {
-        let committed = self.machine.configuration().instances();
+        let committed = self.state_machine.configuration().instances();
         let known = committed.get(&life.id).map(Instance::life);
-        let (Some(known), Some(leading)) = (known, &self.leading) else {
+        let (Some(known), Some(leader_state)) = (known, &self.leader_state) else {
             self.acknowledge(token, out);
             return;
         };
         life.born = life.born.or(known.born);
-        let since = self.replica.leading_since().unwrap_or(now);
+        let since = self.replica.leader_since().unwrap_or(now);
         let period = self.limits.announce_every;
-        let ended_life = match committed.standing(&life) {
-            Standing::Known | Standing::Newer => life,
-            Standing::Doubtful if leading.is_silent(now, since, committed, &known, period) => known,
-            Standing::Doubtful => {
-                out.push(unconfirmed_life_note(life, &known));
-                let reply = OperatorReply::Doubted;
+        let ended_incarnation = match committed.incarnation_status(&life) {
+            IncarnationStatus::Known | IncarnationStatus::Newer => life,
+            IncarnationStatus::Doubtful
+                if leader_state.is_silent(now, since, committed, &known, period) =>
+            {
+                known
+            }
+            IncarnationStatus::Doubtful => {
+                out.push(unconfirmed_incarnation(life, &known));
+                let reply = OperatorReply::Unconfirmed;
                 out.push(ControlAction::OperatorReply { token, reply });
                 return;
             }
-            Standing::Ended => {
+            IncarnationStatus::Ended => {
                 self.acknowledge(token, out);
                 return;
             }
         };
-        self.propose_instance_change(now, token, InstanceChange::Left(ended_life), out);
+        self.propose_instance_change(now, token, InstanceChange::Left(ended_incarnation), out);
     }
 
     fn propose_instance_change(
@@ -291,13 +305,13 @@
         change: InstanceChange,
         out: &mut Vec<ControlAction>,
     ) {
-        let requester = Asker::Operator(token, now + IN_FORCE_TIMEOUT);
+        let requester = Requester::Operator(token, now + IN_FORCE_TIMEOUT);
         self.propose(now, CommandBody::Instances(vec![change]), requester, out);
     }
 
     fn acknowledge(&self, token: u64, out: &mut Vec<ControlAction>) {
         let reply = OperatorReply::Accepted {
-            revision: self.machine.configuration().revision(),
+            revision: self.state_machine.configuration().revision(),
             in_force: InForce::Yes,
         };
         out.push(ControlAction::OperatorReply { token, reply });
@@ -306,61 +320,68 @@
     /// Marks targets that have become silent, and removes those that have been silent for
     /// too long.
     pub(super) fn check_silent_targets(&mut self, now: Instant, out: &mut Vec<ControlAction>) {
-        if !self.replica.may_answer(now) {
+        if !self.replica.can_serve_reads(now) {
             return;
         }
-        let Some(leading) = &mut self.leading else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if now < leading.next_silence_check {
+        if now < leader_state.next_silence_check {
             return;
         }
-        leading.next_silence_check = now + SILENCE_CHECK_INTERVAL;
-        let since = self.replica.leading_since().unwrap_or(now);
+        leader_state.next_silence_check = now + SILENCE_CHECK_INTERVAL;
+        let since = self.replica.leader_since().unwrap_or(now);
         let period = self.limits.announce_every;
-        let instances = self.machine.configuration().instances();
-        let written = instances.written_since(leading.watched_upto);
+        let instances = self.state_machine.configuration().instances();
+        let written = instances.changed_since_ids(leader_state.watched_upto);
         for i in written.filter_map(|id| instances.get(id)) {
             let life = i.life();
-            let received = leading
+            let received = leader_state
                 .last_announcements
                 .last_received(&life)
                 .unwrap_or(since);
-            leading
+            leader_state
                 .last_announcements
-                .schedule_check(life, received + period * SILENT_PERIODS);
+                .schedule_check(life, received + period * MAX_MISSED_ANNOUNCEMENTS);
         }
-        leading.watched_upto = instances.written_upto();
+        leader_state.watched_upto = instances.last_written();
         let mut changes = Vec::new();
-        while let Some(life) = leading.last_announcements.take_due(now) {
-            self.looks.targets += 1;
+        while let Some(life) = leader_state.last_announcements.take_due(now) {
+            self.scan_counts.targets += 1;
             let known = instances.get(&life.id).filter(|i| i.born == life.born);
             let Some(known) = known else {
-                leading.last_announcements.forget(&life);
+                leader_state.last_announcements.forget(&life);
                 continue;
             };
-            let silence = leading.silence(now, since, &life);
+            let silence = leader_state.silence(now, since, &life);
             let (change, next_check) = silence_action(known, silence, period);
             changes.extend(change);
-            leading
+            leader_state
                 .last_announcements
                 .schedule_check(life, now + next_check.max(SILENCE_CHECK_INTERVAL));
         }
         if !changes.is_empty() {
-            self.propose(now, CommandBody::Instances(changes), Asker::Nobody, out);
+            self.propose(
+                now,
+                CommandBody::Instances(changes),
+                Requester::Internal,
+                out,
+            );
         }
         self.place_layers(now, out);
     }
 
     fn place_layers(&mut self, now: Instant, out: &mut Vec<ControlAction>) {
-        let cfg = self.machine.configuration();
-        let (Some(leading), Some(release)) = (&mut self.leading, cfg.release()) else {
+        let cfg = self.state_machine.configuration();
+        let (Some(leader_state), Some(release)) = (&mut self.leader_state, cfg.release()) else {
             return;
         };
-        let work = leading.placement.work(now, release, cfg.instances());
+        let work = leader_state
+            .placement
+            .next_step(now, release, cfg.instances());
         if !work.changes.is_empty() {
             let body = CommandBody::Instances(work.changes);
-            self.propose(now, body, Asker::Nobody, out);
+            self.propose(now, body, Requester::Internal, out);
         }
         out.extend(work.orders.into_iter().map(ControlAction::Place));
     }
@@ -373,19 +394,19 @@
         failing: &[SocketAddr],
         out: &mut Vec<ControlAction>,
     ) {
-        let Some(leading) = &mut self.leading else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        let instances = self.machine.configuration().instances();
+        let instances = self.state_machine.configuration().instances();
         let named = failing.iter().flat_map(|address| instances.at(*address));
         for i in named.filter(|i| i.state == InstanceState::Ready) {
-            self.looks.targets += 1;
+            self.scan_counts.targets += 1;
             let life = i.life();
-            let before = leading.checked_at.get(&life);
+            let before = leader_state.checked_at.get(&life);
             if before.is_some_and(|at| now.since(*at) < TARGET_CHECK_INTERVAL) {
                 continue;
             }
-            leading.checked_at.insert(life.clone(), now);
+            leader_state.checked_at.insert(life.clone(), now);
             let address = i.address;
             out.push(ControlAction::Check { life, address });
         }
@@ -397,17 +418,17 @@
     pub(super) fn handle_check_result(
         &mut self,
         now: Instant,
-        life: Life,
+        life: Incarnation,
         there: bool,
         out: &mut Vec<ControlAction>,
     ) {
-        let known = self.machine.configuration().instances().get(&life.id);
+        let known = self.state_machine.configuration().instances().get(&life.id);
         let ready = known.is_some_and(|i| i.born == life.born && i.state == InstanceState::Ready);
-        if there || !ready || self.leading.is_none() {
+        if there || !ready || self.leader_state.is_none() {
             return;
         }
         let body = CommandBody::Instances(vec![InstanceChange::Silent(life)]);
-        self.propose(now, body, Asker::Nobody, out);
+        self.propose(now, body, Requester::Internal, out);
     }
 
     /// Handles the end of a layer placement order. `held` is the range of layers the
@@ -416,14 +437,16 @@
     pub(super) fn handle_placement_result(
         &mut self,
         now: Instant,
-        life: &Life,
+        life: &Incarnation,
         held: Option<LayerRange>,
         out: &mut Vec<ControlAction>,
     ) {
-        let Some(leading) = &mut self.leading else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leading.placement.ended(now, life, held.is_some());
+        leader_state
+            .placement
+            .order_ended(now, life, held.is_some());
         let Some(held) = held else {
             return;
         };
@@ -433,7 +456,7 @@
             in_memory: held.len(),
         };
         let body = CommandBody::Instances(vec![change]);
-        self.propose(now, body, Asker::Nobody, out);
+        self.propose(now, body, Requester::Internal, out);
     }
 }
 
@@ -445,7 +468,7 @@
     period: Duration,
 ) -> (Option<InstanceChange>, Duration) {
     let departure_timeout = MIN_DEPARTURE_TIMEOUT.max(period * DEPARTED_PERIODS);
-    let silence_timeout = period * SILENT_PERIODS;
+    let silence_timeout = period * MAX_MISSED_ANNOUNCEMENTS;
     let ready = instance.state == InstanceState::Ready;
     match silence {
         s if s > departure_timeout => (
--- a/crates/deckwind-core/src/control/apply.rs
+++ b/crates/deckwind-core/src/control/apply.rs
@@ -2,11 +2,11 @@
 //! requests behind the entries, and compacting a long log into a snapshot.
 
 use super::control_core::ControlCore;
-use super::event::{ControlAction, Unreadable};
+use super::event::{ControlAction, DecodeError};
 use super::messages::ControlReply;
 use super::operator::OperatorReply;
-use super::pending::{Asker, InForceWait};
-use super::wake::Urgency;
+use super::pending::{InForceWait, Requester};
+use super::reply_schedule::Urgency;
 use crate::replication::{Entry, Payload, Position, SnapshotMeta};
 use crate::state::{Command, Reply};
 use crate::time::Instant;
@@ -18,14 +18,14 @@
         entries: Vec<Entry>,
         out: &mut Vec<ControlAction>,
     ) {
-        let before = self.machine.configuration().shown();
+        let before = self.state_machine.configuration().visible_revision();
         let mut urgency = None;
         let mut repeats_changed = false;
         for entry in entries {
             self.log_bytes += entry.size();
-            let known = self.machine.repeats().changes();
+            let known = self.state_machine.repeats().changes();
             let reply = self.apply_entry(&entry, &mut urgency, out);
-            repeats_changed |= self.machine.repeats().changes() != known;
+            repeats_changed |= self.state_machine.repeats().changes() != known;
             let pending = self.proposals.take_applied(entry.at.index, entry.at.term);
             match (pending, reply) {
                 (Some((requester, true)), Some(reply)) => self.answer(now, requester, reply, out),
@@ -34,15 +34,17 @@
             }
         }
         if repeats_changed {
-            self.repeats_agreed(now, out);
+            self.apply_retry_changes(now, out);
         }
-        let changed = self.machine.configuration().shown() > before;
-        if let (Some(urgency), Some(leading)) = (urgency.filter(|_| changed), &mut self.leading) {
+        let changed = self.state_machine.configuration().visible_revision() > before;
+        if let (Some(urgency), Some(leader_state)) =
+            (urgency.filter(|_| changed), &mut self.leader_state)
+        {
             if urgency == Urgency::Urgent {
-                let shown = self.machine.configuration().shown();
-                leading.urgent.record(now, shown);
+                let shown = self.state_machine.configuration().visible_revision();
+                leader_state.urgent.record(now, shown);
             }
-            self.wake_routers(now, urgency, out);
+            self.inform_routers(now, urgency, out);
         }
         self.compact_if_due(out);
     }
@@ -58,33 +60,33 @@
         };
         let Ok(command) = Command::from_bytes(bytes) else {
             let index = entry.at.index.0;
-            out.push(ControlAction::Stop(Unreadable::Command { index }));
+            out.push(ControlAction::Stop(DecodeError::Command { index }));
             return None;
         };
         *urgency = (*urgency).max(Urgency::of(&command.body));
-        if self.note_ended_lives(&command.body, out) {
+        if self.log_ended_incarnations(&command.body, out) {
             *urgency = Some(Urgency::Urgent);
         }
-        Some(self.machine.apply(command))
+        Some(self.state_machine.apply(command))
     }
 
     fn answer(
         &mut self,
         now: Instant,
-        requester: Asker,
+        requester: Requester,
         reply: Reply,
         out: &mut Vec<ControlAction>,
     ) {
         match (requester, reply) {
-            (Asker::Router(token), Reply::Claim(verdict)) => out.push(ControlAction::Reply {
+            (Requester::Router(token), Reply::Claim(verdict)) => out.push(ControlAction::Reply {
                 token,
                 reply: ControlReply::Claim(verdict),
             }),
-            (Asker::Router(token), _) => out.push(ControlAction::Reply {
+            (Requester::Router(token), _) => out.push(ControlAction::Reply {
                 token,
                 reply: ControlReply::Done,
             }),
-            (Asker::Operator(token, deadline), Reply::Accepted { revision }) => {
+            (Requester::Operator(token, deadline), Reply::Accepted { revision }) => {
                 self.in_force_waits.push(InForceWait {
                     token,
                     revision,
@@ -92,7 +94,7 @@
                 });
                 self.answer_in_force_waits(now, out);
             }
-            (Asker::Operator(token, _), Reply::Rejected(rejection)) => {
+            (Requester::Operator(token, _), Reply::Rejected(rejection)) => {
                 out.push(ControlAction::OperatorReply {
                     token,
                     reply: OperatorReply::Rejected(rejection),
@@ -114,7 +116,7 @@
             return;
         }
         self.is_compacting = true;
-        let data = self.machine.to_snapshot();
+        let data = self.state_machine.to_snapshot();
         self.snapshot_bytes = data.len();
         self.log_bytes = 0;
         let last = Position {
--- a/crates/deckwind-core/src/control/control_core.rs
+++ b/crates/deckwind-core/src/control/control_core.rs
@@ -3,30 +3,32 @@
 use super::announcement_reports::{AnnouncementBuffer, LastAnnouncements};
 use super::announcements::WaitingAnnouncement;
 use super::demand::DemandTable;
-use super::event::{ControlAction, ControlEvent, ControlLimits, Unreadable};
-use super::full_engines::FullTable;
+use super::engine_load::EngineLoadTable;
+use super::event::{ControlAction, ControlEvent, ControlLimits, DecodeError};
+use super::full_engines::RefusalTable;
 use super::grants::DeltaCache;
-use super::in_use::UseTable;
-use super::limit_desk::LimitDesk;
 use super::limit_messages::LimitRevision;
-use super::looks::Looks;
 use super::messages::ControlReply;
 use super::operator::OperatorReply;
-use super::orders::OrderDesk;
-use super::pace::Pace;
+use super::orders::OrderDispatcher;
 use super::parked_renewals::{ParkedRenewal, ParkedRenewals};
-use super::pending::{Asker, InForceWait, PendingProposals};
-use super::placement_desk::PlacementDesk;
+use super::pending::{InForceWait, PendingProposals, Requester};
+use super::placement_manager::PlacementManager;
 use super::relay::RequestRelay;
-use super::repeat_desk::RepeatDesk;
-use super::slow::Paces;
+use super::reply_schedule::RoundSchedule;
+use super::retry_budget_allocator::RetryBudgetAllocator;
+use super::scan_counts::ScanCounts;
+use super::slow_engines::EnginePaces;
+use super::state_rate_limiter::StateRateLimiter;
+use super::target_limiter::TargetLimiter;
 use super::urgent_changes::UrgentChanges;
-use super::wake::RoundSchedule;
 use crate::membership::{LeaseTable, LeaseTiming};
 use crate::replication::{
     Action, Event, HardState, Index, Position, Replica, ReplicaConfig, Stored, Term,
 };
-use crate::state::{Command, CommandBody, Life, Revision, StateMachine, UnreadableState, VmName};
+use crate::state::{
+    Command, CommandBody, DecodeStateError, Incarnation, Revision, StateMachine, VmName,
+};
 use crate::time::Instant;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -36,26 +38,26 @@
     pub(super) term: Term,
     pub(super) leases: LeaseTable,
     pub(super) demand: DemandTable,
-    pub(super) orders: OrderDesk,
-    pub(super) placement: PlacementDesk,
+    pub(super) orders: OrderDispatcher,
+    pub(super) placement: PlacementManager,
     /// Time of the last announcement of each target.
     pub(super) last_announcements: LastAnnouncements,
     /// Time at which each target last failed a router.
     pub(super) failed_at: BTreeMap<SocketAddr, Instant>,
     /// Slow engines.
-    pub(super) paces: Paces,
+    pub(super) paces: EnginePaces,
     /// Time of the last check of each target that routers reported as failing.
-    pub(super) checked_at: BTreeMap<Life, Instant>,
+    pub(super) checked_at: BTreeMap<Incarnation, Instant>,
     /// Revision up to which targets have a scheduled silence check.
     pub(super) watched_upto: Revision,
     /// Time of the next check for silent targets.
     pub(super) next_silence_check: Instant,
     /// Time of the next check for outdated suspects.
-    pub(super) next_suspects: Instant,
+    pub(super) next_suspect_cleanup: Instant,
     /// Urgent changes, which bound the lease of a router that lacks them.
     pub(super) urgent: UrgentChanges,
     /// Load of each router's streams.
-    pub(super) in_use: UseTable,
+    pub(super) engine_load: EngineLoadTable,
     /// Last reply round in which each router was answered.
     pub(super) last_reply_round: BTreeMap<VmName, u64>,
     pub(super) admin_addresses: BTreeMap<VmName, SocketAddr>,
@@ -64,22 +66,22 @@
     /// Whether claims of routers without a lease have been released.
     pub(super) orphans_checked: bool,
     /// Engines that recently refused requests.
-    pub(super) full: FullTable,
+    pub(super) full: RefusalTable,
     /// Retry allowances of the router processes. Created once this leader may answer, as
     /// the log is applied up to the leader's first entry by then.
-    pub(super) repeats: Option<RepeatDesk>,
+    pub(super) repeats: Option<RetryBudgetAllocator>,
     /// Limits named by targets.
-    pub(super) limits: LimitDesk,
+    pub(super) limits: TargetLimiter,
 }
 
 /// A control replica without I/O.
 pub struct ControlCore {
     pub(super) replica: Replica,
-    pub(super) machine: StateMachine,
+    pub(super) state_machine: StateMachine,
     pub(super) limits: ControlLimits,
     pub(super) lease_timing: LeaseTiming,
     hard_state: HardState,
-    pub(super) leading: Option<LeaderState>,
+    pub(super) leader_state: Option<LeaderState>,
     pub(super) proposals: PendingProposals,
     pub(super) parked: ParkedRenewals,
     /// Renewals received while no leader was known, oldest first.
@@ -91,7 +93,7 @@
     pub(super) sent_deltas: BTreeSet<(u32, Revision)>,
     /// List of limits at the time parked renewals were last checked.
     pub(super) answered_limits: Option<LimitRevision>,
-    pub(super) looks: Looks,
+    pub(super) scan_counts: ScanCounts,
     /// Announcements received while no leader was known.
     pub(super) announcements_awaiting_leader: Vec<WaitingAnnouncement>,
     /// Announcements received by this replica and not yet reported to the leader.
@@ -102,7 +104,7 @@
     /// Revision published to routers. It lags behind the state while a reply round is
     /// pending.
     pub(super) published_revision: Revision,
-    pub(super) pace: Pace,
+    pub(super) state_rate_limiter: StateRateLimiter,
     pub(super) delta_cache: DeltaCache,
     pub(super) in_force_waits: Vec<InForceWait>,
     pub(super) is_compacting: bool,
@@ -111,7 +113,7 @@
     /// keeps its cost proportional to the bytes written.
     pub(super) log_bytes: usize,
     pub(super) snapshot_bytes: usize,
-    requester_by_token: BTreeMap<u64, Asker>,
+    requester_by_token: BTreeMap<u64, Requester>,
     next_token: u64,
     pub(super) wall_ms: u64,
 }
@@ -130,31 +132,31 @@
         stored: Stored,
         snapshot: Option<&[u8]>,
         now: Instant,
-    ) -> Result<Self, UnreadableState> {
-        let machine = match snapshot {
+    ) -> Result<Self, DecodeStateError> {
+        let state_machine = match snapshot {
             Some(bytes) => StateMachine::from_snapshot(bytes)?,
             None => StateMachine::new(limits.claims),
         };
         Ok(Self {
             hard_state: stored.hard_state,
             replica: Replica::new(cfg, stored, now),
-            machine,
+            state_machine,
             limits,
             lease_timing,
-            leading: None,
+            leader_state: None,
             proposals: PendingProposals::default(),
             parked: ParkedRenewals::default(),
             renewals_awaiting_leader: VecDeque::new(),
-            relay: RequestRelay::new(Pace::new(limits.state_bytes_per_s, now)),
+            relay: RequestRelay::new(StateRateLimiter::new(limits.state_bytes_per_s, now)),
             sent_deltas: BTreeSet::new(),
             answered_limits: None,
-            looks: Looks::default(),
+            scan_counts: ScanCounts::default(),
             announcements_awaiting_leader: Vec::new(),
             announcement_buffer: AnnouncementBuffer::default(),
             round_schedule: RoundSchedule::default(),
             reply_rounds: 0,
             published_revision: Revision::ZERO,
-            pace: Pace::new(limits.state_bytes_per_s, now),
+            state_rate_limiter: StateRateLimiter::new(limits.state_bytes_per_s, now),
             delta_cache: DeltaCache::default(),
             in_force_waits: Vec::new(),
             is_compacting: false,
@@ -172,33 +174,33 @@
     }
 
     /// Returns the state as applied by this replica.
-    pub fn machine(&self) -> &StateMachine {
-        &self.machine
+    pub fn state_machine(&self) -> &StateMachine {
+        &self.state_machine
     }
 
     /// Returns the number of rows scanned so far, by kind.
-    pub fn looks(&self) -> Looks {
-        let leading = self.leading.as_ref();
-        let leases = leading.map_or(0, |l| l.leases.looks());
-        let repeats = leading.and_then(|l| l.repeats.as_ref());
-        Looks {
+    pub fn scan_counts(&self) -> ScanCounts {
+        let leader_state = self.leader_state.as_ref();
+        let leases = leader_state.map_or(0, |l| l.leases.rows_scanned());
+        let repeats = leader_state.and_then(|l| l.repeats.as_ref());
+        ScanCounts {
             leases,
-            repeats: repeats.map_or(0, RepeatDesk::looks),
-            cards: leading.map_or(0, |l| l.placement.looks()),
-            ..self.looks
+            repeats: repeats.map_or(0, RetryBudgetAllocator::rows_scanned),
+            cards: leader_state.map_or(0, |l| l.placement.rows_scanned()),
+            ..self.scan_counts
         }
     }
 
     /// Returns the number of forwarded requests that await the leader's answer.
-    pub fn passed_on(&self) -> usize {
+    pub fn forwarded_len(&self) -> usize {
         self.relay.pending_len()
     }
 
     /// Returns the number of routers with a lease from this leader and how many revisions
     /// the most outdated of them is behind, or `None` if this replica does not lead.
-    pub fn routers_behind(&self) -> Option<(usize, u64)> {
-        let leases = &self.leading.as_ref()?.leases;
-        let shown = self.machine.configuration().shown();
+    pub fn lagging_routers(&self) -> Option<(usize, u64)> {
+        let leases = &self.leader_state.as_ref()?.leases;
+        let shown = self.state_machine.configuration().visible_revision();
         let oldest = leases.oldest_applied().unwrap_or(shown);
         Some((leases.len(), shown.0.saturating_sub(oldest.0)))
     }
@@ -233,17 +235,17 @@
             ControlEvent::Operator { token, request } => {
                 self.handle_operator_request(now, token, request, out)
             }
-            ControlEvent::Checked { life, there } => {
-                self.handle_check_result(now, life, there, out)
+            ControlEvent::Checked { life, is_running } => {
+                self.handle_check_result(now, life, is_running, out)
             }
-            ControlEvent::Heard(report) => self.merge_announcement_report(now, report),
-            ControlEvent::Placed { life, held } => {
+            ControlEvent::AnnouncementReport(report) => self.merge_announcement_report(now, report),
+            ControlEvent::PlacementDone { life, held } => {
                 self.handle_placement_result(now, &life, held, out)
             }
-            ControlEvent::Pace { address, percent } => self.pace_told(now, address, percent, out),
-            ControlEvent::OrdersDone { target, taken } => {
-                if let Some(leading) = &mut self.leading {
-                    leading.orders.finished(now, &target, taken);
+            ControlEvent::Pace { address, percent } => self.handle_pace(now, address, percent, out),
+            ControlEvent::OrdersDone { target, accepted } => {
+                if let Some(leader_state) = &mut self.leader_state {
+                    leader_state.orders.finished(now, &target, accepted);
                 }
             }
         }
@@ -275,8 +277,8 @@
                 Action::Refused { token, .. } => self.handle_refused(token, out),
                 Action::Install { meta, data } => {
                     match StateMachine::from_snapshot(&data) {
-                        Ok(machine) => self.machine = machine,
-                        Err(_) => out.push(ControlAction::Stop(Unreadable::Snapshot)),
+                        Ok(machine) => self.state_machine = machine,
+                        Err(_) => out.push(ControlAction::Stop(DecodeError::Snapshot)),
                     }
                     out.push(ControlAction::Replica(Action::Install { meta, data }));
                 }
@@ -298,43 +300,43 @@
 
     /// Creates or drops the leader state when leadership changes.
     fn update_leader_state(&mut self, out: &mut Vec<ControlAction>) {
-        let since = self.replica.leading_since();
+        let since = self.replica.leader_since();
         let term = self.replica.term();
         if self
-            .leading
+            .leader_state
             .as_ref()
             .is_some_and(|l| since.is_none() || l.term != term)
         {
-            self.leading = None;
-            self.machine.hand_out(false);
+            self.leader_state = None;
+            self.state_machine.set_record_changes(false);
             self.fail_pending_requests(out);
         }
-        if let (None, Some(since)) = (&self.leading, since) {
+        if let (None, Some(since)) = (&self.leader_state, since) {
             self.round_schedule = RoundSchedule::default();
-            self.published_revision = self.machine.configuration().revision();
-            self.pace = Pace::new(self.limits.state_bytes_per_s, since);
-            self.leading = Some(LeaderState {
+            self.published_revision = self.state_machine.configuration().revision();
+            self.state_rate_limiter = StateRateLimiter::new(self.limits.state_bytes_per_s, since);
+            self.leader_state = Some(LeaderState {
                 term,
                 leases: LeaseTable::new(self.lease_timing, since),
                 demand: DemandTable::default(),
-                orders: OrderDesk::new(term, since),
-                placement: PlacementDesk::default(),
+                orders: OrderDispatcher::new(term, since),
+                placement: PlacementManager::default(),
                 last_announcements: LastAnnouncements::default(),
                 failed_at: BTreeMap::new(),
-                paces: Paces::default(),
+                paces: EnginePaces::default(),
                 checked_at: BTreeMap::new(),
                 watched_upto: Revision::ZERO,
                 next_silence_check: since,
-                next_suspects: since,
+                next_suspect_cleanup: since,
                 urgent: UrgentChanges::new(self.published_revision),
-                in_use: UseTable::default(),
+                engine_load: EngineLoadTable::default(),
                 last_reply_round: BTreeMap::new(),
                 admin_addresses: BTreeMap::new(),
                 held_bytes: BTreeMap::new(),
                 orphans_checked: false,
-                full: FullTable::default(),
+                full: RefusalTable::default(),
                 repeats: None,
-                limits: LimitDesk::new(term),
+                limits: TargetLimiter::new(term),
             });
         }
     }
@@ -353,17 +355,17 @@
         }
     }
 
-    pub(super) fn answer_unknown(&self, requester: Asker, out: &mut Vec<ControlAction>) {
+    pub(super) fn answer_unknown(&self, requester: Requester, out: &mut Vec<ControlAction>) {
         match requester {
-            Asker::Router(token) => out.push(ControlAction::Reply {
+            Requester::Router(token) => out.push(ControlAction::Reply {
                 token,
                 reply: ControlReply::Unknown,
             }),
-            Asker::Operator(token, _) => out.push(ControlAction::OperatorReply {
+            Requester::Operator(token, _) => out.push(ControlAction::OperatorReply {
                 token,
                 reply: OperatorReply::Unknown,
             }),
-            Asker::Nobody => {}
+            Requester::Internal => {}
         }
     }
 
@@ -382,10 +384,10 @@
         &mut self,
         now: Instant,
         body: CommandBody,
-        requester: Asker,
+        requester: Requester,
         out: &mut Vec<ControlAction>,
     ) {
-        let at_ms = self.wall_ms.max(self.machine.clock_ms());
+        let at_ms = self.wall_ms.max(self.state_machine.clock_ms());
         let command = Command { at_ms, body };
         let command = command.to_bytes();
         let token = self.next_token;
@@ -406,8 +408,8 @@
     fn handle_refused(&mut self, token: u64, out: &mut Vec<ControlAction>) {
         let leader = self.leader_slot();
         match self.requester_by_token.remove(&token) {
-            Some(Asker::Router(token)) => self.not_leader(token, out),
-            Some(Asker::Operator(token, _)) => out.push(ControlAction::OperatorReply {
+            Some(Requester::Router(token)) => self.not_leader(token, out),
+            Some(Requester::Operator(token, _)) => out.push(ControlAction::OperatorReply {
                 token,
                 reply: OperatorReply::NotLeader { leader },
             }),
--- a/crates/deckwind-core/src/control/cut_reports.rs
+++ b/crates/deckwind-core/src/control/cut_reports.rs
@@ -4,7 +4,7 @@
 use super::control_core::ControlCore;
 use super::event::ControlAction;
 use super::messages::{ControlReply, CutReport};
-use super::pending::Asker;
+use super::pending::Requester;
 use crate::state::CommandBody;
 use crate::time::Instant;
 use std::time::Duration;
@@ -18,7 +18,7 @@
     /// after 50 ms instead of 3.6 s, the request content under which it ended is known
     /// before the caller tries again. The report is answered once its changes are
     /// committed.
-    pub(super) fn runs_cut(
+    pub(super) fn handle_cut_report(
         &mut self,
         now: Instant,
         token: u64,
@@ -32,24 +32,24 @@
             return;
         }
         let body = CommandBody::Suspects(report.changes);
-        self.propose(now, body, Asker::Router(token), out);
+        self.propose(now, body, Requester::Router(token), out);
     }
 
     /// Proposes the removal of outdated suspects, if there are any.
-    pub(super) fn drop_outdated_suspects(&mut self, now: Instant, out: &mut Vec<ControlAction>) {
-        if !self.replica.may_answer(now) {
+    pub(super) fn remove_outdated_suspects(&mut self, now: Instant, out: &mut Vec<ControlAction>) {
+        if !self.replica.can_serve_reads(now) {
             return;
         }
-        let Some(leading) = &mut self.leading else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if now < leading.next_suspects {
+        if now < leader_state.next_suspect_cleanup {
             return;
         }
-        leading.next_suspects = now + OUTDATED_CHECK_INTERVAL;
-        if self.machine.quarantine().has_outdated(self.wall_ms) {
+        leader_state.next_suspect_cleanup = now + OUTDATED_CHECK_INTERVAL;
+        if self.state_machine.quarantine().has_expired(self.wall_ms) {
             let body = CommandBody::Suspects(Vec::new());
-            self.propose(now, body, Asker::Nobody, out);
+            self.propose(now, body, Requester::Internal, out);
         }
     }
 }
--- a/crates/deckwind-core/src/control/demand.rs
+++ b/crates/deckwind-core/src/control/demand.rs
@@ -4,7 +4,7 @@
 //! stays valid. The cost of a renewal is therefore proportional to the accounts that it
 //! lists, not to accounts × routers.
 
-use crate::membership::{AccountDemand, AccountShare, share_of};
+use crate::membership::{AccountDemand, AccountShare, account_share};
 use crate::state::{AccountName, Configuration, VmName};
 use std::collections::BTreeMap;
 
@@ -50,7 +50,7 @@
         let share = |(name, d): &(AccountName, AccountDemand)| {
             let limit = cfg.account(name)?.limits.requests_per_s;
             let total = self.totals.get(name).copied().unwrap_or(d.per_s);
-            Some((name.clone(), share_of(limit, *d, total, routers)))
+            Some((name.clone(), account_share(limit, *d, total, routers)))
         };
         demand.iter().filter_map(share).collect()
     }
--- a/crates/deckwind-core/src/control/in_use.rs
+++ b/crates/deckwind-core/src/control/engine_load.rs
@@ -10,7 +10,7 @@
 //!  total ──changed by a step──► published under the next sequence number ──► routers that know less
 //! ```
 
-use super::messages::{EngineUse, UseNews, UseNumber};
+use super::messages::{EngineLoadUpdate, EngineLoadVersion, EngineStreamLoad};
 use crate::replication::Term;
 use crate::routing::paths::Held;
 use crate::state::{DataCentre, VmName};
@@ -31,11 +31,11 @@
 
 /// Capacity of an engine for streams.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct EngineRoom {
+pub(super) struct EngineCapacity {
     /// Data centre of the engine.
     pub data_centre: DataCentre,
     /// Capacity of its memory, in tokens times the layers that keep them.
-    pub keeps: u64,
+    pub token_capacity: u64,
     /// Number of streams that may begin at it.
     pub slots: u32,
 }
@@ -51,15 +51,15 @@
 #[derive(Clone, Debug)]
 struct EngineTotal {
     total: Held,
-    room: EngineRoom,
+    room: EngineCapacity,
     fine: Published,
     coarse: Published,
 }
 
 /// Load of the streams of all routers, by engine.
 #[derive(Clone, Debug, Default)]
-pub(super) struct UseTable {
-    by_router: BTreeMap<VmName, Vec<EngineUse>>,
+pub(super) struct EngineLoadTable {
+    by_router: BTreeMap<VmName, Vec<EngineStreamLoad>>,
     totals: BTreeMap<SocketAddr, EngineTotal>,
     /// Engines by data centre and by the sequence number under which their total was last
     /// published to that data centre.
@@ -69,14 +69,14 @@
     sequence: u64,
 }
 
-impl UseTable {
+impl EngineLoadTable {
     /// Replaces the load that a router's streams put on engines. `room` returns the
     /// capacity of an engine if it is known.
     pub fn put(
         &mut self,
         vm: &VmName,
-        uses: &[EngineUse],
-        room: impl Fn(SocketAddr) -> Option<EngineRoom>,
+        uses: &[EngineStreamLoad],
+        room: impl Fn(SocketAddr) -> Option<EngineCapacity>,
     ) {
         if self.by_router.get(vm).is_some_and(|before| before == uses) {
             return;
@@ -102,7 +102,7 @@
     fn total_of(
         &mut self,
         address: SocketAddr,
-        room: &impl Fn(SocketAddr) -> Option<EngineRoom>,
+        room: &impl Fn(SocketAddr) -> Option<EngineCapacity>,
     ) -> Option<&mut EngineTotal> {
         let room = room(address);
         if let Some(entry) = self.totals.get_mut(&address) {
@@ -141,7 +141,7 @@
             };
             let step = |of: u64| of * routers / (FULL_STEP_ROUTERS * FINE_STEPS_PER_CAPACITY);
             let steps = Held {
-                layer_tokens: step(entry.room.keeps),
+                layer_tokens: step(entry.room.token_capacity),
                 begun: step(u64::from(entry.room.slots)) as u32,
             };
             if exceeds_step(entry.total, entry.fine.held, steps) {
@@ -172,7 +172,7 @@
 
     /// Returns the tokens times layers that the streams of all routers hold at an engine,
     /// or `None` if they hold nothing.
-    pub fn at(&self, address: SocketAddr) -> Option<u64> {
+    pub fn layer_tokens_at(&self, address: SocketAddr) -> Option<u64> {
         let total = self
             .totals
             .get(&address)
@@ -183,12 +183,12 @@
     /// Returns the totals published since `known` that matter to a router in this data
     /// centre, or `None` if it is up to date. A router that knows nothing of this
     /// leader's term gets all of them.
-    pub fn news(
+    pub fn updates_since(
         &self,
         term: Term,
         data_centre: &DataCentre,
-        known: Option<UseNumber>,
-    ) -> Option<UseNews> {
+        known: Option<EngineLoadVersion>,
+    ) -> Option<EngineLoadUpdate> {
         let known = known.filter(|known| known.term == term);
         let known_sequence = known.map_or(0, |known| known.number);
         if known.is_some() && known_sequence == self.sequence {
@@ -199,15 +199,15 @@
         let fine = fine.flat_map(|engines| engines.range(from..));
         let fine = fine.filter_map(|(_, address)| {
             let entry = self.totals.get(address)?;
-            Some(EngineUse::new(*address, entry.fine.held))
+            Some(EngineStreamLoad::new(*address, entry.fine.held))
         });
         let coarse = self.coarse.range(from..).filter_map(|(_, address)| {
             let entry = self.totals.get(address)?;
             let elsewhere = entry.room.data_centre != *data_centre;
-            elsewhere.then(|| EngineUse::new(*address, entry.coarse.held))
+            elsewhere.then(|| EngineStreamLoad::new(*address, entry.coarse.held))
         });
-        Some(UseNews {
-            upto: UseNumber {
+        Some(EngineLoadUpdate {
+            upto: EngineLoadVersion {
                 term,
                 number: self.sequence,
             },
@@ -223,7 +223,7 @@
     fine: &mut BTreeMap<DataCentre, BTreeSet<(u64, SocketAddr)>>,
     address: SocketAddr,
     entry: &mut EngineTotal,
-    room: EngineRoom,
+    room: EngineCapacity,
 ) {
     if entry.room.data_centre != room.data_centre {
         if let Some(engines) = fine.get_mut(&entry.room.data_centre) {
--- a/crates/deckwind-core/src/control/event.rs
+++ b/crates/deckwind-core/src/control/event.rs
@@ -1,15 +1,15 @@
 //! Events that drive a control replica, and the actions its driver must perform.
 
-use super::announcement_reports::HeardTargets;
-use super::limit_desk::LimitChange;
+use super::announcement_reports::AnnouncementReport;
 use super::limit_messages::LimitKey;
 use super::messages::{ControlReply, ControlRequest};
 use super::operator::{OperatorReply, OperatorRequest};
 use super::orders::OrderBatch;
-use super::placement_desk::PlaceOrder;
+use super::placement_manager::PlacementOrder;
 use super::relay_messages::RelayedRequest;
+use super::target_limiter::LimitChange;
 use crate::replication::{Action, Entry, Event, SnapshotMeta};
-use crate::state::{ClaimLimits, LayerRange, Life, TargetName, VmName};
+use crate::state::{ClaimLimits, Incarnation, LayerRange, TargetName, VmName};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -35,10 +35,11 @@
 }
 
 /// Default interval at which targets announce themselves.
-pub const DEFAULT_PERIOD: Duration = Duration::from_millis(1_200);
+pub const DEFAULT_ANNOUNCE_INTERVAL: Duration = Duration::from_millis(1_200);
 
 /// Valid range of the interval at which targets announce themselves.
-pub const PERIODS: RangeInclusive<Duration> = Duration::from_millis(100)..=Duration::from_secs(60);
+pub const ANNOUNCE_INTERVAL_RANGE: RangeInclusive<Duration> =
+    Duration::from_millis(100)..=Duration::from_secs(60);
 
 /// Default link speed of a control VM in Mbit/s: the least that small VMs have.
 const DEFAULT_LINK_MBPS: f64 = 100.0;
@@ -51,7 +52,7 @@
 impl ControlLimits {
     /// Returns the rate of state, in bytes per second, that a link of the given speed may
     /// carry.
-    pub fn state_pace(link_mbps: f64) -> f64 {
+    pub fn state_rate_for_link(link_mbps: f64) -> f64 {
         const BYTES_PER_MBIT: f64 = 125_000.0;
         link_mbps * BYTES_PER_MBIT * STATE_LINK_SHARE
     }
@@ -63,8 +64,8 @@
             compact_after: 4_096,
             compact_bytes: 1 << 20,
             max_renewal_wait: Duration::from_millis(400),
-            state_bytes_per_s: Self::state_pace(DEFAULT_LINK_MBPS),
-            announce_every: DEFAULT_PERIOD,
+            state_bytes_per_s: Self::state_rate_for_link(DEFAULT_LINK_MBPS),
+            announce_every: DEFAULT_ANNOUNCE_INTERVAL,
             claims: ClaimLimits::default(),
         }
     }
@@ -102,17 +103,17 @@
         /// The target.
         target: TargetName,
         /// Whether the target accepted all orders.
-        taken: bool,
+        accepted: bool,
     },
     /// Result of a reachability check of a target.
     Checked {
         /// The checked incarnation.
-        life: Life,
+        life: Incarnation,
         /// Whether it appears to be reachable.
-        there: bool,
+        is_running: bool,
     },
     /// Report of the announcements that another replica has received.
-    Heard(HeardTargets),
+    AnnouncementReport(AnnouncementReport),
     /// Pace reported by an engine.
     Pace {
         /// Address of the engine.
@@ -121,9 +122,9 @@
         percent: u32,
     },
     /// End of a layer placement order.
-    Placed {
+    PlacementDone {
         /// The incarnation that received the order.
-        life: Life,
+        life: Incarnation,
         /// Layers it held afterwards, if known.
         held: Option<LayerRange>,
     },
@@ -168,22 +169,22 @@
     },
     /// Send these orders, then report [`ControlEvent::OrdersDone`].
     Order(OrderBatch),
-    /// Order an engine to hold other layers, then report [`ControlEvent::Placed`].
-    Place(PlaceOrder),
+    /// Order an engine to hold other layers, then report [`ControlEvent::PlacementDone`].
+    Place(PlacementOrder),
     /// Check whether a target is reachable, then report [`ControlEvent::Checked`].
     Check {
         /// The incarnation to check.
-        life: Life,
+        life: Incarnation,
         /// Address of the target.
         address: SocketAddr,
     },
     /// Probe an engine for its pace and report [`ControlEvent::Pace`] if it answers.
-    AskPace {
+    ProbePace {
         /// Address of the engine.
         address: SocketAddr,
     },
     /// Forward requests of routers to the leader. The message may be lost.
-    PassOn {
+    ForwardRequests {
         /// Slot of the leader.
         slot: u32,
         /// The requests.
@@ -191,24 +192,24 @@
     },
     /// Report the announcements received by this replica to the leader. The message may
     /// be lost.
-    TellHeard {
+    ReportAnnouncements {
         /// Slot of the leader.
         slot: u32,
         /// The report.
-        heard: HeardTargets,
+        heard: AnnouncementReport,
     },
     /// Log and count a decision of the leader on an incarnation of a target.
-    NoteLife(LifeNote),
+    LogIncarnationDecision(IncarnationDecision),
     /// Log and count a decision of the leader on a limit named by a target.
-    NoteLimit(LimitNote),
+    LogLimitDecision(LimitDecision),
     /// Stop at once, as committed data cannot be decoded. Continuing would let the state
     /// of this replica diverge from that of the others.
-    Stop(Unreadable),
+    Stop(DecodeError),
 }
 
 /// Committed data that cannot be decoded because a newer version wrote it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum Unreadable {
+pub enum DecodeError {
     /// A command in the log.
     #[error("the command at index {index} is of another version; update this replica")]
     Command {
@@ -222,7 +223,7 @@
 
 /// A decision of the leader on a limit named by a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LimitNote {
+pub struct LimitDecision {
     /// The target.
     pub target: LimitKey,
     /// Change of its limit.
@@ -235,20 +236,20 @@
 
 /// A decision of the leader on an incarnation of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum LifeNote {
+pub enum IncarnationDecision {
     /// The incarnation ended, as a newer one of the same target announced itself.
     Ended {
         /// The ended incarnation.
-        life: Life,
+        life: Incarnation,
         /// The newer incarnation.
-        by: Life,
+        by: Incarnation,
     },
     /// The incarnation is unconfirmed and was ignored, as it announced an earlier start
     /// than incarnations that are still announcing themselves.
-    Doubted {
+    Unconfirmed {
         /// The unconfirmed incarnation.
-        life: Life,
+        life: Incarnation,
         /// The first of the incarnations still active.
-        over: Life,
+        over: Incarnation,
     },
 }
--- a/crates/deckwind-core/src/control/full_engines.rs
+++ b/crates/deckwind-core/src/control/full_engines.rs
@@ -13,7 +13,7 @@
 
 /// The last refusal of each engine, and when refusals were last sent to each router.
 #[derive(Clone, Debug, Default)]
-pub(super) struct FullTable {
+pub(super) struct RefusalTable {
     latest: BTreeMap<SocketAddr, Refusal>,
     told_at: BTreeMap<VmName, Instant>,
 }
@@ -25,9 +25,9 @@
     full: EngineFull,
 }
 
-impl FullTable {
+impl RefusalTable {
     /// Records refusals that the router `by` reported.
-    pub fn told(&mut self, now: Instant, by: &VmName, full: &[EngineFull]) {
+    pub fn record_refusals(&mut self, now: Instant, by: &VmName, full: &[EngineFull]) {
         self.latest.retain(|_, r| now.since(r.at) < REFUSAL_TTL);
         for engine in full {
             let refusal = Refusal {
@@ -41,7 +41,7 @@
 
     /// Returns the refusals that other routers reported and that weren't sent to this router
     /// yet.
-    pub fn news_for(&mut self, now: Instant, vm: &VmName) -> Vec<EngineFull> {
+    pub fn refusals_for(&mut self, now: Instant, vm: &VmName) -> Vec<EngineFull> {
         let told_at = self.told_at.insert(vm.clone(), now);
         let news = |r: &&Refusal| {
             let fresh = now.since(r.at) < REFUSAL_TTL && r.reported_by != *vm;
--- a/crates/deckwind-core/src/control/grants.rs
+++ b/crates/deckwind-core/src/control/grants.rs
@@ -3,10 +3,10 @@
 
 use super::control_core::{ControlCore, LeaderState};
 use super::event::ControlAction;
-use super::limit_desk::LimitDesk;
 use super::messages::{ControlReply, Grant, Renewal};
 use super::parked_renewals::ParkedRenewal;
-use super::wake::Urgency;
+use super::reply_schedule::Urgency;
+use super::target_limiter::TargetLimiter;
 use crate::state::{PackedDelta, Revision, VmName};
 use crate::time::Instant;
 use std::collections::BTreeMap;
@@ -47,7 +47,7 @@
 impl ControlCore {
     /// Requests a reply round that informs routers of a change, and starts it if it is
     /// due already.
-    pub(super) fn wake_routers(
+    pub(super) fn inform_routers(
         &mut self,
         now: Instant,
         urgency: Urgency,
@@ -60,32 +60,32 @@
     /// Answers the parked renewals whose wait has expired or for which there is a change
     /// to send.
     pub(super) fn answer_parked(&mut self, now: Instant, out: &mut Vec<ControlAction>) {
-        let shown = self.machine.configuration().shown();
+        let shown = self.state_machine.configuration().visible_revision();
         let before = self.published_revision;
         let round = self.round_schedule.start_if_due(now);
         if round || !self.round_schedule.is_pending() {
             self.published_revision = self.published_revision.max(shown);
         }
-        let limits = self.limit_desk().map(LimitDesk::revision);
+        let limits = self.target_limiter().map(TargetLimiter::revision);
         let has_changes = self.published_revision > before || limits != self.answered_limits;
         self.answered_limits = limits;
         if round {
             self.reply_rounds += 1;
             for parked in self.parked.take_all() {
-                self.looks.renewals += 1;
+                self.scan_counts.renewals += 1;
                 self.answer_renewal(now, parked, out);
             }
         } else if has_changes {
             for token in self.parked.tokens() {
-                self.look_at(now, token, out);
+                self.recheck_parked(now, token, out);
             }
         }
         while let Some(parked) = self.parked.take_expired(now) {
-            self.looks.renewals += 1;
+            self.scan_counts.renewals += 1;
             self.answer_renewal(now, parked, out);
         }
         while let Some(parked) = self.parked.take_throttled() {
-            self.looks.renewals += 1;
+            self.scan_counts.renewals += 1;
             if !self.answer_renewal(now, parked, out) {
                 break;
             }
@@ -93,7 +93,12 @@
     }
 
     /// Answers a parked renewal if there is a change to send.
-    pub(super) fn look_at(&mut self, now: Instant, token: u64, out: &mut Vec<ControlAction>) {
+    pub(super) fn recheck_parked(
+        &mut self,
+        now: Instant,
+        token: u64,
+        out: &mut Vec<ControlAction>,
+    ) {
         if let Some(parked) = self.parked.take(token) {
             self.answer_or_park(now, parked, out);
         }
@@ -107,13 +112,13 @@
         parked: ParkedRenewal,
         out: &mut Vec<ControlAction>,
     ) {
-        self.looks.renewals += 1;
+        self.scan_counts.renewals += 1;
         let expired = parked.deadline <= now;
         // Changes made after the last round wait for the next one.
         let behind = parked.renewal.applied < self.published_revision;
         let missed = self.has_missed_last_round(&parked.renewal.holder.vm);
-        let repeats = self.has_repeats_for(&parked.renewal.holder);
-        let limits = self.has_limits_for(&parked.renewal);
+        let repeats = self.has_unannounced_retries(&parked.renewal.holder);
+        let limits = self.has_other_limits(&parked.renewal);
         match expired || behind || missed || repeats || limits {
             true => drop(self.answer_renewal(now, parked, out)),
             false => self.parked.park(parked),
@@ -130,7 +135,7 @@
         out: &mut Vec<ControlAction>,
     ) -> bool {
         let token = parked.token;
-        if !self.replica.may_answer(now) {
+        if !self.replica.can_serve_reads(now) {
             self.not_leader(token, out);
             return true;
         }
@@ -143,8 +148,10 @@
             }
             delta = None;
         }
-        let lasts = match (&delta, &self.leading) {
-            (None, Some(leading)) => leading.urgent.time_left(now, parked.renewal.applied),
+        let lasts = match (&delta, &self.leader_state) {
+            (None, Some(leader_state)) => {
+                leader_state.urgent.time_left(now, parked.renewal.applied)
+            }
             _ => None,
         };
         match self.grant(now, &parked.renewal, lasts, delta) {
@@ -164,7 +171,7 @@
         if delivery.is_some_and(|delivery| self.sent_deltas.contains(&delivery)) {
             return true;
         }
-        let is_allowed = self.pace.take(now, size);
+        let is_allowed = self.state_rate_limiter.take(now, size);
         if is_allowed {
             self.sent_deltas.extend(delivery);
         }
@@ -175,7 +182,7 @@
     /// Rounds also carry updates that are not changes of the state.
     fn has_missed_last_round(&self, vm: &VmName) -> bool {
         let last_round = self
-            .leading
+            .leader_state
             .as_ref()
             .and_then(|l| l.last_reply_round.get(vm));
         last_round.is_some_and(|round| *round < self.reply_rounds)
@@ -183,8 +190,8 @@
 
     /// Returns the packed changes since revision `applied`, or `None` if there are none.
     fn packed_delta_since(&mut self, applied: Revision) -> Option<PackedDelta> {
-        self.machine.hand_out(true);
-        let cfg = self.machine.configuration();
+        self.state_machine.set_record_changes(true);
+        let cfg = self.state_machine.configuration();
         if applied >= cfg.revision() {
             return None;
         }
@@ -207,31 +214,35 @@
         delta: Option<PackedDelta>,
     ) -> Option<Grant> {
         let term = self.replica.term();
-        let leading = self.leading.as_mut()?;
+        let leader_state = self.leader_state.as_mut()?;
         let vm = &renewal.holder.vm;
-        leading
+        leader_state
             .last_reply_round
             .insert(vm.clone(), self.reply_rounds);
-        let cfg = self.machine.configuration();
-        let routers = leading.leases.len() as u32;
+        let cfg = self.state_machine.configuration();
+        let routers = leader_state.leases.len() as u32;
         let replicas = self.replica.members().all().map(|id| id.slot);
-        let desk = leading.repeats.as_mut();
+        let desk = leader_state.repeats.as_mut();
         let repeats = desk.map_or(Vec::new(), |d| d.grants(now, &renewal.holder));
         Some(Grant {
             term,
             lasts,
             delta,
-            shares: leading.demand.shares(&renewal.demand, routers, cfg),
+            shares: leader_state.demand.shares(&renewal.demand, routers, cfg),
             routers,
-            in_use: leading
-                .in_use
-                .news(term, &renewal.data_centre, renewal.use_known),
+            in_use: leader_state.engine_load.updates_since(
+                term,
+                &renewal.data_centre,
+                renewal.use_known,
+            ),
             replicas: replicas.collect(),
-            failing: leading.recently_failing(now),
+            failing: leader_state.recently_failing(now),
             repeats,
-            full: leading.full.news_for(now, &renewal.holder.vm),
-            slow: leading.paces.slow(now),
-            limits: leading.limits.list_for(now, renewal.limits.known),
+            full: leader_state.full.refusals_for(now, &renewal.holder.vm),
+            slow: leader_state.paces.slow(now),
+            limits: leader_state
+                .limits
+                .list_if_changed(now, renewal.limits.known),
         })
     }
 }
--- a/crates/deckwind-core/src/control/lives.rs
+++ b/crates/deckwind-core/src/control/incarnations.rs
@@ -2,17 +2,17 @@
 //! and which announcements must be ignored.
 
 use super::announcement_fault::AnnouncementFault;
-use super::announcements::SILENT_PERIODS;
+use super::announcements::MAX_MISSED_ANNOUNCEMENTS;
 use super::control_core::{ControlCore, LeaderState};
-use super::event::{ControlAction, LifeNote};
-use crate::state::{CommandBody, Instance, InstanceState, Instances, Life};
+use super::event::{ControlAction, IncarnationDecision};
+use crate::state::{CommandBody, Incarnation, Instance, InstanceState, Instances};
 use crate::time::Instant;
 use std::time::Duration;
 
 impl LeaderState {
     /// Returns the time since the last announcement of an incarnation. `since` is the
     /// time this replica became leader, which counts if there was none since.
-    pub(super) fn silence(&self, now: Instant, since: Instant, life: &Life) -> Duration {
+    pub(super) fn silence(&self, now: Instant, since: Instant, life: &Incarnation) -> Duration {
         now.since(self.last_announcements.last_received(life).unwrap_or(since))
     }
 
@@ -24,39 +24,42 @@
         now: Instant,
         since: Instant,
         committed: &Instances,
-        life: &Life,
+        life: &Incarnation,
         period: Duration,
     ) -> bool {
         let known = committed.get(&life.id);
         let is_marked_silent = known.is_some_and(|i| i.state == InstanceState::Silent);
-        is_marked_silent || self.silence(now, since, life) > period * SILENT_PERIODS
+        is_marked_silent || self.silence(now, since, life) > period * MAX_MISSED_ANNOUNCEMENTS
     }
 }
 
 /// Returns the log note for an unconfirmed incarnation, which is ignored while
-/// `active_life` announces itself.
-pub(super) fn unconfirmed_life_note(life: Life, active_life: &Life) -> ControlAction {
-    let over = active_life.clone();
-    ControlAction::NoteLife(LifeNote::Doubted { life, over })
+/// `active_incarnation` announces itself.
+pub(super) fn unconfirmed_incarnation(
+    life: Incarnation,
+    active_incarnation: &Incarnation,
+) -> ControlAction {
+    let over = active_incarnation.clone();
+    ControlAction::LogIncarnationDecision(IncarnationDecision::Unconfirmed { life, over })
 }
 
 impl ControlCore {
     /// Returns the reason for rejecting an announcement, whoever sent it. Engines of a
     /// layered pool must name their accelerator, without which they cannot load layers.
     pub(super) fn find_announcement_fault(&self, instance: &Instance) -> Option<AnnouncementFault> {
-        let cfg = self.machine.configuration();
+        let cfg = self.state_machine.configuration();
         let release = cfg.release().map(AsRef::as_ref);
         let layered = release.is_some_and(|r| r.is_layered(&instance.pool));
         if layered && instance.accelerator.is_none() {
             return Some(AnnouncementFault::FieldMissing);
         }
-        let names_unknown_pool = cfg.instances().is_misplaced(instance, release);
+        let names_unknown_pool = cfg.instances().names_unknown_pool(instance, release);
         names_unknown_pool.then_some(AnnouncementFault::UnknownPool)
     }
 
     /// Emits notes for the incarnations that a command ends. Called before the command is
     /// applied. Returns whether there are any: routers still send requests through them.
-    pub(super) fn note_ended_lives(
+    pub(super) fn log_ended_incarnations(
         &self,
         body: &CommandBody,
         out: &mut Vec<ControlAction>,
@@ -64,11 +67,15 @@
         let CommandBody::Instances(changes) = body else {
             return false;
         };
-        let ended = self.machine.configuration().instances().ended_by(changes);
-        if self.leading.is_some() {
-            let note = |(life, by): &(Life, Life)| {
+        let ended = self
+            .state_machine
+            .configuration()
+            .instances()
+            .superseded_by(changes);
+        if self.leader_state.is_some() {
+            let note = |(life, by): &(Incarnation, Incarnation)| {
                 let (life, by) = (life.clone(), by.clone());
-                ControlAction::NoteLife(LifeNote::Ended { life, by })
+                ControlAction::LogIncarnationDecision(IncarnationDecision::Ended { life, by })
             };
             out.extend(ended.iter().map(note));
         }
--- a/crates/deckwind-core/src/control/limit_handlers.rs
+++ b/crates/deckwind-core/src/control/limit_handlers.rs
@@ -1,19 +1,19 @@
 //! Handling of limit reports and permit requests by [`ControlCore`].
 
 use super::control_core::ControlCore;
-use super::event::{ControlAction, LimitNote};
-use super::limit_desk::LimitDesk;
-use super::limit_messages::{LimitHeard, LimitReport, PermitAnswer, PermitAsk};
+use super::event::{ControlAction, LimitDecision};
+use super::limit_messages::{LimitReport, PermitAnswer, PermitRequest, ReceivedLimit};
 use super::messages::{ControlReply, Renewal};
-use crate::state::Holder;
+use super::target_limiter::TargetLimiter;
+use crate::state::RouterProcess;
 use crate::time::Instant;
 
 impl ControlCore {
     /// Handles the limits that a router reports with a renewal.
-    pub(super) fn limits_reported(
+    pub(super) fn handle_limit_report(
         &mut self,
         now: Instant,
-        holder: &Holder,
+        holder: &RouterProcess,
         report: &LimitReport,
         out: &mut Vec<ControlAction>,
     ) {
@@ -25,15 +25,15 @@
     fn record_limit(
         &mut self,
         now: Instant,
-        holder: &Holder,
-        heard: &LimitHeard,
+        holder: &RouterProcess,
+        heard: &ReceivedLimit,
         out: &mut Vec<ControlAction>,
     ) {
-        let Some(leading) = &mut self.leading else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if let Some(change) = leading.limits.heard(now, heard) {
-            out.push(ControlAction::NoteLimit(LimitNote {
+        if let Some(change) = leader_state.limits.record_received_limit(now, heard) {
+            out.push(ControlAction::LogLimitDecision(LimitDecision {
                 target: heard.target.clone(),
                 change,
                 by: holder.vm.clone(),
@@ -44,23 +44,23 @@
 
     /// Handles a router's request for permits to send to limited targets. The limits that
     /// come with the request are recorded first.
-    pub(super) fn permits_wanted(
+    pub(super) fn handle_permit_request(
         &mut self,
         now: Instant,
         token: u64,
-        holder: &Holder,
-        asks: &[PermitAsk],
+        holder: &RouterProcess,
+        asks: &[PermitRequest],
         out: &mut Vec<ControlAction>,
     ) {
-        let before = self.limit_desk().map(LimitDesk::revision);
+        let before = self.target_limiter().map(TargetLimiter::revision);
         for ask in asks {
             self.record_limit(now, holder, &ask.heard, out);
         }
-        let Some(leading) = &mut self.leading else {
+        let Some(leader_state) = &mut self.leader_state else {
             self.not_leader(token, out);
             return;
         };
-        let desk = &mut leading.limits;
+        let desk = &mut leader_state.limits;
         let changed = before != Some(desk.revision());
         let verdicts = asks.iter().map(|ask| desk.permit(now, ask)).collect();
         let answer = PermitAnswer {
@@ -75,20 +75,20 @@
     }
 
     /// Returns whether a router's list of limited targets differs from the leader's.
-    pub(super) fn has_limits_for(&self, renewal: &Renewal) -> bool {
-        let leading = self.leading.as_ref();
-        leading.is_some_and(|l| l.limits.has_news(renewal.limits.known))
+    pub(super) fn has_other_limits(&self, renewal: &Renewal) -> bool {
+        let leader_state = self.leader_state.as_ref();
+        leader_state.is_some_and(|l| l.limits.has_news(renewal.limits.known))
     }
 
     /// Removes limits that ended or are out of date.
     pub(super) fn forget_limits(&mut self, now: Instant) {
-        if let Some(leading) = &mut self.leading {
-            leading.limits.forget(now);
+        if let Some(leader_state) = &mut self.leader_state {
+            leader_state.limits.forget(now);
         }
     }
 
     /// Returns the limits that this replica keeps, or `None` if it isn't the leader.
-    pub fn limit_desk(&self) -> Option<&LimitDesk> {
-        self.leading.as_ref().map(|l| &l.limits)
+    pub fn target_limiter(&self) -> Option<&TargetLimiter> {
+        self.leader_state.as_ref().map(|l| &l.limits)
     }
 }
--- a/crates/deckwind-core/src/control/limit_messages.rs
+++ b/crates/deckwind-core/src/control/limit_messages.rs
@@ -2,7 +2,7 @@
 
 use crate::rate::Rate;
 use crate::replication::Term;
-use crate::state::{Instance, Life};
+use crate::state::{Incarnation, Instance};
 use crate::time::Instant;
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -15,7 +15,7 @@
     /// Address of the target.
     pub address: SocketAddr,
     /// Incarnation of the target.
-    pub life: Life,
+    pub life: Incarnation,
 }
 
 impl LimitKey {
@@ -45,7 +45,7 @@
 
 /// Limit of a target as a router received it in answers of the target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitHeard {
+pub struct ReceivedLimit {
     /// The target.
     pub target: LimitKey,
     /// Last limit that the target announced.
@@ -65,7 +65,7 @@
     /// Revision of the list of limited targets that the router has.
     pub known: Option<LimitRevision>,
     /// Limits received since the router's last report.
-    pub heard: Vec<LimitHeard>,
+    pub heard: Vec<ReceivedLimit>,
 }
 
 /// Revision of a list of limited targets. It changes when a target is added or removed.
@@ -99,9 +99,9 @@
 
 /// A router's request for permits to send to a limited target.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PermitAsk {
+pub struct PermitRequest {
     /// Limit as known to the router.
-    pub heard: LimitHeard,
+    pub heard: ReceivedLimit,
     /// Number of requests that wait for a permit.
     pub wants: u32,
 }
--- a/crates/deckwind-core/src/control/messages.rs
+++ b/crates/deckwind-core/src/control/messages.rs
@@ -1,15 +1,15 @@
 //! Messages between routers and control replicas, and between control replicas.
 
-use super::announcement_reports::HeardTargets;
-use super::limit_messages::{LimitList, LimitReport, PermitAnswer, PermitAsk};
+use super::announcement_reports::AnnouncementReport;
+use super::limit_messages::{LimitList, LimitReport, PermitAnswer, PermitRequest};
 use super::relay_messages::{RelayedReplies, RelayedRequests};
-use super::repeat_messages::{RepeatGrant, RepeatReport};
+use super::retry_messages::{RetryGrant, RetryReport};
 use crate::membership::{AccountDemand, AccountShare, LeaseGrant};
 use crate::replication::{Message, Term};
 use crate::routing::paths::Held;
 use crate::state::{
-    AccountName, ClaimRequest, ClaimVerdict, DataCentre, Delta, FinishRequest, Holder, PackedDelta,
-    Revision, SuspectChange, Unpackable,
+    AccountName, ClaimRequest, ClaimVerdict, DataCentre, Delta, FinishRequest, PackedDelta,
+    Revision, RouterProcess, SuspectChange, UnpackError,
 };
 use crate::time::Instant;
 use serde::{Deserialize, Serialize};
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Renewal {
     /// The router process.
-    pub holder: Holder,
+    pub holder: RouterProcess,
     /// Revision the router has applied.
     pub applied: Revision,
     /// Address of its operator interface, for reports.
@@ -30,14 +30,14 @@
     /// Data centre of the router.
     pub data_centre: DataCentre,
     /// Load of this router's streams by engine.
-    pub in_use: Vec<EngineUse>,
+    pub in_use: Vec<EngineStreamLoad>,
     /// Version of the load totals over all routers that this router has.
-    pub use_known: Option<UseNumber>,
+    pub use_known: Option<EngineLoadVersion>,
     /// Targets that recently failed this router.
     pub failing: Vec<SocketAddr>,
     /// Retries that the router process holds and requests; `None` if its settings allow
     /// no retries beyond the share of its own requests.
-    pub repeats: Option<RepeatReport>,
+    pub repeats: Option<RetryReport>,
     /// Limits named by targets.
     pub limits: LimitReport,
     /// Memory held for callers and targets that read slowly, bytes.
@@ -46,7 +46,7 @@
 
 /// Load of streams at one engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EngineUse {
+pub struct EngineStreamLoad {
     /// Address of the engine.
     pub address: SocketAddr,
     /// Estimate of the tokens the streams will keep, times the number of layers that keep
@@ -56,7 +56,7 @@
     pub begun: u32,
 }
 
-impl EngineUse {
+impl EngineStreamLoad {
     /// Creates the message for the load at an engine.
     pub fn new(address: SocketAddr, held: Held) -> Self {
         Self {
@@ -77,7 +77,7 @@
 
 /// Version of the load totals that a router has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UseNumber {
+pub struct EngineLoadVersion {
     /// Term of the leader that sent the totals.
     pub term: Term,
     /// Sequence number, increased with each total that the leader publishes.
@@ -87,14 +87,14 @@
 /// Load totals over all routers, including the receiver, that have changed since the
 /// version the router has.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UseNews {
+pub struct EngineLoadUpdate {
     /// Version the router has after this update.
-    pub upto: UseNumber,
+    pub upto: EngineLoadVersion,
     /// Whether the list is complete, so that engines not listed have no load. Otherwise
     /// the earlier totals of the other engines remain valid.
     pub all: bool,
     /// Load totals by engine.
-    pub engines: Vec<EngineUse>,
+    pub engines: Vec<EngineStreamLoad>,
 }
 
 /// An engine that refused a request for lack of capacity.
@@ -123,13 +123,13 @@
     /// Number of routers with a live lease.
     pub routers: u32,
     /// Load totals over all routers; `None` if the router has them already.
-    pub in_use: Option<UseNews>,
+    pub in_use: Option<EngineLoadUpdate>,
     /// Slots of the control replicas.
     pub replicas: Vec<u32>,
     /// Targets that recently failed a router.
     pub failing: Vec<SocketAddr>,
     /// Retries that the router may use.
-    pub repeats: Vec<RepeatGrant>,
+    pub repeats: Vec<RetryGrant>,
     /// Engines that refused a request since the last grant to this router.
     pub full: Vec<EngineFull>,
     /// Slow engines.
@@ -148,12 +148,12 @@
 }
 
 impl Grant {
-    /// Returns the lease for a router that requested it at `asked`.
-    pub fn lease(&self, asked: Instant) -> LeaseGrant {
+    /// Returns the lease for a router that requested it at `requested_at`.
+    pub fn lease(&self, requested_at: Instant) -> LeaseGrant {
         LeaseGrant {
-            asked,
+            requested_at,
             term: self.term,
-            lasts: self.lasts,
+            duration: self.lasts,
         }
     }
 
@@ -162,7 +162,7 @@
     /// # Errors
     ///
     /// Fails if the delta cannot be unpacked.
-    pub fn changes(&self, applied: Revision) -> Result<Delta, Unpackable> {
+    pub fn changes(&self, applied: Revision) -> Result<Delta, UnpackError> {
         let empty = Delta {
             to: applied,
             ..Delta::default()
@@ -180,20 +180,20 @@
     /// Report targets that have just failed the router.
     Failing(Vec<SocketAddr>),
     /// Release the lease of a router process that has stopped.
-    Release(Holder),
+    Release(RouterProcess),
     /// Claim a non-repeatable request.
     Claim(ClaimRequest),
     /// Record the end of a claimed request.
     Finish(FinishRequest),
     /// Report that retries are running out. New ones come with the lease.
-    Repeats(Holder, RepeatReport),
+    Repeats(RouterProcess, RetryReport),
     /// Report engines that have just refused requests for lack of capacity.
-    Full(Holder, Vec<EngineFull>),
+    Full(RouterProcess, Vec<EngineFull>),
     /// Report engines that may be slow: streams through them have stalled although all of
     /// these engines are reachable.
     PerhapsSlow(Vec<SocketAddr>),
     /// Request permits to send requests to these limited targets.
-    Permits(Holder, Vec<PermitAsk>),
+    Permits(RouterProcess, Vec<PermitRequest>),
     /// Report interrupted request executions. May be sent more than once.
     CutRuns(CutReport),
 }
@@ -236,7 +236,7 @@
     /// A message of the replicated log.
     Replication(Message),
     /// Targets that have announced themselves, sent to the leader.
-    Heard(HeardTargets),
+    Heard(AnnouncementReport),
     /// Requests of routers, forwarded to the leader.
     PassedOn(RelayedRequests),
     /// Answers of the leader to forwarded requests.
--- a/crates/deckwind-core/src/control/mod.rs
+++ b/crates/deckwind-core/src/control/mod.rs
@@ -20,58 +20,58 @@
 mod control_core;
 mod cut_reports;
 mod demand;
+mod engine_load;
 mod event;
 mod full_engines;
 mod grants;
-mod in_use;
-mod limit_desk;
+mod incarnations;
 mod limit_handlers;
 mod limit_messages;
-mod lives;
-mod looks;
 mod maintenance;
 mod messages;
 mod operator;
 mod orders;
-mod pace;
 mod parked_renewals;
 mod pending;
-mod placement_desk;
 mod placement_groups;
+mod placement_manager;
 mod relay;
 mod relay_messages;
-mod repeat_desk;
-mod repeat_handlers;
-mod repeat_messages;
+mod reply_schedule;
 mod requests;
-mod slow;
+mod retry_budget_allocator;
+mod retry_handlers;
+mod retry_messages;
+mod scan_counts;
+mod slow_engines;
+mod state_rate_limiter;
 mod status;
+mod target_limiter;
 mod tracked_allowance;
 mod urgent_changes;
-mod wake;
 
 pub use announcement_fault::AnnouncementFault;
-pub use announcement_reports::HeardTargets;
-pub use announcements::SILENT_PERIODS;
+pub use announcement_reports::AnnouncementReport;
+pub use announcements::MAX_MISSED_ANNOUNCEMENTS;
 pub use control_core::ControlCore;
 pub use event::{
-    ControlAction, ControlEvent, ControlLimits, DEFAULT_PERIOD, LifeNote, LimitNote, PERIODS,
-    Unreadable,
+    ANNOUNCE_INTERVAL_RANGE, ControlAction, ControlEvent, ControlLimits, DEFAULT_ANNOUNCE_INTERVAL,
+    DecodeError, IncarnationDecision, LimitDecision,
 };
-pub use limit_desk::{BURST, LimitChange, LimitDesk, PERMIT_FOR};
 pub use limit_messages::{
-    LeaderTime, LimitHeard, LimitKey, LimitList, LimitReport, LimitRevision, NamedLimit,
-    PermitAnswer, PermitAsk, PermitVerdict,
+    LeaderTime, LimitKey, LimitList, LimitReport, LimitRevision, NamedLimit, PermitAnswer,
+    PermitRequest, PermitVerdict, ReceivedLimit,
 };
-pub use looks::Looks;
 pub use messages::{
-    ControlReply, ControlRequest, CutReport, EngineFull, EnginePace, EngineUse, Grant, PeerMessage,
-    Renewal, UseNews, UseNumber,
+    ControlReply, ControlRequest, CutReport, EngineFull, EngineLoadUpdate, EngineLoadVersion,
+    EnginePace, EngineStreamLoad, Grant, PeerMessage, Renewal,
 };
 pub use operator::{ConfigurationView, OperatorReply, OperatorRequest};
-pub use orders::{ORDER_FLIGHT, OrderBatch, OrderKind, TargetOrder};
-pub use placement_desk::{GiveUp, PlaceOrder, PlaceWork, PlacementDesk};
+pub use orders::{MAX_ORDER_FLIGHT_TIME, OrderBatch, OrderKind, TargetOrder};
+pub use placement_manager::{PlacementManager, PlacementOrder, PlacementStep, UnloadMode};
 pub use relay_messages::{RelayedReplies, RelayedRequest, RelayedRequests};
-pub use repeat_desk::{RepeatCounts, RepeatDesk};
-pub use repeat_messages::{PoolReport, RepeatGrant, RepeatReport};
+pub use retry_budget_allocator::{RetryBudgetAllocator, RetryCounts};
+pub use retry_messages::{PoolRetryReport, RetryGrant, RetryReport};
+pub use scan_counts::ScanCounts;
 pub use status::{ClusterStatus, EngineView, QuarantinedView, ReplicaView, RouterView};
+pub use target_limiter::{LimitChange, PERMIT_BURST, PERMIT_TTL, TargetLimiter};
--- a/crates/deckwind-core/src/control/operator.rs
+++ b/crates/deckwind-core/src/control/operator.rs
@@ -5,8 +5,8 @@
 use crate::membership::InForce;
 use crate::replication::Role;
 use crate::state::{
-    Account, ApplyRequest, Configuration, ContentDigest, Instance, Life, Published, Rejection,
-    Revision, Target, Template,
+    Account, ApplyRequest, Configuration, ContentDigest, Incarnation, Instance, PublishedRelease,
+    Rejection, Revision, Target, Template,
 };
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -22,14 +22,14 @@
         wait: Duration,
     },
     /// Publish a release. Answered once it is committed.
-    Publish(Box<Published>),
+    Publish(Box<PublishedRelease>),
     /// Read the document of the current release.
     Document,
     /// Announce a target and its state.
     Announce(Box<Instance>),
     /// Record that a target has left: this incarnation, or the known one if no start time
     /// is given.
-    Leave(Life),
+    Leave(Incarnation),
     /// Read the configuration.
     Configuration,
     /// Read the status of the cluster.
@@ -53,7 +53,7 @@
     Heard,
     /// The incarnation is unconfirmed: one that may be newer still announces itself. The
     /// request should be sent again later.
-    Doubted,
+    Unconfirmed,
     /// The announcement or leave request was rejected.
     NotTaken(AnnouncementFault),
     /// The change was rejected.
--- a/crates/deckwind-core/src/control/orders.rs
+++ b/crates/deckwind-core/src/control/orders.rs
@@ -7,10 +7,10 @@
 //! ```
 //!
 //! An order restates what the configuration says and is therefore idempotent. A new
-//! leader issues all of them again with higher fences. See [`OrderIssuer`] for when an
+//! leader issues all of them again with higher fences. See [`FenceIssuer`] for when an
 //! order may be sent.
 
-use crate::replication::{Fence, FenceCheck, OrderIssuer, Term};
+use crate::replication::{Fence, FenceIssuer, FenceSupport, Term};
 use crate::state::{Configuration, LayerRange, Revision, Target, TargetKind, TargetName};
 use crate::time::Instant;
 use serde::{Deserialize, Serialize};
@@ -63,12 +63,12 @@
     pub orders: Vec<TargetOrder>,
     /// Time after which the connection must be closed, whether or not everything was
     /// sent.
-    pub within: Duration,
+    pub order_timeout: Duration,
 }
 
 /// Maximum time that an order may be in flight. Well below a leader's lease, so that
 /// orders to targets that don't check fences can be sent within the lease.
-pub const ORDER_FLIGHT: Duration = Duration::from_millis(200);
+pub const MAX_ORDER_FLIGHT_TIME: Duration = Duration::from_millis(200);
 
 /// Maximum number of batches in flight at once.
 const MAX_IN_FLIGHT_BATCHES: usize = 16;
@@ -78,19 +78,19 @@
 
 /// Queue of the orders that the leader has to issue.
 #[derive(Clone, Debug)]
-pub(super) struct OrderDesk {
-    issuer: OrderIssuer,
+pub(super) struct OrderDispatcher {
+    issuer: FenceIssuer,
     queued_upto: Revision,
     due: BTreeMap<TargetName, Instant>,
     in_flight: BTreeSet<TargetName>,
 }
 
-impl OrderDesk {
+impl OrderDispatcher {
     /// Creates the queue of the leader of `term`, which began to lead at `since` and has
     /// issued no order yet.
     pub fn new(term: Term, since: Instant) -> Self {
         Self {
-            issuer: OrderIssuer::new(term, since, ORDER_FLIGHT),
+            issuer: FenceIssuer::new(term, since, MAX_ORDER_FLIGHT_TIME),
             queued_upto: Revision::ZERO,
             due: BTreeMap::new(),
             in_flight: BTreeSet::new(),
@@ -146,8 +146,8 @@
     ) -> Option<OrderBatch> {
         let target = cfg.target(name)?;
         let check = match target.checks_fences {
-            true => FenceCheck::Checks,
-            false => FenceCheck::DoesNotCheck,
+            true => FenceSupport::Checks,
+            false => FenceSupport::DoesNotCheck,
         };
         let mut orders = Vec::new();
         for order in orders_for(target) {
@@ -159,7 +159,7 @@
             address: target.address,
             revision: self.queued_upto,
             orders,
-            within: ORDER_FLIGHT,
+            order_timeout: MAX_ORDER_FLIGHT_TIME,
         })
     }
 
--- a/crates/deckwind-core/src/control/parked_renewals.rs
+++ b/crates/deckwind-core/src/control/parked_renewals.rs
@@ -76,7 +76,7 @@
     }
 
     /// Returns the tokens of the renewals of a VM.
-    pub fn of(&self, vm: &VmName) -> Vec<u64> {
+    pub fn tokens_for_vm(&self, vm: &VmName) -> Vec<u64> {
         let tokens = self.by_vm.get(vm).into_iter().flatten();
         tokens.copied().collect()
     }
--- a/crates/deckwind-core/src/control/placement_groups.rs
+++ b/crates/deckwind-core/src/control/placement_groups.rs
@@ -6,8 +6,8 @@
 use crate::routing::chains::{chains_within, holds_chain};
 use crate::routing::placement::{Card, common};
 use crate::state::{
-    DataCentre, EngineModel, Instance, InstanceId, InstanceState, Instances, LayerRange, Life,
-    Release, Revision,
+    DataCentre, EngineModel, Incarnation, Instance, InstanceId, InstanceState, Instances,
+    LayerRange, Release, Revision,
 };
 use crate::time::Instant;
 use std::collections::BTreeMap;
@@ -43,8 +43,8 @@
 
 impl Engine {
     /// Returns the incarnation of the engine.
-    pub fn life(&self) -> Life {
-        Life {
+    pub fn life(&self) -> Incarnation {
+        Incarnation {
             id: self.card.id.clone(),
             born: self.born,
         }
@@ -170,12 +170,12 @@
             self.location_of.clear();
             self.groups.clear();
         }
-        let changed = instances.written_since(since.unwrap_or(Revision::ZERO));
+        let changed = instances.changed_since_ids(since.unwrap_or(Revision::ZERO));
         for id in changed {
             self.engines_scanned += 1;
             self.apply_instance(now, id, instances.get(id), &mut membership_changes);
         }
-        self.applied_upto = Some(instances.written_upto());
+        self.applied_upto = Some(instances.last_written());
         self.update_settling(now, since.is_none(), &membership_changes);
     }
 
--- a/crates/deckwind-core/src/control/placement_desk.rs
+++ b/crates/deckwind-core/src/control/placement_manager.rs
@@ -12,7 +12,9 @@
 use crate::routing::placement::{
     Card, Mend, common, is_whole, plan_chain, together, tokens_beside,
 };
-use crate::state::{EngineModel, InstanceChange, InstanceId, Instances, LayerRange, Life, Release};
+use crate::state::{
+    EngineModel, Incarnation, InstanceChange, InstanceId, Instances, LayerRange, Release,
+};
 use crate::time::Instant;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -43,7 +45,7 @@
 
 /// What happens to requests that use layers which an engine unloads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum GiveUp {
+pub enum UnloadMode {
     /// The engine waits until they end, however long that takes.
     WhenUnused,
     /// They are aborted. Their chain can't serve requests until more layers are loaded.
@@ -52,7 +54,7 @@
 
 /// Order for an engine to hold exactly the given layers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PlaceOrder {
+pub struct PlacementOrder {
     /// Id of the engine.
     pub id: InstanceId,
     /// Address of the engine.
@@ -61,20 +63,20 @@
     pub layers: LayerRange,
     /// Layers that the engine is expected to hold. If it holds others, nothing is done,
     /// since an order of another leader was carried out in the meantime.
-    pub believed: LayerRange,
+    pub expected_layers: LayerRange,
     /// What happens to requests that use layers which the engine unloads.
-    pub give_up: GiveUp,
+    pub unload_mode: UnloadMode,
     /// Timeout of the order.
-    pub within: Duration,
+    pub order_timeout: Duration,
     /// Start time of the incarnation that the order is for. If the engine has restarted
     /// since, the order is void.
     pub born: Option<u64>,
 }
 
-impl PlaceOrder {
+impl PlacementOrder {
     /// Returns the incarnation that the order is for.
-    pub fn life(&self) -> Life {
-        Life {
+    pub fn life(&self) -> Incarnation {
+        Incarnation {
             id: self.id.clone(),
             born: self.born,
         }
@@ -83,11 +85,11 @@
 
 /// Changes and orders that the placement requires.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct PlaceWork {
+pub struct PlacementStep {
     /// Changes to commit before the orders are sent.
     pub changes: Vec<InstanceChange>,
     /// Orders to send.
-    pub orders: Vec<PlaceOrder>,
+    pub orders: Vec<PlacementOrder>,
 }
 
 /// Effect of an order in flight on its engine.
@@ -113,11 +115,11 @@
 #[derive(Clone, Debug, Default)]
 struct IssuedOrders {
     in_flight: BTreeMap<InstanceId, InFlightOrder>,
-    not_before: BTreeMap<Life, Instant>,
+    not_before: BTreeMap<Incarnation, Instant>,
 }
 
 impl IssuedOrders {
-    fn is_in_flight(&self, life: &Life) -> bool {
+    fn is_in_flight(&self, life: &Incarnation) -> bool {
         let in_flight = self.in_flight.get(&life.id);
         in_flight.is_some_and(|order| order.born == life.born)
     }
@@ -141,8 +143,8 @@
         now: Instant,
         group: &PlacementGroup,
         steps: impl IntoIterator<Item = (Card, LayerRange)>,
-        give_up: GiveUp,
-        work: &mut PlaceWork,
+        unload_mode: UnloadMode,
+        work: &mut PlacementStep,
     ) -> bool {
         let before = work.orders.len();
         for (card, want) in steps {
@@ -168,19 +170,19 @@
                 layers: want,
             };
             self.in_flight.insert(card.id.clone(), order);
-            work.orders.push(PlaceOrder {
+            work.orders.push(PlacementOrder {
                 id: card.id.clone(),
                 address: engine.address,
                 layers: want,
-                believed: card.held,
-                give_up,
-                within: ORDER_TIMEOUT,
+                expected_layers: card.held,
+                unload_mode,
+                order_timeout: ORDER_TIMEOUT,
                 born: life.born,
             });
             work.changes.push(InstanceChange::Holds {
                 life,
                 layers: kept,
-                in_memory: layers_in_memory(card.held, want, give_up),
+                in_memory: layers_in_memory(card.held, want, unload_mode),
             });
         }
         work.orders.len() > before
@@ -189,26 +191,26 @@
 
 /// The leader's placement of layers: groups of engines and the orders issued to them.
 #[derive(Clone, Debug, Default)]
-pub struct PlacementDesk {
+pub struct PlacementManager {
     orders: IssuedOrders,
     groups: PlacementGroups,
 }
 
-impl PlacementDesk {
+impl PlacementManager {
     /// Returns whether an order to this incarnation is in flight. The layers that it
     /// announces meanwhile may be out of date.
-    pub fn is_under_way(&self, life: &Life) -> bool {
+    pub fn is_order_in_flight(&self, life: &Incarnation) -> bool {
         self.orders.is_in_flight(life)
     }
 
     /// Returns the layers that an engine is ordered to hold while the order is in flight.
-    pub fn ordered(&self, id: &str) -> Option<LayerRange> {
+    pub fn ordered_layers(&self, id: &str) -> Option<LayerRange> {
         self.orders.in_flight.get(id).map(|order| order.layers)
     }
 
     /// Records the end of an order to this incarnation.
-    pub fn ended(&mut self, now: Instant, life: &Life, ok: bool) {
-        if self.is_under_way(life) {
+    pub fn order_ended(&mut self, now: Instant, life: &Incarnation, ok: bool) {
+        if self.is_order_in_flight(life) {
             self.orders.in_flight.remove(&life.id);
         }
         if !ok {
@@ -220,14 +222,19 @@
     }
 
     /// Returns the number of engines scanned so far.
-    pub fn looks(&self) -> u64 {
+    pub fn rows_scanned(&self) -> u64 {
         self.groups.engines_scanned()
     }
 
     /// Returns the changes and orders that are required now. Scans only groups in which
     /// something has changed or a scheduled check is due.
-    pub fn work(&mut self, now: Instant, release: &Release, instances: &Instances) -> PlaceWork {
-        let mut work = PlaceWork::default();
+    pub fn next_step(
+        &mut self,
+        now: Instant,
+        release: &Release,
+        instances: &Instances,
+    ) -> PlacementStep {
+        let mut work = PlacementStep::default();
         self.orders.prune(now, instances);
         self.groups.apply_changes(now, release, instances);
         for due in self.groups.take_due(now) {
@@ -245,7 +252,7 @@
         now: Instant,
         model: &EngineModel,
         group: &mut PlacementGroup,
-        work: &mut PlaceWork,
+        work: &mut PlacementStep,
     ) {
         let chains = group.chains(model);
         let complete = |chain: &[Card]| is_whole(model.layers, chain.iter().map(|c| c.held));
@@ -283,14 +290,14 @@
                 continue;
             };
             let steps: Vec<(Card, LayerRange)> = chain.iter().cloned().zip(plan).collect();
-            let (steps, give_up) = match (is_complete, mend) {
-                (true, _) => (improvement_steps(model, steps), GiveUp::WhenUnused),
+            let (steps, unload_mode) = match (is_complete, mend) {
+                (true, _) => (improvement_steps(model, steps), UnloadMode::WhenUnused),
                 // The other chains and the layers that this chain's engines already hold
                 // serve requests, so none of these layers are unloaded at once.
-                (false, Mend::Well) => (addition_steps(model, steps), GiveUp::WhenUnused),
-                (false, Mend::Soon) => (keep_held_layers(model, steps), GiveUp::AtOnce),
+                (false, Mend::Well) => (addition_steps(model, steps), UnloadMode::WhenUnused),
+                (false, Mend::Soon) => (keep_held_layers(model, steps), UnloadMode::AtOnce),
             };
-            any_ordered |= self.orders.issue(now, group, steps, give_up, work);
+            any_ordered |= self.orders.issue(now, group, steps, unload_mode, work);
         }
         match (any_unfinished, any_ordered) {
             (_, true) => group.schedule_check(now),
@@ -304,11 +311,11 @@
 
 /// Returns the number of layers that take memory on an engine while it changes from one
 /// range to another.
-fn layers_in_memory(held: LayerRange, want: LayerRange, give_up: GiveUp) -> u32 {
+fn layers_in_memory(held: LayerRange, want: LayerRange, unload_mode: UnloadMode) -> u32 {
     let both = held.len() + want.len() - common(held, want).len();
-    match give_up {
-        GiveUp::AtOnce => want.len(),
-        GiveUp::WhenUnused => both,
+    match unload_mode {
+        UnloadMode::AtOnce => want.len(),
+        UnloadMode::WhenUnused => both,
     }
 }
 
--- a/crates/deckwind-core/src/control/relay.rs
+++ b/crates/deckwind-core/src/control/relay.rs
@@ -14,8 +14,8 @@
 //! an unreliable network.
 
 use super::messages::{ControlReply, ControlRequest};
-use super::pace::Pace;
 use super::relay_messages::RelayedRequest;
+use super::state_rate_limiter::StateRateLimiter;
 use crate::state::PackedDelta;
 use crate::time::Instant;
 use std::collections::{BTreeMap, VecDeque};
@@ -62,12 +62,12 @@
     last_sent_at: Option<Instant>,
     pending: BTreeMap<u64, PendingRequest>,
     paced: VecDeque<PacedReply>,
-    pace: Pace,
+    state_rate_limiter: StateRateLimiter,
 }
 
 impl RequestRelay {
     /// Creates an empty relay that sends state at the given rate.
-    pub fn new(pace: Pace) -> Self {
+    pub fn new(state_rate_limiter: StateRateLimiter) -> Self {
         Self {
             leader: None,
             outgoing: Vec::new(),
@@ -75,7 +75,7 @@
             last_sent_at: None,
             pending: BTreeMap::new(),
             paced: VecDeque::new(),
-            pace,
+            state_rate_limiter,
         }
     }
 
@@ -172,7 +172,7 @@
                 ready.push((paced.token, NO_LEADER_REPLY));
                 continue;
             }
-            if !self.pace.take(now, state_bytes(&paced.reply)) {
+            if !self.state_rate_limiter.take(now, state_bytes(&paced.reply)) {
                 self.paced.push_front(paced);
                 break;
             }
--- a/crates/deckwind-core/src/control/relay_messages.rs
+++ b/crates/deckwind-core/src/control/relay_messages.rs
@@ -85,7 +85,7 @@
     /// Returns whether an answer fits into a message that should carry at most
     /// `max_state_bytes` of state. An answer whose delta is in the message already always
     /// fits.
-    pub fn has_room_for(&self, reply: &ControlReply, max_state_bytes: usize) -> bool {
+    pub fn can_add(&self, reply: &ControlReply, max_state_bytes: usize) -> bool {
         let ControlReply::Granted(grant) = reply else {
             return true;
         };
--- a/crates/deckwind-core/src/control/requests.rs
+++ b/crates/deckwind-core/src/control/requests.rs
@@ -1,17 +1,17 @@
 //! Handling of requests from routers and operators.
 
 use super::control_core::ControlCore;
+use super::engine_load::EngineCapacity;
 use super::event::ControlAction;
 use super::grants::FAILING_REPORT_TTL;
-use super::in_use::EngineRoom;
 use super::messages::{ControlReply, ControlRequest, EngineFull, Renewal};
 use super::operator::{ConfigurationView, OperatorReply, OperatorRequest};
 use super::parked_renewals::ParkedRenewal;
-use super::pending::Asker;
+use super::pending::Requester;
 use super::relay_messages::RelayedRequest;
-use super::wake::Urgency;
+use super::reply_schedule::Urgency;
 use crate::routing::paths::keeps;
-use crate::state::{CommandBody, Configuration, Holder, SuspectChange};
+use crate::state::{CommandBody, Configuration, RouterProcess, SuspectChange};
 use crate::time::Instant;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -35,7 +35,7 @@
         request: ControlRequest,
         out: &mut Vec<ControlAction>,
     ) {
-        match self.replica.may_answer(now) {
+        match self.replica.can_serve_reads(now) {
             true => self.answer_request(now, token, request, out),
             false => self.forward_to_leader(now, token, request, out),
         }
@@ -52,7 +52,7 @@
         out: &mut Vec<ControlAction>,
     ) {
         let received_at = now - relayed.waited;
-        let is_leader = self.replica.may_answer(now);
+        let is_leader = self.replica.can_serve_reads(now);
         match relayed.request {
             ControlRequest::Renew(renewal) if is_leader || self.leader_slot().is_none() => {
                 let parked = ParkedRenewal {
@@ -79,7 +79,7 @@
         request: ControlRequest,
         out: &mut Vec<ControlAction>,
     ) {
-        let requester = Asker::Router(token);
+        let requester = Requester::Router(token);
         match request {
             ControlRequest::Renew(renewal) => {
                 let parked = ParkedRenewal {
@@ -95,11 +95,11 @@
                 self.handle_failing_report(now, token, &targets, out)
             }
             ControlRequest::Release(holder) => {
-                if let Some(leading) = &mut self.leading {
-                    leading.leases.release(&holder);
-                    leading.demand.remove(&holder.vm);
-                    leading.in_use.remove(&holder.vm);
-                    leading.last_reply_round.remove(&holder.vm);
+                if let Some(leader_state) = &mut self.leader_state {
+                    leader_state.leases.release(&holder);
+                    leader_state.demand.remove(&holder.vm);
+                    leader_state.engine_load.remove(&holder.vm);
+                    leader_state.last_reply_round.remove(&holder.vm);
                 }
                 self.propose(now, CommandBody::HolderGone(holder), requester, out);
             }
@@ -115,13 +115,15 @@
             ControlRequest::Repeats(holder, report) => {
                 let reply = ControlReply::Done;
                 out.push(ControlAction::Reply { token, reply });
-                self.repeats_reported(now, &holder, &report, out);
+                self.handle_retry_report(now, &holder, &report, out);
+            }
+            ControlRequest::PerhapsSlow(engines) => {
+                self.handle_slow_hints(now, token, &engines, out)
             }
-            ControlRequest::PerhapsSlow(engines) => self.perhaps_slow(now, token, &engines, out),
             ControlRequest::Permits(holder, asks) => {
-                self.permits_wanted(now, token, &holder, &asks, out);
+                self.handle_permit_request(now, token, &holder, &asks, out);
             }
-            ControlRequest::CutRuns(report) => self.runs_cut(now, token, report, out),
+            ControlRequest::CutRuns(report) => self.handle_cut_report(now, token, report, out),
         }
     }
 
@@ -174,7 +176,7 @@
         if let Some(slot) = leader {
             let requests = self.relay.take_due(now);
             if !requests.is_empty() {
-                out.push(ControlAction::PassOn { slot, requests });
+                out.push(ControlAction::ForwardRequests { slot, requests });
             }
         }
         out.extend(reply_actions(self.relay.take_expired(now)));
@@ -191,7 +193,7 @@
         if self.renewals_awaiting_leader.is_empty() {
             return;
         }
-        let is_leader = self.replica.may_answer(now);
+        let is_leader = self.replica.can_serve_reads(now);
         let known = self.leader_slot().is_some();
         let must_wait = |parked: &ParkedRenewal| !is_leader && !known && parked.deadline > now;
         while let Some(parked) = self.renewals_awaiting_leader.pop_front() {
@@ -212,36 +214,38 @@
     }
 
     fn renew(&mut self, now: Instant, parked: ParkedRenewal, out: &mut Vec<ControlAction>) {
-        let Some(leading) = &mut self.leading else {
+        let Some(leader_state) = &mut self.leader_state else {
             self.not_leader(parked.token, out);
             return;
         };
         let renewal = &parked.renewal;
         let Renewal { holder, .. } = renewal;
-        let is_new = !leading.leases.knows(&holder.vm);
-        let replaced = leading.leases.renew(now, holder, renewal.applied);
+        let is_new = !leader_state.leases.has_lease(&holder.vm);
+        let replaced = leader_state.leases.renew(now, holder, renewal.applied);
         if replaced.is_some() {
-            leading.demand.remove(&holder.vm);
+            leader_state.demand.remove(&holder.vm);
         }
-        leading.demand.put(&holder.vm, &renewal.demand);
-        leading
+        leader_state.demand.put(&holder.vm, &renewal.demand);
+        leader_state
             .admin_addresses
             .insert(holder.vm.clone(), renewal.admin);
-        leading
+        leader_state
             .held_bytes
             .insert(holder.vm.clone(), renewal.held_bytes);
-        let cfg = self.machine.configuration();
+        let cfg = self.state_machine.configuration();
         let room = |address| engine_room(cfg, address);
-        leading.in_use.put(&holder.vm, &renewal.in_use, room);
+        leader_state
+            .engine_load
+            .put(&holder.vm, &renewal.in_use, room);
         let failing = renewal.failing.clone();
         if let Some(gone) = replaced {
-            self.propose(now, CommandBody::HolderGone(gone), Asker::Nobody, out);
+            self.propose(now, CommandBody::HolderGone(gone), Requester::Internal, out);
         }
         self.check_targets(now, &failing, out);
         if let Some(report) = &parked.renewal.repeats {
-            self.repeats_reported(now, &parked.renewal.holder, report, out);
+            self.handle_retry_report(now, &parked.renewal.holder, report, out);
         }
-        self.limits_reported(now, &parked.renewal.holder, &parked.renewal.limits, out);
+        self.handle_limit_report(now, &parked.renewal.holder, &parked.renewal.limits, out);
         // A router without a lease from this leader is answered at once: its lease from
         // the previous leader may be about to expire.
         let deadline = match parked.relayed_by {
@@ -262,20 +266,22 @@
         targets: &[SocketAddr],
         out: &mut Vec<ControlAction>,
     ) {
-        let Some(leading) = &mut self.leading else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leading
+        leader_state
             .failed_at
             .retain(|_, at| now.since(*at) < FAILING_REPORT_TTL);
-        let before = leading.failed_at.len();
-        leading.failed_at.extend(targets.iter().map(|a| (*a, now)));
-        let has_changes = leading.failed_at.len() > before;
+        let before = leader_state.failed_at.len();
+        leader_state
+            .failed_at
+            .extend(targets.iter().map(|a| (*a, now)));
+        let has_changes = leader_state.failed_at.len() > before;
         let reply = ControlReply::Done;
         out.push(ControlAction::Reply { token, reply });
         self.check_targets(now, targets, out);
         if has_changes {
-            self.wake_routers(now, Urgency::Urgent, out);
+            self.inform_routers(now, Urgency::Urgent, out);
         }
     }
 
@@ -285,17 +291,17 @@
         &mut self,
         now: Instant,
         token: u64,
-        holder: &Holder,
+        holder: &RouterProcess,
         full: &[EngineFull],
         out: &mut Vec<ControlAction>,
     ) {
-        let Some(leading) = &mut self.leading else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        leading.full.told(now, &holder.vm, full);
+        leader_state.full.record_refusals(now, &holder.vm, full);
         let reply = ControlReply::Done;
         out.push(ControlAction::Reply { token, reply });
-        self.wake_routers(now, Urgency::Soon, out);
+        self.inform_routers(now, Urgency::Soon, out);
     }
 
     pub(super) fn handle_operator_request(
@@ -309,7 +315,7 @@
             self.handle_announcement(now, token, *instance, out);
             return;
         }
-        if !self.replica.may_answer(now) {
+        if !self.replica.can_serve_reads(now) {
             let leader = self.leader_slot();
             let reply = OperatorReply::NotLeader { leader };
             out.push(ControlAction::OperatorReply { token, reply });
@@ -317,12 +323,12 @@
         }
         let reply = match request {
             OperatorRequest::Apply { request, wait } => {
-                let requester = Asker::Operator(token, now + wait);
+                let requester = Requester::Operator(token, now + wait);
                 self.propose(now, CommandBody::Apply(*request), requester, out);
                 return;
             }
             OperatorRequest::Publish(published) => {
-                let requester = Asker::Operator(token, now);
+                let requester = Requester::Operator(token, now);
                 self.propose(now, CommandBody::Publish(published), requester, out);
                 return;
             }
@@ -334,18 +340,18 @@
             }
             OperatorRequest::Lift(content) => {
                 let body = CommandBody::Suspects(vec![SuspectChange::Lift(content)]);
-                let requester = Asker::Operator(token, now + LIFT_TIMEOUT);
+                let requester = Requester::Operator(token, now + LIFT_TIMEOUT);
                 self.propose(now, body, requester, out);
                 return;
             }
             OperatorRequest::Document => {
-                let cfg = self.machine.configuration();
+                let cfg = self.state_machine.configuration();
                 let document = cfg.release().map(|_| cfg.document().to_vec());
                 OperatorReply::Document(document)
             }
-            OperatorRequest::Configuration => {
-                OperatorReply::Configuration(ConfigurationView::of(self.machine.configuration()))
-            }
+            OperatorRequest::Configuration => OperatorReply::Configuration(ConfigurationView::of(
+                self.state_machine.configuration(),
+            )),
             OperatorRequest::Status => OperatorReply::Status(self.status(now)),
         };
         out.push(ControlAction::OperatorReply { token, reply });
@@ -353,12 +359,12 @@
 }
 
 /// Returns the capacity of an engine according to the committed state.
-fn engine_room(cfg: &Configuration, address: SocketAddr) -> Option<EngineRoom> {
+fn engine_room(cfg: &Configuration, address: SocketAddr) -> Option<EngineCapacity> {
     let instance = cfg.instances().at(address).next()?;
     let pool = cfg.release()?.pool(&instance.pool)?;
-    Some(EngineRoom {
+    Some(EngineCapacity {
         data_centre: instance.data_centre.clone(),
-        keeps: keeps(pool.engine.as_ref()?, instance) as u64,
+        token_capacity: keeps(pool.engine.as_ref()?, instance) as u64,
         slots: instance.slots,
     })
 }
--- a/crates/deckwind-core/src/control/repeat_desk.rs
+++ b/crates/deckwind-core/src/control/retry_budget_allocator.rs
@@ -23,11 +23,11 @@
 //! exceeds `most`. A new leader counts everything in the ledger as issued at the moment
 //! it begins to lead.
 
-use super::repeat_messages::{PoolReport, RepeatGrant, RepeatReport};
+use super::retry_messages::{PoolRetryReport, RetryGrant, RetryReport};
 use super::tracked_allowance::{TrackedAllowance, divide_proportionally};
 use crate::membership::LeaseTiming;
 use crate::state::{
-    AllowanceId, AllowanceKey, Holder, PoolName, RepeatChange, RepeatLedger, VmName,
+    PoolName, RetryAllowanceId, RetryAllowanceKey, RetryChange, RetryLedger, RouterProcess, VmName,
 };
 use crate::time::Instant;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -70,12 +70,12 @@
 #[derive(Clone, Debug)]
 struct LastReport {
     at: Instant,
-    pools: Vec<PoolReport>,
+    pools: Vec<PoolRetryReport>,
 }
 
 /// Retries of one pool as counted by the leader, for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RepeatCounts {
+pub struct RetryCounts {
     /// Name of the pool.
     pub pool: PoolName,
     /// Maximum number of retries that may count.
@@ -92,18 +92,18 @@
 
 /// Retry budget of all pools, as the leader issues it to routers.
 #[derive(Clone, Debug)]
-pub struct RepeatDesk {
+pub struct RetryBudgetAllocator {
     timing: LeaseTiming,
     /// Smallest maximum and longest window that any router reported.
     budget: Option<(u64, Duration)>,
-    allowances: BTreeMap<AllowanceId, TrackedAllowance>,
+    allowances: BTreeMap<RetryAllowanceId, TrackedAllowance>,
     /// Allowances of each router process.
-    ids_by_holder: BTreeMap<Holder, Vec<AllowanceId>>,
+    ids_by_holder: BTreeMap<RouterProcess, Vec<RetryAllowanceId>>,
     /// Number of retries that count, by pool.
     outstanding: BTreeMap<PoolName, u64>,
-    last_reports: BTreeMap<Holder, LastReport>,
+    last_reports: BTreeMap<RouterProcess, LastReport>,
     /// Router process of each VM that reported last.
-    current_holders: BTreeMap<VmName, Holder>,
+    current_holders: BTreeMap<VmName, RouterProcess>,
     /// Number of routers that serve each pool.
     serving: BTreeMap<PoolName, u64>,
     /// Whether an entry was proposed and is not yet applied. Only one may be pending, so
@@ -116,16 +116,16 @@
     rotation: usize,
     /// Routers that were issued more than was announced to them. Checked for each waiting
     /// renewal at every round of answers.
-    unannounced: BTreeSet<Holder>,
+    unannounced: BTreeSet<RouterProcess>,
     /// Time of the last check for retries that no longer count.
     last_expiry_at: Option<Instant>,
     rows_scanned: u64,
 }
 
-impl RepeatDesk {
+impl RetryBudgetAllocator {
     /// Creates the state of a leader that begins now and whose log is applied up to the
     /// first entry of its term.
-    pub fn new(now: Instant, timing: LeaseTiming, ledger: &RepeatLedger) -> Self {
+    pub fn new(now: Instant, timing: LeaseTiming, ledger: &RetryLedger) -> Self {
         let mut desk = Self {
             timing,
             budget: None,
@@ -143,7 +143,7 @@
             last_expiry_at: None,
             rows_scanned: 0,
         };
-        desk.applied(now, ledger);
+        desk.ledger_applied(now, ledger);
         desk.close_superseded(now);
         desk
     }
@@ -170,7 +170,7 @@
     }
 
     fn lease_duration(&self) -> Duration {
-        self.timing.with_drift()
+        self.timing.ttl_with_drift()
     }
 
     fn counting_period(&self) -> Duration {
@@ -181,7 +181,7 @@
 
     /// Updates the allowances after an entry was applied to the ledger. Returns the
     /// routers that were issued more than was announced to them.
-    pub fn applied(&mut self, now: Instant, ledger: &RepeatLedger) -> Vec<Holder> {
+    pub fn ledger_applied(&mut self, now: Instant, ledger: &RetryLedger) -> Vec<RouterProcess> {
         self.is_entry_pending = false;
         let usable_until = now + self.lease_duration();
         for (id, allowance) in ledger.iter() {
@@ -215,7 +215,7 @@
     }
 
     /// Records a router's report of the retries that it holds and wants.
-    pub fn reported(&mut self, now: Instant, holder: &Holder, report: &RepeatReport) {
+    pub fn record_report(&mut self, now: Instant, holder: &RouterProcess, report: &RetryReport) {
         let (most, window) = self.budget.unwrap_or((report.most, report.window));
         self.budget = Some((most.min(report.most), window.max(report.window)));
         for pool in &report.pools {
@@ -248,7 +248,7 @@
     }
 
     /// Removes the report of a router process.
-    fn remove_report(&mut self, holder: &Holder) {
+    fn remove_report(&mut self, holder: &RouterProcess) {
         if let Some(last_report) = self.last_reports.remove(holder) {
             update_serving(&mut self.serving, &last_report, false);
         }
@@ -257,28 +257,28 @@
     /// Returns the allowances that a router process may use.
     fn open_allowances(
         &self,
-        holder: &Holder,
-    ) -> impl Iterator<Item = (AllowanceId, &TrackedAllowance)> {
+        holder: &RouterProcess,
+    ) -> impl Iterator<Item = (RetryAllowanceId, &TrackedAllowance)> {
         let ids = self.ids_by_holder.get(holder).into_iter().flatten();
         let allowances = ids.filter_map(|id| Some((*id, self.allowances.get(id)?)));
         allowances.filter(|(_, a)| a.open)
     }
 
     /// Returns the number of unused retries that a router process holds.
-    pub fn unused_of(&self, holder: &Holder) -> u64 {
+    pub fn unused_of(&self, holder: &RouterProcess) -> u64 {
         self.open_allowances(holder).map(|(_, a)| a.unused()).sum()
     }
 
     /// Returns the retries that a router may use, for an answer that is sent to it now.
-    pub fn grants(&mut self, now: Instant, holder: &Holder) -> Vec<RepeatGrant> {
+    pub fn grants(&mut self, now: Instant, holder: &RouterProcess) -> Vec<RetryGrant> {
         let until = now + self.lease_duration();
         self.expire(now);
         let levels_to_keep = self.levels_to_keep(holder);
         self.unannounced.remove(holder);
         let open = self.open_allowances(holder);
-        let grant = |(id, tracked): (AllowanceId, &TrackedAllowance)| {
+        let grant = |(id, tracked): (RetryAllowanceId, &TrackedAllowance)| {
             let pool = tracked.key.pool.clone();
-            RepeatGrant {
+            RetryGrant {
                 keep: levels_to_keep.get(&pool).copied().unwrap_or_default(),
                 free_percent: self.available(&pool) * 100 / self.max_outstanding().max(1),
                 pool,
@@ -286,7 +286,7 @@
                 issued: tracked.issued,
             }
         };
-        let grants: Vec<RepeatGrant> = open.map(grant).collect();
+        let grants: Vec<RetryGrant> = open.map(grant).collect();
         for grant in &grants {
             if let Some(tracked) = self.allowances.get_mut(&grant.allowance) {
                 tracked.usable_until = until;
@@ -297,7 +297,7 @@
     }
 
     /// Returns whether a router was issued more than was announced to it.
-    pub fn has_news(&self, holder: &Holder) -> bool {
+    pub fn has_unannounced(&self, holder: &RouterProcess) -> bool {
         self.unannounced.contains(holder)
     }
 
@@ -307,7 +307,7 @@
     }
 
     /// Returns the number of rows scanned so far.
-    pub fn looks(&self) -> u64 {
+    pub fn rows_scanned(&self) -> u64 {
         self.rows_scanned
     }
 
@@ -333,7 +333,7 @@
             .last_reports
             .iter()
             .filter(|(_, t)| now.since(t.at) >= lease_duration);
-        let stale: Vec<Holder> = stale.map(|(holder, _)| holder.clone()).collect();
+        let stale: Vec<RouterProcess> = stale.map(|(holder, _)| holder.clone()).collect();
         for holder in stale {
             self.remove_report(&holder);
             if self.current_holders.get(&holder.vm) == Some(&holder) {
@@ -360,9 +360,9 @@
         part.min(MAX_RESERVE_PER_ROUTER)
     }
 
-    fn levels_to_keep(&self, holder: &Holder) -> BTreeMap<PoolName, u64> {
+    fn levels_to_keep(&self, holder: &RouterProcess) -> BTreeMap<PoolName, u64> {
         let pools = self.last_reports.get(holder).map_or(&[][..], |t| &t.pools);
-        let keep = |p: &PoolReport| {
+        let keep = |p: &PoolRetryReport| {
             let reserve = match self.available(&p.pool) < self.max_outstanding() / SCARCE_DIVISOR {
                 true => self.reserve_per_router(&p.pool).min(1),
                 false => self.reserve_per_router(&p.pool),
@@ -374,7 +374,7 @@
     }
 
     /// Returns the changes to propose now, if any.
-    pub fn propose(&mut self, now: Instant, ledger: &RepeatLedger) -> Option<Vec<RepeatChange>> {
+    pub fn propose(&mut self, now: Instant, ledger: &RetryLedger) -> Option<Vec<RetryChange>> {
         let since_entry = self.last_entry_at.map(|at| now.since(at));
         let since_scan = self.last_scan_at.map(|at| now.since(at));
         let interval = self.scan_interval();
@@ -405,7 +405,7 @@
         self.serving.keys().cloned().collect()
     }
 
-    fn issue_all(&mut self) -> Vec<RepeatChange> {
+    fn issue_all(&mut self) -> Vec<RetryChange> {
         let mut changes = Vec::new();
         for pool in self.served_pools() {
             changes.extend(self.issue_for_pool(&pool));
@@ -419,7 +419,7 @@
     /// Issues retries of one pool: first a reserve for routers that hold none, then to
     /// all routers in proportion to what they lack, except for the part that is held
     /// back.
-    fn issue_for_pool(&self, pool: &str) -> Vec<RepeatChange> {
+    fn issue_for_pool(&self, pool: &str) -> Vec<RetryChange> {
         let mut shortfalls = self.shortfalls(pool);
         let available = self.available(pool);
         if shortfalls.is_empty() || available == 0 {
@@ -462,7 +462,7 @@
         let reserve = self.reserve_per_router(pool);
         let open = self.allowances.iter();
         let open = open.filter(|(_, a)| a.open && a.key.pool == pool);
-        let open: BTreeMap<&Holder, (&AllowanceId, &TrackedAllowance)> =
+        let open: BTreeMap<&RouterProcess, (&RetryAllowanceId, &TrackedAllowance)> =
             open.map(|(id, a)| (&a.key.holder, (id, a))).collect();
         let mut shortfalls = Vec::new();
         for (holder, last_report) in &self.last_reports {
@@ -488,14 +488,14 @@
 
     /// Returns the expired retries that the ledger doesn't know of yet, with their
     /// number.
-    fn expired_changes(&mut self, ledger: &RepeatLedger) -> Vec<(RepeatChange, u64)> {
+    fn expired_changes(&mut self, ledger: &RetryLedger) -> Vec<(RetryChange, u64)> {
         let mut changes = Vec::new();
         for (id, tracked) in &self.allowances {
             let recorded = ledger.get(*id).map_or(0, |a| a.spent_over + a.back);
             let more = (tracked.expired + tracked.returned).saturating_sub(recorded);
             let change = match !tracked.open && tracked.outstanding() == 0 {
-                true => RepeatChange::Close(*id),
-                false if more > 0 => RepeatChange::Over {
+                true => RetryChange::Close(*id),
+                false if more > 0 => RetryChange::Over {
                     id: *id,
                     spent: tracked.expired,
                     back: tracked.returned,
@@ -508,11 +508,11 @@
     }
 
     /// Returns the counts of each pool, for operators.
-    pub fn counts(&self) -> Vec<RepeatCounts> {
+    pub fn counts(&self) -> Vec<RetryCounts> {
         let counts = |pool: PoolName| {
             let of_pool = self.allowances.values().filter(|a| a.key.pool == pool);
             let of_pool: Vec<&TrackedAllowance> = of_pool.collect();
-            RepeatCounts {
+            RetryCounts {
                 most: self.max_outstanding(),
                 counts: of_pool.iter().map(|a| a.outstanding()).sum(),
                 unused: of_pool.iter().map(|a| a.unused()).sum(),
@@ -543,22 +543,22 @@
 
 /// A router that wants to hold more retries.
 struct Shortfall {
-    holder: Holder,
-    id: Option<AllowanceId>,
+    holder: RouterProcess,
+    id: Option<RetryAllowanceId>,
     unused: u64,
     missing: u64,
 }
 
 impl Shortfall {
-    fn issue(self, pool: &str, count: u64) -> RepeatChange {
+    fn issue(self, pool: &str, count: u64) -> RetryChange {
         match self.id {
-            Some(id) => RepeatChange::Issue { id, count },
+            Some(id) => RetryChange::Issue { id, count },
             None => {
-                let key = AllowanceKey {
+                let key = RetryAllowanceKey {
                     holder: self.holder,
                     pool: pool.to_string(),
                 };
-                RepeatChange::Open { key, count }
+                RetryChange::Open { key, count }
             }
         }
     }
--- a/crates/deckwind-core/src/control/looks.rs
+++ b/crates/deckwind-core/src/control/scan_counts.rs
@@ -5,7 +5,7 @@
 /// started, the others since it became the leader. The number of rows per event must not
 /// grow with the number of routers or targets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Looks {
+pub struct ScanCounts {
     /// Renewals that wait for an answer.
     pub renewals: u64,
     /// Leases of routers.
--- a/crates/deckwind-core/src/control/slow.rs
+++ b/crates/deckwind-core/src/control/slow_engines.rs
@@ -11,7 +11,7 @@
 use super::control_core::ControlCore;
 use super::event::ControlAction;
 use super::messages::{ControlReply, EnginePace};
-use super::wake::Urgency;
+use super::reply_schedule::Urgency;
 use crate::state::InstanceState;
 use crate::time::Instant;
 use std::collections::BTreeMap;
@@ -38,13 +38,13 @@
 
 /// Hints about slow engines, and the paces that engines reported.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Paces {
+pub(super) struct EnginePaces {
     hints: BTreeMap<SocketAddr, Vec<Instant>>,
     requested_at: BTreeMap<SocketAddr, Instant>,
     slow: BTreeMap<SocketAddr, (u32, Instant)>,
 }
 
-impl Paces {
+impl EnginePaces {
     /// Records hints of a router about engines that may be slow. Returns the engines that
     /// are to be asked for their pace.
     fn record_hints(&mut self, now: Instant, engines: &[SocketAddr]) -> Vec<SocketAddr> {
@@ -120,7 +120,7 @@
 impl ControlCore {
     /// Handles a router's report of streams that stall although all their stages are
     /// reachable.
-    pub(super) fn perhaps_slow(
+    pub(super) fn handle_slow_hints(
         &mut self,
         now: Instant,
         token: u64,
@@ -129,42 +129,42 @@
     ) {
         let reply = ControlReply::Done;
         out.push(ControlAction::Reply { token, reply });
-        let Some(leading) = &mut self.leading else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        let ask = leading.paces.record_hints(now, engines);
+        let ask = leader_state.paces.record_hints(now, engines);
         self.request_pace(&ask, out);
     }
 
     /// Asks slow engines for their pace again.
-    pub(super) fn follow_paces(&mut self, now: Instant, out: &mut Vec<ControlAction>) {
-        let Some(leading) = &mut self.leading else {
+    pub(super) fn recheck_slow_engines(&mut self, now: Instant, out: &mut Vec<ControlAction>) {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        let ask = leading.paces.due(now);
+        let ask = leader_state.paces.due(now);
         self.request_pace(&ask, out);
     }
 
     fn request_pace(&self, engines: &[SocketAddr], out: &mut Vec<ControlAction>) {
-        let instances = self.machine.configuration().instances();
+        let instances = self.state_machine.configuration().instances();
         let named = engines.iter().flat_map(|address| instances.at(*address));
         let ready = named.filter(|i| i.state == InstanceState::Ready);
-        out.extend(ready.map(|i| ControlAction::AskPace { address: i.address }));
+        out.extend(ready.map(|i| ControlAction::ProbePace { address: i.address }));
     }
 
     /// Handles the pace that an engine reported.
-    pub(super) fn pace_told(
+    pub(super) fn handle_pace(
         &mut self,
         now: Instant,
         address: SocketAddr,
         percent: u32,
         out: &mut Vec<ControlAction>,
     ) {
-        let Some(leading) = &mut self.leading else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if leading.paces.record_pace(now, address, percent) {
-            self.wake_routers(now, Urgency::Urgent, out);
+        if leader_state.paces.record_pace(now, address, percent) {
+            self.inform_routers(now, Urgency::Urgent, out);
         }
     }
 }
--- a/crates/deckwind-core/src/control/pace.rs
+++ b/crates/deckwind-core/src/control/state_rate_limiter.rs
@@ -14,13 +14,13 @@
 
 /// Token bucket of bytes that may be sent.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Pace {
+pub(super) struct StateRateLimiter {
     bytes_per_s: f64,
     available: f64,
     updated_at: Instant,
 }
 
-impl Pace {
+impl StateRateLimiter {
     /// Creates a bucket that is full at `now`.
     pub fn new(bytes_per_s: f64, now: Instant) -> Self {
         Self {
--- a/crates/deckwind-core/src/control/status.rs
+++ b/crates/deckwind-core/src/control/status.rs
@@ -7,8 +7,8 @@
 use crate::membership::{InForce, RouterLease};
 use crate::replication::Term;
 use crate::state::{
-    ContentDigest, DataCentre, Holder, Instance, InstanceId, InstanceState, LayerRange, Life,
-    Revision, VmName,
+    ContentDigest, DataCentre, Incarnation, Instance, InstanceId, InstanceState, LayerRange,
+    Revision, RouterProcess, VmName,
 };
 use crate::time::Instant;
 use serde::{Deserialize, Serialize};
@@ -132,7 +132,7 @@
 
 impl ControlCore {
     pub(super) fn status(&self, now: Instant) -> ClusterStatus {
-        let revision = self.machine.configuration().revision();
+        let revision = self.state_machine.configuration().revision();
         let lagging = match self.in_force(now, revision) {
             InForce::Lagging(vms) => vms,
             _ => Vec::new(),
@@ -145,7 +145,7 @@
             lagging,
             replicas: self.replica_views(),
             routers: self.router_views(now),
-            claims: self.machine.claims().len(),
+            claims: self.state_machine.claims().len(),
             log_entries: self.replica.log().len(),
             engines: self.engine_views(now),
             quarantined: self.quarantined_views(),
@@ -153,12 +153,13 @@
     }
 
     fn quarantined_views(&self) -> Vec<QuarantinedView> {
-        let quarantined = self.machine.quarantine().quarantined(self.wall_ms);
-        let view = |(content, ended, left_ms): (ContentDigest, &[Life], u64)| QuarantinedView {
-            content: content.to_string(),
-            ended: ended.iter().map(Life::to_string).collect(),
-            left_ms,
-        };
+        let quarantined = self.state_machine.quarantine().quarantined(self.wall_ms);
+        let view =
+            |(content, ended, left_ms): (ContentDigest, &[Incarnation], u64)| QuarantinedView {
+                content: content.to_string(),
+                ended: ended.iter().map(Incarnation::to_string).collect(),
+                left_ms,
+            };
         quarantined.map(view).collect()
     }
 
@@ -173,47 +174,47 @@
     }
 
     fn router_views(&self, now: Instant) -> Vec<RouterView> {
-        let Some(leading) = &self.leading else {
+        let Some(leader_state) = &self.leader_state else {
             return Vec::new();
         };
-        let revision = self.machine.configuration().revision();
+        let revision = self.state_machine.configuration().revision();
         let view = |(vm, lease): (&VmName, &RouterLease)| {
             Some(RouterView {
                 vm: vm.clone(),
                 applied: lease.applied,
-                admin: *leading.admin_addresses.get(vm)?,
+                admin: *leader_state.admin_addresses.get(vm)?,
                 behind: revision.0.saturating_sub(lease.applied.0),
-                lease_ms: lease.until.since(now).as_millis() as u64,
-                held_bytes: leading.held_bytes.get(vm).copied(),
-                repeats: unused_repeats(leading, vm, lease),
+                lease_ms: lease.expires_at.since(now).as_millis() as u64,
+                held_bytes: leader_state.held_bytes.get(vm).copied(),
+                repeats: unused_repeats(leader_state, vm, lease),
             })
         };
-        leading.leases.routers().filter_map(view).collect()
+        leader_state.leases.routers().filter_map(view).collect()
     }
 
     fn engine_views(&self, now: Instant) -> Vec<EngineView> {
-        let Some(leading) = &self.leading else {
+        let Some(leader_state) = &self.leader_state else {
             return Vec::new();
         };
-        let instances = self.machine.configuration().instances();
-        let views = instances.iter().map(|i| engine_view(now, leading, i));
+        let instances = self.state_machine.configuration().instances();
+        let views = instances.iter().map(|i| engine_view(now, leader_state, i));
         views.collect()
     }
 }
 
 /// Returns the retries a router process holds and has not used; `None` if no retries are
 /// granted.
-fn unused_repeats(leading: &LeaderState, vm: &VmName, lease: &RouterLease) -> Option<u64> {
-    let holder = Holder {
+fn unused_repeats(leader_state: &LeaderState, vm: &VmName, lease: &RouterLease) -> Option<u64> {
+    let holder = RouterProcess {
         vm: vm.clone(),
         boot: lease.boot,
     };
-    let desk = leading.repeats.as_ref()?;
+    let desk = leader_state.repeats.as_ref()?;
     Some(desk.unused_of(&holder))
 }
 
-fn engine_view(now: Instant, leading: &LeaderState, i: &Instance) -> EngineView {
-    let received = leading.last_announcements.last_received(&i.life());
+fn engine_view(now: Instant, leader_state: &LeaderState, i: &Instance) -> EngineView {
+    let received = leader_state.last_announcements.last_received(&i.life());
     EngineView {
         id: i.id.clone(),
         born: i.born,
@@ -224,9 +225,9 @@
         heard_ms: received.map(|at| now.since(at).as_millis() as u64),
         accelerator: i.accelerator.clone(),
         layers: i.layers,
-        ordered: leading.placement.ordered(&i.id),
-        layer_tokens: leading.in_use.at(i.address),
-        pace_per_mille: leading.paces.per_mille(now, i.address),
-        suspected: leading.is_failing(now, i.address),
+        ordered: leader_state.placement.ordered_layers(&i.id),
+        layer_tokens: leader_state.engine_load.layer_tokens_at(i.address),
+        pace_per_mille: leader_state.paces.per_mille(now, i.address),
+        suspected: leader_state.is_failing(now, i.address),
     }
 }
--- a/crates/deckwind-core/src/control/limit_desk.rs
+++ b/crates/deckwind-core/src/control/target_limiter.rs
@@ -10,8 +10,8 @@
 //! ```
 //!
 //! Guarantee: in any time span T, routers that know the limit of a target send it at most
-//! `rate` × (T + [`PERMIT_FOR`]) + [`BURST`] requests. Permits are issued at `rate`, with
-//! up to [`BURST`] at once after a pause, and each is used within [`PERMIT_FOR`] or
+//! `rate` × (T + [`PERMIT_TTL`]) + [`PERMIT_BURST`] requests. Permits are issued at `rate`, with
+//! up to [`PERMIT_BURST`] at once after a pause, and each is used within [`PERMIT_TTL`] or
 //! never.
 //!
 //! None of this state is replicated. Only one leader issues permits at a time, so the
@@ -24,8 +24,8 @@
 //! was certainly written later.
 
 use super::limit_messages::{
-    LeaderTime, LimitHeard, LimitKey, LimitList, LimitRevision, NamedLimit, PermitAsk,
-    PermitVerdict,
+    LeaderTime, LimitKey, LimitList, LimitRevision, NamedLimit, PermitRequest, PermitVerdict,
+    ReceivedLimit,
 };
 use crate::rate::Rate;
 use crate::replication::Term;
@@ -35,11 +35,11 @@
 
 /// Time for which a permit may be used, counted from its start time. It covers
 /// establishing a connection.
-pub const PERMIT_FOR: Duration = Duration::from_millis(800);
+pub const PERMIT_TTL: Duration = Duration::from_millis(800);
 
 /// Maximum number of permits issued at once after a pause. Requests arrive at random, now
 /// and then two at a time.
-pub const BURST: u32 = 2;
+pub const PERMIT_BURST: u32 = 2;
 
 /// Maximum time until a permit's start that the leader grants. Half of the shortest
 /// latency objective, so that a request that waits for its permit can still meet it.
@@ -111,7 +111,7 @@
     /// due within [`MAX_PERMIT_WAIT`].
     fn issue(&mut self, now: Instant) -> Option<Duration> {
         let interval = self.interval();
-        let due = self.next_permit_at.max(now - interval * (BURST - 1));
+        let due = self.next_permit_at.max(now - interval * (PERMIT_BURST - 1));
         let wait = due.since(now);
         if wait > MAX_PERMIT_WAIT {
             return None;
@@ -132,7 +132,7 @@
 
 /// Limits of all targets, and the permits issued for them.
 #[derive(Clone, Debug)]
-pub struct LimitDesk {
+pub struct TargetLimiter {
     term: Term,
     limits: BTreeMap<LimitKey, TargetLimit>,
     changes: u64,
@@ -140,7 +140,7 @@
     denied: u64,
 }
 
-impl LimitDesk {
+impl TargetLimiter {
     /// Creates the state of the leader of this term, without any limit.
     pub fn new(term: Term) -> Self {
         Self {
@@ -154,7 +154,11 @@
 
     /// Records what a router received from a target. Returns the change of the limit, if
     /// any.
-    pub fn heard(&mut self, now: Instant, heard: &LimitHeard) -> Option<LimitChange> {
+    pub fn record_received_limit(
+        &mut self,
+        now: Instant,
+        heard: &ReceivedLimit,
+    ) -> Option<LimitChange> {
         let named = self.record_named(now, heard);
         let ended = self.record_none_named(heard);
         for change in [named, ended].into_iter().flatten() {
@@ -164,7 +168,7 @@
         ended.or(named)
     }
 
-    fn record_named(&mut self, now: Instant, heard: &LimitHeard) -> Option<LimitChange> {
+    fn record_named(&mut self, now: Instant, heard: &ReceivedLimit) -> Option<LimitChange> {
         let rate = heard.rate;
         // The report was delayed on its way here, so the answer arrived at the router at
         // this time or earlier.
@@ -216,7 +220,7 @@
         }
     }
 
-    fn record_none_named(&mut self, heard: &LimitHeard) -> Option<LimitChange> {
+    fn record_none_named(&mut self, heard: &ReceivedLimit) -> Option<LimitChange> {
         let permitted = self.own_issue_time(heard.none_named)?;
         let limit = self.limits.get_mut(&heard.target)?;
         if limit.rate.is_none() || permitted <= limit.named_at {
@@ -235,7 +239,7 @@
     }
 
     /// Issues the permits that a router wants, as far as they are due.
-    pub fn permit(&mut self, now: Instant, ask: &PermitAsk) -> PermitVerdict {
+    pub fn permit(&mut self, now: Instant, ask: &PermitRequest) -> PermitVerdict {
         let limit = self.limits.get_mut(&ask.heard.target);
         let Some(limit) = limit.filter(|l| l.rate.is_some()) else {
             return PermitVerdict::Unlimited;
@@ -281,7 +285,7 @@
     }
 
     /// Returns all limited targets if a router's list differs from the current one.
-    pub fn list_for(&self, now: Instant, known: Option<LimitRevision>) -> Option<LimitList> {
+    pub fn list_if_changed(&self, now: Instant, known: Option<LimitRevision>) -> Option<LimitList> {
         if !self.has_news(known) {
             return None;
         }
--- a/crates/deckwind-core/src/control/tracked_allowance.rs
+++ b/crates/deckwind-core/src/control/tracked_allowance.rs
@@ -1,7 +1,7 @@
 //! Retry allowance of one router process for one pool, as the leader tracks it.
 
-use super::repeat_messages::PoolReport;
-use crate::state::AllowanceKey;
+use super::retry_messages::PoolRetryReport;
+use crate::state::RetryAllowanceKey;
 use crate::time::Instant;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct TrackedAllowance {
     /// Router and pool of the allowance.
-    pub key: AllowanceKey,
+    pub key: RetryAllowanceKey,
     /// Number of retries issued.
     pub issued: u64,
     /// Number of retries used so long ago that they no longer count.
@@ -45,7 +45,7 @@
     }
 
     /// Applies a report of the router.
-    pub fn apply_report(&mut self, now: Instant, report: &PoolReport) {
+    pub fn apply_report(&mut self, now: Instant, report: &PoolRetryReport) {
         let (spent, returned) = (report.spent, report.back);
         if !self.open || spent + returned > self.issued {
             return;
--- a/crates/deckwind-core/src/membership/lease_table.rs
+++ b/crates/deckwind-core/src/membership/lease_table.rs
@@ -1,6 +1,6 @@
 //! Router leases on the leader's side.
 
-use crate::state::{Holder, Revision, VmName};
+use crate::state::{Revision, RouterProcess, VmName};
 use crate::time::Instant;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 
 impl LeaseTiming {
     /// Returns the time for which the leader counts a lease as live after it answered.
-    pub fn with_drift(&self) -> Duration {
+    pub fn ttl_with_drift(&self) -> Duration {
         self.ttl * (1_000 + self.drift_per_mille) / 1_000
     }
 }
@@ -38,7 +38,7 @@
     /// Revision that the router has applied.
     pub applied: Revision,
     /// Time at which the lease has expired even with the largest clock drift.
-    pub until: Instant,
+    pub expires_at: Instant,
 }
 
 /// Whether a revision is in force on every router.
@@ -84,28 +84,33 @@
     ///
     /// Returns the previous process of the same VM if the table held a lease of another
     /// one. That process has ended, and so have the requests that it had claimed.
-    pub fn renew(&mut self, now: Instant, holder: &Holder, applied: Revision) -> Option<Holder> {
+    pub fn renew(
+        &mut self,
+        now: Instant,
+        holder: &RouterProcess,
+        applied: Revision,
+    ) -> Option<RouterProcess> {
         let lease = RouterLease {
             boot: holder.boot,
             applied,
-            until: now + self.timing.with_drift(),
+            expires_at: now + self.timing.ttl_with_drift(),
         };
         self.earliest_expiry = match self.routers.is_empty() {
-            true => lease.until,
-            false => self.earliest_expiry.min(lease.until),
+            true => lease.expires_at,
+            false => self.earliest_expiry.min(lease.expires_at),
         };
         *self.routers_by_revision.entry(applied).or_default() += 1;
         let previous = self.routers.insert(holder.vm.clone(), lease)?;
         self.decrement_revision(previous.applied);
         let is_replaced = previous.boot != holder.boot;
-        is_replaced.then(|| Holder {
+        is_replaced.then(|| RouterProcess {
             vm: holder.vm.clone(),
             boot: previous.boot,
         })
     }
 
     /// Removes the lease of a router process that has announced its stop.
-    pub fn release(&mut self, holder: &Holder) {
+    pub fn release(&mut self, holder: &RouterProcess) {
         if self
             .routers
             .get(&holder.vm)
@@ -133,16 +138,16 @@
 
     /// Removes expired leases and returns their holders. Scans the leases only if one
     /// may have expired.
-    pub fn expire(&mut self, now: Instant) -> Vec<Holder> {
+    pub fn expire(&mut self, now: Instant) -> Vec<RouterProcess> {
         if now < self.earliest_expiry || self.routers.is_empty() {
             return Vec::new();
         }
         self.rows_scanned += self.routers.len() as u64;
-        let expired: Vec<Holder> = self
+        let expired: Vec<RouterProcess> = self
             .routers
             .iter()
-            .filter(|(_, l)| l.until <= now)
-            .map(|(vm, l)| Holder {
+            .filter(|(_, l)| l.expires_at <= now)
+            .map(|(vm, l)| RouterProcess {
                 vm: vm.clone(),
                 boot: l.boot,
             })
@@ -150,13 +155,13 @@
         for holder in &expired {
             self.remove(&holder.vm);
         }
-        let first = self.routers.values().map(|l| l.until).min();
+        let first = self.routers.values().map(|l| l.expires_at).min();
         self.earliest_expiry = first.unwrap_or(now);
         expired
     }
 
     /// Returns whether a router process on this VM has a lease.
-    pub fn knows(&self, vm: &VmName) -> bool {
+    pub fn has_lease(&self, vm: &VmName) -> bool {
         self.routers.contains_key(vm)
     }
 
@@ -172,8 +177,8 @@
 
     /// Returns whether all leases that a previous leader granted have expired, so that
     /// this table holds all live leases.
-    pub fn are_known(&self, now: Instant) -> bool {
-        now >= self.elected_at + self.timing.with_drift()
+    pub fn has_all_leases(&self, now: Instant) -> bool {
+        now >= self.elected_at + self.timing.ttl_with_drift()
     }
 
     /// Returns the oldest of the revisions that the routers have applied, or `None` if
@@ -183,7 +188,7 @@
     }
 
     /// Returns the number of leases scanned for expiry so far.
-    pub fn looks(&self) -> u64 {
+    pub fn rows_scanned(&self) -> u64 {
         self.rows_scanned
     }
 
@@ -196,15 +201,15 @@
     /// Returns the latest revision that is in force on every router, or `None` while
     /// leases of a previous leader may still be live. Returns [`Revision::MAX`] if there
     /// are no routers.
-    pub fn in_force_through(&self, now: Instant) -> Option<Revision> {
-        if !self.are_known(now) {
+    pub fn latest_in_force(&self, now: Instant) -> Option<Revision> {
+        if !self.has_all_leases(now) {
             return None;
         }
         if now < self.earliest_expiry {
             let oldest = self.routers_by_revision.first_key_value();
             return Some(oldest.map_or(Revision::MAX, |(revision, _)| *revision));
         }
-        let live = self.routers.values().filter(|l| l.until > now);
+        let live = self.routers.values().filter(|l| l.expires_at > now);
         let oldest = live.map(|l| l.applied).min();
         Some(oldest.unwrap_or(Revision::MAX))
     }
@@ -212,11 +217,11 @@
     /// Returns whether `revision` is in force on every router, and if not, which routers
     /// lag behind.
     pub fn in_force(&self, now: Instant, revision: Revision) -> InForce {
-        let known_at = self.elected_at + self.timing.with_drift();
+        let known_at = self.elected_at + self.timing.ttl_with_drift();
         let lagging: Vec<VmName> = self
             .routers
             .iter()
-            .filter(|(_, l)| l.until > now && l.applied < revision)
+            .filter(|(_, l)| l.expires_at > now && l.applied < revision)
             .map(|(vm, _)| vm.clone())
             .collect();
         if !lagging.is_empty() {
--- a/crates/deckwind-core/src/membership/mod.rs
+++ b/crates/deckwind-core/src/membership/mod.rs
@@ -23,4 +23,4 @@
 pub use platform::{PlatformStatus, PlatformView};
 pub use replica_choice::ReplicaChoice;
 pub use router_lease::{LeaseGrant, RouterLeaseState, ServeDecision};
-pub use shares::{AccountDemand, AccountShare, share_of};
+pub use shares::{AccountDemand, AccountShare, account_share};
--- a/crates/deckwind-core/src/membership/replica_choice.rs
+++ b/crates/deckwind-core/src/membership/replica_choice.rs
@@ -60,7 +60,7 @@
 
     /// Returns all known slots in order of preference: members, then other slots from the
     /// settings, since replicas that have left may return at other addresses.
-    pub fn order(&self) -> Vec<u32> {
+    pub fn preference_order(&self) -> Vec<u32> {
         let rank = |slot: &u32| {
             let mut hasher = DefaultHasher::new();
             (&self.vm, *slot).hash(&mut hasher);
@@ -81,7 +81,7 @@
             return Some(leader);
         }
         self.avoided_until.retain(|_, until| *until > now);
-        let order = self.order();
+        let order = self.preference_order();
         let first = order
             .iter()
             .find(|slot| !self.avoided_until.contains_key(slot));
--- a/crates/deckwind-core/src/membership/router_lease.rs
+++ b/crates/deckwind-core/src/membership/router_lease.rs
@@ -22,18 +22,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseGrant {
     /// Time at which the router sent the request, by the router's clock.
-    pub asked: Instant,
+    pub requested_at: Instant,
     /// Term of the leader that granted the lease.
     pub term: Term,
-    /// Duration of the lease, counted from `asked`; none for the usual duration.
-    pub lasts: Option<Duration>,
+    /// Duration of the lease, counted from `requested_at`; none for the usual duration.
+    pub duration: Option<Duration>,
 }
 
 impl LeaseGrant {
     /// Creates a grant of the usual duration.
-    pub fn new(asked: Instant, term: Term) -> Self {
-        let lasts = None;
-        Self { asked, term, lasts }
+    pub fn new(requested_at: Instant, term: Term) -> Self {
+        let duration = None;
+        Self {
+            requested_at,
+            term,
+            duration,
+        }
     }
 }
 
@@ -59,13 +63,16 @@
 
     /// Applies a grant and its configuration changes. Ignores grants of an older term,
     /// which come from a deposed leader. Returns whether the grant was applied.
-    pub fn granted(&mut self, grant: LeaseGrant, delta: Delta) -> bool {
+    pub fn apply_grant(&mut self, grant: LeaseGrant, delta: Delta) -> bool {
         if grant.term < self.term {
             return false;
         }
         self.term = grant.term;
-        let lasts = grant.lasts.unwrap_or(self.timing.ttl).min(self.timing.ttl);
-        self.expires_at = self.expires_at.max(grant.asked + lasts);
+        let lasts = grant
+            .duration
+            .unwrap_or(self.timing.ttl)
+            .min(self.timing.ttl);
+        self.expires_at = self.expires_at.max(grant.requested_at + lasts);
         self.configuration.merge(delta);
         true
     }
@@ -95,7 +102,7 @@
     /// After the lease has expired, the router may not know the latest accepted changes.
     /// Requests that must not be retried are then refused. Others are served for as long
     /// as their template allows.
-    pub fn decide(&self, now: Instant, template: &Template) -> ServeDecision {
+    pub fn serve_decision(&self, now: Instant, template: &Template) -> ServeDecision {
         if self.is_live(now) {
             return ServeDecision::Serve;
         }
--- a/crates/deckwind-core/src/membership/shares.rs
+++ b/crates/deckwind-core/src/membership/shares.rs
@@ -27,7 +27,7 @@
 /// Returns the share of `limit` for a router with `demand`. `total` is the total
 /// demand of all `routers`, in requests per second. The shares of all routers add up
 /// to `limit`.
-pub fn share_of(limit: f64, demand: AccountDemand, total: f64, routers: u32) -> AccountShare {
+pub fn account_share(limit: f64, demand: AccountDemand, total: f64, routers: u32) -> AccountShare {
     let even = limit / f64::from(routers.max(1));
     if total <= 0.0 {
         return AccountShare { per_s: even };
--- a/crates/deckwind-core/src/replication/fence.rs
+++ b/crates/deckwind-core/src/replication/fence.rs
@@ -25,7 +25,7 @@
 
 /// Whether a target checks the fences of orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FenceCheck {
+pub enum FenceSupport {
     /// The target rejects an order whose fence is not above the last accepted one.
     Checks,
     /// The target accepts every order.
@@ -34,14 +34,14 @@
 
 /// Issues the fences of one leader's term.
 #[derive(Clone, Debug)]
-pub struct OrderIssuer {
+pub struct FenceIssuer {
     term: Term,
     elected_at: Instant,
     next_sequence: u64,
     max_flight_time: Duration,
 }
 
-impl OrderIssuer {
+impl FenceIssuer {
     /// Creates an issuer for a leader that was elected for `term` at `elected_at`.
     /// `max_flight_time` is the longest time that an order can be in flight; its
     /// connection is closed after that.
@@ -60,12 +60,12 @@
         &mut self,
         now: Instant,
         lease_until: Option<Instant>,
-        check: FenceCheck,
+        check: FenceSupport,
     ) -> Option<Fence> {
         let lease_end = lease_until?;
         let allowed = match check {
-            FenceCheck::Checks => now < lease_end,
-            FenceCheck::DoesNotCheck => {
+            FenceSupport::Checks => now < lease_end,
+            FenceSupport::DoesNotCheck => {
                 now + self.max_flight_time < lease_end
                     && now >= self.elected_at + self.max_flight_time
             }
--- a/crates/deckwind-core/src/replication/join.rs
+++ b/crates/deckwind-core/src/replication/join.rs
@@ -53,7 +53,7 @@
     /// Returns the slots of all other replicas that may be members.
     fn other_slots(&self) -> BTreeSet<u32> {
         let mut slots = self.cfg.slots.clone();
-        if self.cfg.by_seeds.is_some() {
+        if self.cfg.seed_discovery.is_some() {
             slots.extend(self.members.all().map(|id| id.slot));
         }
         slots.remove(&self.cfg.id.slot);
@@ -62,19 +62,19 @@
 
     /// Replaces the seeds after a change of the settings.
     pub(super) fn set_seeds(&mut self, slots: BTreeSet<u32>) {
-        if self.cfg.by_seeds.is_some() {
+        if self.cfg.seed_discovery.is_some() {
             self.cfg.slots = slots;
             self.cfg.slots.insert(self.cfg.id.slot);
         }
     }
 
     fn may_form_cluster(&self) -> bool {
-        self.cfg.by_seeds.is_none_or(|s| s.may_form)
+        self.cfg.seed_discovery.is_none_or(|s| s.may_form)
     }
 
     /// Returns whether a replica at this slot can become a member.
     fn may_join(&self, slot: u32) -> bool {
-        self.cfg.by_seeds.is_some() || self.cfg.slots.contains(&slot)
+        self.cfg.seed_discovery.is_some() || self.cfg.slots.contains(&slot)
     }
 
     fn is_unformed(&self) -> bool {
@@ -106,7 +106,7 @@
     /// seeds may not know the leader's slot.
     fn forward_join(&self, from: ReplicaId, unformed: bool, out: &mut Vec<Action>) {
         let leader = self.leader.filter(|l| l.slot != from.slot);
-        let (Some(leader), true) = (leader, self.cfg.by_seeds.is_some()) else {
+        let (Some(leader), true) = (leader, self.cfg.seed_discovery.is_some()) else {
             return;
         };
         let mut message = self.message_to(leader, Body::Join { unformed });
@@ -188,10 +188,10 @@
     /// than wanted: a replica that was replaced by one at another address is not expected
     /// back. A removed replica that does come back asks to join again.
     fn remove_surplus_voter(&mut self, now: Instant, out: &mut Vec<Action>) {
-        let Some(by_seeds) = self.cfg.by_seeds else {
+        let Some(seed_discovery) = self.cfg.seed_discovery else {
             return;
         };
-        if self.members.voters.len() <= by_seeds.voters_wanted {
+        if self.members.voters.len() <= seed_discovery.desired_voters {
             return;
         }
         let others = self.members.voters.iter().filter(|id| **id != self.cfg.id);
--- a/crates/deckwind-core/src/replication/leader.rs
+++ b/crates/deckwind-core/src/replication/leader.rs
@@ -117,7 +117,7 @@
     /// Returns whether this replica may answer from its state: it holds the lease and
     /// has committed an entry of its own term, so its state contains every accepted
     /// entry.
-    pub fn may_answer(&self, now: Instant) -> bool {
+    pub fn can_serve_reads(&self, now: Instant) -> bool {
         let caught_up = self
             .leader_state
             .as_ref()
@@ -127,7 +127,7 @@
 
     /// Returns the time at which this replica became leader, or `None` if it is not the
     /// leader.
-    pub fn leading_since(&self) -> Option<Instant> {
+    pub fn leader_since(&self) -> Option<Instant> {
         self.leader_state.as_ref().map(|l| l.elected_at)
     }
 
--- a/crates/deckwind-core/src/replication/mod.rs
+++ b/crates/deckwind-core/src/replication/mod.rs
@@ -38,13 +38,13 @@
 mod replica;
 mod types;
 
-pub use fence::{Fence, FenceCheck, OrderIssuer};
+pub use fence::{Fence, FenceIssuer, FenceSupport};
 pub use ids::{ClusterId, Index, Position, ReplicaId, Term};
 pub use log::{Entry, Log, Payload};
 pub use members::{MemberChange, Members};
 pub use message::{Body, Message};
 pub use replica::Replica;
-pub use types::BySeeds;
+pub use types::SeedDiscovery;
 pub use types::{
     Action, Event, HardState, ProposalRefusal, ReplicaConfig, Role, SnapshotMeta, Stored, Timing,
 };
--- a/crates/deckwind-core/src/replication/types.rs
+++ b/crates/deckwind-core/src/replication/types.rs
@@ -76,12 +76,12 @@
 /// instead of a fixed list of slots. A slot is then the IPv4 address of the replica
 /// as a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BySeeds {
+pub struct SeedDiscovery {
     /// Whether this replica may form the cluster with the other seeds: it is a seed and
     /// the whole system starts for the first time.
     pub may_form: bool,
     /// Desired number of voters. Unresponsive voters are removed while there are more.
-    pub voters_wanted: usize,
+    pub desired_voters: usize,
 }
 
 /// Configuration of a replica.
@@ -89,11 +89,11 @@
 pub struct ReplicaConfig {
     /// Identifier of the replica.
     pub id: ReplicaId,
-    /// Slots of all control VMs, including this one; with `by_seeds`, the slots of the
+    /// Slots of all control VMs, including this one; with `seed_discovery`, the slots of the
     /// seeds and of this replica.
     pub slots: BTreeSet<u32>,
     /// Discovery of members through seeds; none if the slots are a fixed list.
-    pub by_seeds: Option<BySeeds>,
+    pub seed_discovery: Option<SeedDiscovery>,
     /// Intervals and timeouts of the protocol.
     pub timing: Timing,
     /// Seed of the random number generator for election timeouts and the cluster
@@ -111,7 +111,7 @@
         Self {
             id,
             slots: slots.into_iter().collect(),
-            by_seeds: None,
+            seed_discovery: None,
             timing: Timing::default(),
             seed,
             max_batch_bytes: MAX_BATCH_BYTES,
--- a/crates/deckwind-core/src/router/router_core.rs
+++ b/crates/deckwind-core/src/router/router_core.rs
@@ -149,7 +149,7 @@
             any: delta.to > self.lease.applied(),
         };
         let new_leader = grant.term > self.lease.term();
-        if !self.lease.granted(grant, delta) {
+        if !self.lease.apply_grant(grant, delta) {
             return;
         }
         if new_leader {
@@ -254,7 +254,7 @@
         let cfg = self.lease.configuration();
         let known = cfg.template(template);
         let found = known.ok_or(Denied::for_good(DeniedCode::UnknownTemplate))?;
-        if self.lease.decide(now, found) == ServeDecision::Refuse {
+        if self.lease.serve_decision(now, found) == ServeDecision::Refuse {
             return Err(Denied::for_now(DeniedCode::NoLease, RETRY_ELSEWHERE_AFTER));
         }
         let entered = self.resolve(now, account, found)?;
--- a/crates/deckwind-core/src/routes/attempt_result.rs
+++ b/crates/deckwind-core/src/routes/attempt_result.rs
@@ -47,7 +47,7 @@
         // A "not run" marker on a success status is contradictory.
         Came::NotRun(status) if (200..300).contains(&status) => Told::MayHaveRun,
         Came::NotRun(_) => Told::NotRun,
-        Came::Own(status) if is_promise(status) && !kind.may_repeat() => Told::MayHaveRun,
+        Came::Own(status) if is_promise(status) && !kind.is_retryable() => Told::MayHaveRun,
         Came::Own(_) => Told::PassOn,
         Came::Nothing => Told::MayHaveRun,
     }
--- a/crates/deckwind-core/src/routes/attempts.rs
+++ b/crates/deckwind-core/src/routes/attempts.rs
@@ -4,14 +4,14 @@
 //! that is only silent may be slow and continue to run the request, so it counts.
 
 use super::index::InstanceIndex;
-use crate::state::Life;
+use crate::state::Incarnation;
 use std::net::SocketAddr;
 
 /// Targets to which a request was sent and that may have run it.
 #[derive(Clone, Debug)]
 pub struct Tries {
     max: u32,
-    sent: Vec<(SocketAddr, Life)>,
+    sent: Vec<(SocketAddr, Incarnation)>,
 }
 
 impl Tries {
@@ -24,7 +24,7 @@
     }
 
     /// Records that the request is sent to this incarnation of a target.
-    pub fn sent(&mut self, address: SocketAddr, life: Life) {
+    pub fn sent(&mut self, address: SocketAddr, life: Incarnation) {
         self.sent.push((address, life));
     }
 
@@ -40,7 +40,8 @@
 
     /// The number of these targets that have ended, according to the agreed state.
     pub fn ended(&self, instances: &InstanceIndex) -> u32 {
-        let ended = |(address, life): &&(SocketAddr, Life)| instances.has_ended(*address, life);
+        let ended =
+            |(address, life): &&(SocketAddr, Incarnation)| instances.has_ended(*address, life);
         self.sent.iter().filter(ended).count() as u32
     }
 
--- a/crates/deckwind-core/src/routes/book.rs
+++ b/crates/deckwind-core/src/routes/book.rs
@@ -3,7 +3,7 @@
 
 use super::limits::TargetLimits;
 use super::notices::TargetNotices;
-use crate::control::{EngineFull, EngineUse, UseNews, UseNumber};
+use crate::control::{EngineFull, EngineLoadUpdate, EngineLoadVersion, EngineStreamLoad};
 use crate::routing::paths::{EngineView, Held, Stage};
 use crate::state::Instance;
 use crate::time::Instant;
@@ -70,7 +70,7 @@
     /// Load of all routers' streams by engine, as last reported by the leader.
     fleet: HashMap<SocketAddr, Held>,
     /// Position up to which the leader's load updates have been applied.
-    use_known: Option<UseNumber>,
+    use_known: Option<EngineLoadVersion>,
     /// Load of this router's streams in its last report. Included in `fleet`.
     reported: HashMap<SocketAddr, Held>,
     /// Engines that recently refused a request for lack of capacity.
@@ -342,14 +342,14 @@
     }
 
     /// Replaces the load of all other routers' streams.
-    pub fn others_hold(&mut self, uses: &[EngineUse]) {
+    pub fn others_hold(&mut self, uses: &[EngineStreamLoad]) {
         self.fleet = uses.iter().map(|u| (u.address, u.held())).collect();
         self.reported.clear();
     }
 
     /// Applies the answer to a lease renewal: `own` is the load that the renewal reported,
     /// `news` the leader's changes to the load of all routers, if any.
-    pub fn use_told(&mut self, own: &[EngineUse], news: Option<&UseNews>) {
+    pub fn use_told(&mut self, own: &[EngineStreamLoad], news: Option<&EngineLoadUpdate>) {
         self.reported = own.iter().map(|u| (u.address, u.held())).collect();
         let Some(news) = news else {
             return;
@@ -367,16 +367,16 @@
     }
 
     /// Returns the position up to which the leader's load updates have been applied.
-    pub fn use_known(&self) -> Option<UseNumber> {
+    pub fn use_known(&self) -> Option<EngineLoadVersion> {
         self.use_known
     }
 
     /// Returns the load of this router's streams for the report to the leader, sorted by
     /// address.
-    pub fn own_use(&self) -> Vec<EngineUse> {
+    pub fn own_use(&self) -> Vec<EngineStreamLoad> {
         let own = self.own.iter();
-        let own = own.map(|(address, held)| EngineUse::new(*address, *held));
-        let mut own: Vec<EngineUse> = own.collect();
+        let own = own.map(|(address, held)| EngineStreamLoad::new(*address, *held));
+        let mut own: Vec<EngineStreamLoad> = own.collect();
         own.sort_unstable_by_key(|u| u.address);
         own
     }
--- a/crates/deckwind-core/src/routes/choice.rs
+++ b/crates/deckwind-core/src/routes/choice.rs
@@ -4,7 +4,7 @@
 use crate::control::LimitKey;
 use crate::routing::draws::Draws;
 use crate::routing::paths::{EnginePath, Fullest, Need, NoPath, has_chain, paths};
-use crate::state::{DataCentre, EngineModel, Instance, InstanceState, Life};
+use crate::state::{DataCentre, EngineModel, Incarnation, Instance, InstanceState};
 use crate::time::Instant;
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -93,8 +93,8 @@
 impl Choice {
     /// Returns the chosen incarnation. The id alone does not distinguish it from a later
     /// incarnation of the same target.
-    pub fn life(&self) -> Life {
-        Life {
+    pub fn life(&self) -> Incarnation {
+        Incarnation {
             id: self.instance.clone(),
             born: self.born,
         }
--- a/crates/deckwind-core/src/routes/cut_runs.rs
+++ b/crates/deckwind-core/src/routes/cut_runs.rs
@@ -13,9 +13,9 @@
 //!  answered in full ──────────┴─► served: earlier crashes are forgotten ─────────────► leader
 //! ```
 
-use crate::control::{DEFAULT_PERIOD, SILENT_PERIODS};
+use crate::control::{DEFAULT_ANNOUNCE_INTERVAL, MAX_MISSED_ANNOUNCEMENTS};
 use crate::state::{
-    ContentDigest, ENDS_TO_QUARANTINE, Life, MOST_ENDS, SuspectChange, SuspectList,
+    ContentDigest, Incarnation, MAX_ENDS, QUARANTINE_THRESHOLD, SuspectChange, SuspectList,
 };
 use crate::time::Instant;
 use std::collections::{HashMap, VecDeque};
@@ -31,7 +31,7 @@
 /// Time for which an interrupted run waits for the crash of its incarnation to be known, in
 /// announcement periods plus a fixed time. A silent target counts as such after some of its
 /// periods; that is then agreed on and sent to the routers.
-const WAIT_PERIODS: u32 = SILENT_PERIODS;
+const WAIT_PERIODS: u32 = MAX_MISSED_ANNOUNCEMENTS;
 const WAIT_MARGIN: Duration = Duration::from_millis(2_400);
 
 /// Time for which a request content that was served completely is exempt from counting at
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug)]
 struct PendingRun {
     content: ContentDigest,
-    life: Life,
+    life: Incarnation,
     /// Whether an event of the run had come.
     begun: bool,
     until: Instant,
@@ -68,7 +68,7 @@
 /// Crashes for one request content that this router observed.
 #[derive(Clone, Debug)]
 struct OwnCrashes {
-    lives: Vec<Life>,
+    lives: Vec<Incarnation>,
     /// Number of crashes known when the last one was recorded, including those seen by
     /// other routers.
     known_crashes: usize,
@@ -82,7 +82,7 @@
     pending: VecDeque<PendingRun>,
     /// Recently ended incarnations. A run may be noticed as interrupted after its target
     /// crashed.
-    ended_incarnations: VecDeque<(Life, Instant)>,
+    ended_incarnations: VecDeque<(Incarnation, Instant)>,
     /// Crashes that this router observed and that are not agreed.
     own_crashes: HashMap<ContentDigest, OwnCrashes>,
     served: HashMap<ContentDigest, Instant>,
@@ -101,7 +101,7 @@
 impl Default for CutRuns {
     /// Returns a tracker for targets that announce themselves at the default period.
     fn default() -> Self {
-        Self::with_period(DEFAULT_PERIOD)
+        Self::with_period(DEFAULT_ANNOUNCE_INTERVAL)
     }
 }
 
@@ -125,7 +125,7 @@
         &mut self,
         now: Instant,
         content: ContentDigest,
-        life: &Life,
+        life: &Incarnation,
         ran: Option<Duration>,
     ) -> bool {
         if ran.is_some_and(|ran| ran >= JUST_BEGUN) {
@@ -169,14 +169,18 @@
         }
         self.pending.retain(|w| w.content != content);
         let had_crashes = self.own_crashes.remove(&content).is_some();
-        if had_crashes || self.agreed.ends(&content) > 0 {
+        if had_crashes || self.agreed.crash_count(&content) > 0 {
             push_bounded(&mut self.unreported, SuspectChange::Served(content));
         }
     }
 
     /// Records incarnations that crashed. Returns the request contents that were running
     /// there, with the incarnation.
-    pub fn lives_over(&mut self, now: Instant, lives: Vec<Life>) -> Vec<(ContentDigest, Life)> {
+    pub fn lives_over(
+        &mut self,
+        now: Instant,
+        lives: Vec<Incarnation>,
+    ) -> Vec<(ContentDigest, Incarnation)> {
         self.remove_expired(now);
         let pending = std::mem::take(&mut self.pending);
         let (cut, rest): (Vec<_>, Vec<_>) =
@@ -186,7 +190,7 @@
             push_bounded(&mut self.ended_incarnations, (life, now));
         }
         for w in &cut {
-            let before = self.agreed.ends(&w.content);
+            let before = self.agreed.crash_count(&w.content);
             self.record_crash(now, w.content, w.life.clone(), w.begun, before);
         }
         cut.into_iter().map(|w| (w.content, w.life)).collect()
@@ -199,7 +203,7 @@
         &mut self,
         now: Instant,
         content: ContentDigest,
-        life: Life,
+        life: Incarnation,
         begun: bool,
         before: usize,
     ) {
@@ -222,7 +226,7 @@
                 last_crash: now,
             });
         own.last_crash = now;
-        if own.lives.contains(&life) || own.lives.len() >= MOST_ENDS {
+        if own.lives.contains(&life) || own.lives.len() >= MAX_ENDS {
             return;
         }
         own.lives.push(life.clone());
@@ -243,9 +247,9 @@
     pub fn agreed(&mut self, now: Instant, list: Arc<SuspectList>) -> Arc<SuspectList> {
         let before = std::mem::replace(&mut self.agreed, list.clone());
         self.own_crashes.retain(|content, _| {
-            let agreed = list.ends(content);
-            let no_longer = agreed < before.ends(content);
-            !no_longer && agreed < ENDS_TO_QUARANTINE
+            let agreed = list.crash_count(content);
+            let no_longer = agreed < before.crash_count(content);
+            !no_longer && agreed < QUARANTINE_THRESHOLD
         });
         self.report_exempt(now, &before);
         before
@@ -255,7 +259,7 @@
     /// other routers exempt them too. A router that has just started has served nothing and
     /// would quarantine a popular one after three unrelated crashes.
     fn report_exempt(&mut self, now: Instant, before: &SuspectList) {
-        let increased = |c: &&ContentDigest| self.agreed.ends(c) > before.ends(c);
+        let increased = |c: &&ContentDigest| self.agreed.crash_count(c) > before.crash_count(c);
         let increased = self.agreed.contents().filter(increased);
         let served = increased.filter(|c| self.is_exempt(now, c));
         let served: Vec<ContentDigest> = served.copied().collect();
@@ -270,8 +274,9 @@
             return 0;
         };
         let age = now.since(own.last_crash);
-        let cleared =
-            own.known_crashes > 1 && self.agreed.ends(content) == 0 && age >= AGREEMENT_TIMEOUT;
+        let cleared = own.known_crashes > 1
+            && self.agreed.crash_count(content) == 0
+            && age >= AGREEMENT_TIMEOUT;
         match age >= OWN_CRASHES_TTL || cleared {
             true => 0,
             false => own.known_crashes,
@@ -284,15 +289,15 @@
         self.remove_expired(now);
         let known = self
             .counted_own_crashes(now, content)
-            .max(self.agreed.ends(content));
-        if known >= ENDS_TO_QUARANTINE {
+            .max(self.agreed.crash_count(content));
+        if known >= QUARANTINE_THRESHOLD {
             return false;
         }
         let pending = self.pending.iter().filter(|w| w.content == *content);
-        let mut lives: Vec<&Life> = pending.map(|w| &w.life).collect();
+        let mut lives: Vec<&Incarnation> = pending.map(|w| &w.life).collect();
         lives.sort_unstable();
         lives.dedup();
-        known + lives.len() < ENDS_TO_QUARANTINE
+        known + lives.len() < QUARANTINE_THRESHOLD
     }
 
     /// Whether there are changes that the leader has not received.
--- a/crates/deckwind-core/src/routes/granted_retries.rs
+++ b/crates/deckwind-core/src/routes/granted_retries.rs
@@ -10,8 +10,8 @@
 //! already spent.
 
 use super::choice::Claim;
-use crate::control::{PoolReport, RepeatGrant};
-use crate::state::AllowanceId;
+use crate::control::{PoolRetryReport, RetryGrant};
+use crate::state::RetryAllowanceId;
 use crate::time::Instant;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -46,7 +46,7 @@
 /// Granted retries of one pool.
 #[derive(Clone, Debug, Default)]
 pub struct GrantedRetries {
-    allowance: Option<AllowanceId>,
+    allowance: Option<RetryAllowanceId>,
     issued: u64,
     spent: u64,
     /// Times at which recent retries were used.
@@ -126,13 +126,13 @@
         pool: &str,
         serves: bool,
         retry_lifetime: Duration,
-    ) -> PoolReport {
+    ) -> PoolRetryReport {
         self.remove_old_requests(now);
         let old = |at: &Instant| now.since(*at) >= retry_lifetime;
         while self.spent_at.front().is_some_and(old) {
             self.spent_at.pop_front();
         }
-        PoolReport {
+        PoolRetryReport {
             pool: pool.to_string(),
             allowance: self.allowance,
             spent: self.spent,
@@ -145,7 +145,7 @@
 
     /// Applies the leader's answer to a report sent at `asked`. Returns whether more
     /// retries were granted.
-    pub fn told(&mut self, asked: Instant, validity: Duration, grant: &RepeatGrant) -> bool {
+    pub fn told(&mut self, asked: Instant, validity: Duration, grant: &RetryGrant) -> bool {
         if self.allowance.is_some_and(|mine| grant.allowance < mine) {
             return false;
         }
--- a/crates/deckwind-core/src/routes/index.rs
+++ b/crates/deckwind-core/src/routes/index.rs
@@ -1,8 +1,8 @@
 //! Lookup indexes over a release and the announced targets.
 
 use crate::state::{
-    AccountName, Configuration, Instance, InstanceState, KeyDigest, Life, Pool, Release, Revision,
-    Route,
+    AccountName, Configuration, Incarnation, Instance, InstanceState, KeyDigest, Pool, Release,
+    Revision, Route,
 };
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -122,10 +122,10 @@
     /// Address of the incarnation.
     pub address: SocketAddr,
     /// The incarnation that has ended.
-    pub life: Life,
+    pub life: Incarnation,
     /// The incarnation that is now at the address. Engines that hold no layers yet are not
     /// known here.
-    pub by: Option<Life>,
+    pub by: Option<Incarnation>,
 }
 
 /// Announced targets by pool.
@@ -152,7 +152,7 @@
     /// Whether the incarnation at this address has certainly ended: the target has
     /// restarted, or another target has the address. A target that is draining, silent or
     /// has left may still run requests.
-    pub fn has_ended(&self, address: SocketAddr, life: &Life) -> bool {
+    pub fn has_ended(&self, address: SocketAddr, life: &Incarnation) -> bool {
         let is_another = |i: &Instance| i.id != life.id || i.born != life.born;
         let mut at_address = self.iter().filter(|i| i.address == address);
         at_address.any(is_another)
@@ -180,7 +180,7 @@
 
     /// Returns the incarnations that were ready in `before` and crashed: they fell silent,
     /// or another one has the address. A target that is merely missing has left as planned.
-    pub fn lives_cut(&self, before: &InstanceIndex) -> Vec<Life> {
+    pub fn lives_cut(&self, before: &InstanceIndex) -> Vec<Incarnation> {
         let current: HashMap<SocketAddr, &Instance> = self.iter().map(|i| (i.address, i)).collect();
         let cut = |old: &&Instance| match current.get(&old.address) {
             Some(new) if new.id == old.id && new.born == old.born => {
--- a/crates/deckwind-core/src/routes/limits.rs
+++ b/crates/deckwind-core/src/routes/limits.rs
@@ -1,12 +1,12 @@
 //! Request limits that targets have set, as known to one router.
 //!
 //! A limit applies to all VMs together, so the leader issues permits
-//! ([`crate::control::LimitDesk`]), and a request to a limited target needs one. A router
+//! ([`crate::control::TargetLimiter`]), and a request to a limited target needs one. A router
 //! reports the limits it receives to the leader, and applies a limit that it knows only
 //! from the leader like one it received itself.
 
 use crate::control::{
-    LeaderTime, LimitHeard, LimitKey, LimitList, LimitReport, LimitRevision, PERMIT_FOR,
+    LeaderTime, LimitKey, LimitList, LimitReport, LimitRevision, PERMIT_TTL, ReceivedLimit,
 };
 use crate::rate::Rate;
 use crate::replication::Term;
@@ -34,7 +34,7 @@
     pub fn new(asked: Instant, now: Instant, wait: Duration, issued: LeaderTime) -> Self {
         Self {
             from: now + wait,
-            until: asked + wait + PERMIT_FOR,
+            until: asked + wait + PERMIT_TTL,
             issued,
         }
     }
@@ -164,13 +164,13 @@
     }
 
     /// Returns the report to the leader for one limited target.
-    pub fn heard_of(&self, now: Instant, target: &LimitKey) -> Option<LimitHeard> {
+    pub fn heard_of(&self, now: Instant, target: &LimitKey) -> Option<ReceivedLimit> {
         let known = self.known.get(target)?;
         Some(self.limit_entry(now, target, known))
     }
 
-    fn limit_entry(&self, now: Instant, target: &LimitKey, known: &KnownLimit) -> LimitHeard {
-        LimitHeard {
+    fn limit_entry(&self, now: Instant, target: &LimitKey, known: &KnownLimit) -> ReceivedLimit {
+        ReceivedLimit {
             target: target.clone(),
             rate: known.rate,
             ago: now.since(known.rate_received_at),
--- a/crates/deckwind-core/src/routes/notices.rs
+++ b/crates/deckwind-core/src/routes/notices.rs
@@ -6,7 +6,7 @@
 //! with the control replicas.
 
 use crate::rate::Rate;
-use crate::state::{Instance, Life};
+use crate::state::{Incarnation, Instance};
 use crate::time::Instant;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -50,7 +50,7 @@
 
 #[derive(Clone, Debug)]
 struct StoredNotice {
-    life: Life,
+    life: Incarnation,
     rests_until: Instant,
     leaves: bool,
     received_at: Instant,
@@ -69,7 +69,7 @@
         &mut self,
         now: Instant,
         address: SocketAddr,
-        life: &Life,
+        life: &Incarnation,
         notice: &TargetNotice,
     ) -> Heard {
         if notice.rest.is_none() && !notice.leaves {
@@ -88,7 +88,12 @@
         }
     }
 
-    fn stored_mut(&mut self, now: Instant, address: SocketAddr, life: &Life) -> &mut StoredNotice {
+    fn stored_mut(
+        &mut self,
+        now: Instant,
+        address: SocketAddr,
+        life: &Incarnation,
+    ) -> &mut StoredNotice {
         if self.by_address.len() >= MAX_ADDRESSES && !self.by_address.contains_key(&address) {
             self.forget_oldest();
         }
@@ -133,7 +138,7 @@
     }
 
     /// Whether this incarnation accepts no new requests at `now`.
-    pub fn turns_away(&self, now: Instant, address: SocketAddr, life: &Life) -> bool {
+    pub fn turns_away(&self, now: Instant, address: SocketAddr, life: &Incarnation) -> bool {
         let lives = self.by_address.get(&address);
         let mut lives = lives.into_iter().flatten();
         lives.any(|s| s.life == *life && (s.leaves || s.rests_until > now))
--- a/crates/deckwind-core/src/routes/retry_after.rs
+++ b/crates/deckwind-core/src/routes/retry_after.rs
@@ -4,7 +4,7 @@
 //! on time, and longer where all callers wait for the same condition. It is random within
 //! bounds so that callers refused together don't return together.
 
-use crate::state::QUARANTINED_FOR_MS;
+use crate::state::QUARANTINE_DURATION_MS;
 use std::time::Duration;
 
 /// Time in milliseconds over which callers that wait for the end of a rest period are
@@ -51,7 +51,10 @@
                 (remaining, remaining + REST_SPREAD_MS)
             }
             // No router serves the request content sooner, see `state::quarantine`.
-            Refusal::Quarantined => (QUARANTINED_FOR_MS as f64, QUARANTINED_FOR_MS as f64 * 1.1),
+            Refusal::Quarantined => (
+                QUARANTINE_DURATION_MS as f64,
+                QUARANTINE_DURATION_MS as f64 * 1.1,
+            ),
         }
     }
 
--- a/crates/deckwind-core/src/routes/retry_budget.rs
+++ b/crates/deckwind-core/src/routes/retry_budget.rs
@@ -12,7 +12,7 @@
 
 use super::choice::Claim;
 use super::granted_retries::GrantedRetries;
-use crate::control::{RepeatGrant, RepeatReport};
+use crate::control::{RetryGrant, RetryReport};
 use crate::time::Instant;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -242,7 +242,7 @@
 
     /// Builds the report for the leader, or returns `None` if no retries are allowed beyond
     /// the share.
-    pub fn report(&mut self, now: Instant) -> Option<RepeatReport> {
+    pub fn report(&mut self, now: Instant) -> Option<RetryReport> {
         if self.limits.beyond <= 0.0 {
             return None;
         }
@@ -254,7 +254,7 @@
                 pools.push(budget.leased.report(now, pool, serves, retry_lifetime));
             }
         }
-        Some(RepeatReport {
+        Some(RetryReport {
             most: (BOUND_FRACTION * self.limits.beyond) as u64,
             window: self.limits.window,
             pools,
@@ -263,7 +263,7 @@
 
     /// Applies the leader's grants, requested at `asked`. Returns whether more retries were
     /// granted.
-    pub fn told(&mut self, asked: Instant, validity: Duration, grants: &[RepeatGrant]) -> bool {
+    pub fn told(&mut self, asked: Instant, validity: Duration, grants: &[RetryGrant]) -> bool {
         let mut more = false;
         for grant in grants {
             let budget = self.of_pool(&grant.pool);
--- a/crates/deckwind-core/src/state/claims.rs
+++ b/crates/deckwind-core/src/state/claims.rs
@@ -18,7 +18,7 @@
 
 /// A router process that holds claims. A restarted router is a different holder.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Holder {
+pub struct RouterProcess {
     /// The VM that the process runs on.
     pub vm: VmName,
     /// Random number drawn at the start of the process.
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// Router process that made the claim.
-    pub holder: Holder,
+    pub holder: RouterProcess,
     /// Digest of the request.
     pub digest: u64,
     /// Identifies the attempt, which distinguishes a resend by the same holder from
@@ -165,7 +165,13 @@
     /// Records the outcome of a claim, if `holder` holds it. An `Unknown` outcome
     /// is replaced if the holder turns out to be alive. `nonce` identifies the
     /// attempt, so a late or duplicate outcome does not end a later attempt.
-    pub(super) fn finish(&mut self, key: &ClaimKey, holder: &Holder, nonce: u64, outcome: Outcome) {
+    pub(super) fn finish(
+        &mut self,
+        key: &ClaimKey,
+        holder: &RouterProcess,
+        nonce: u64,
+        outcome: Outcome,
+    ) {
         let Some(row) = self.rows.get_mut(key) else {
             return;
         };
@@ -186,7 +192,7 @@
     }
 
     /// Returns the distinct holders of claims in progress.
-    pub fn holders_in_progress(&self) -> BTreeSet<Holder> {
+    pub fn holders_in_progress(&self) -> BTreeSet<RouterProcess> {
         let in_progress = |c: &&Claim| c.status == ClaimStatus::InProgress;
         let rows = self.rows.values().filter(in_progress);
         rows.map(|c| c.holder.clone()).collect()
@@ -194,7 +200,7 @@
 
     /// Marks all claims in progress of a lost holder as `Unknown`: the requests may
     /// have run.
-    pub(super) fn mark_holder_gone(&mut self, holder: &Holder) {
+    pub(super) fn mark_holder_gone(&mut self, holder: &RouterProcess) {
         for row in self.rows.values_mut() {
             if row.holder == *holder && row.status == ClaimStatus::InProgress {
                 row.status = ClaimStatus::Ended(Outcome::Unknown);
--- a/crates/deckwind-core/src/state/command.rs
+++ b/crates/deckwind-core/src/state/command.rs
@@ -1,13 +1,13 @@
 //! Commands replicated through the log, and their replies.
 
-use super::claims::{ClaimKey, ClaimVerdict, Holder, Outcome};
-use super::encoding::{UnreadableState, from_bytes, to_bytes};
+use super::claims::{ClaimKey, ClaimVerdict, Outcome, RouterProcess};
+use super::encoding::{DecodeStateError, from_bytes, to_bytes};
 use super::instances::InstanceChange;
 use super::names::{AccountName, RequestId, Revision, TargetName, TemplateName};
 use super::objects::{Account, Target, Template};
 use super::quarantine::SuspectChange;
-use super::release::Published;
-use super::repeats::RepeatChange;
+use super::release::PublishedRelease;
+use super::retry_ledger::RetryChange;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
@@ -49,7 +49,7 @@
     /// Key of the claim.
     pub key: ClaimKey,
     /// Router process that will send the request.
-    pub holder: Holder,
+    pub holder: RouterProcess,
     /// Digest of the request; reusing the key with a different body is an error.
     pub digest: u64,
     /// Identifies the attempt; a resend of the same attempt is granted again.
@@ -62,7 +62,7 @@
     /// Key of the claim.
     pub key: ClaimKey,
     /// Router process that made the claim.
-    pub holder: Holder,
+    pub holder: RouterProcess,
     /// Identifies the attempt that ended.
     pub nonce: u64,
     /// Outcome of the request.
@@ -79,13 +79,13 @@
     /// Records the outcome of a claimed request.
     Finish(FinishRequest),
     /// Reports a lost holder; the requests that it had claimed may have run.
-    HolderGone(Holder),
+    HolderGone(RouterProcess),
     /// Publishes a release, unless the current one has the same or a higher version.
-    Publish(Box<Published>),
+    Publish(Box<PublishedRelease>),
     /// Records targets that announced themselves, changed or left.
     Instances(Vec<InstanceChange>),
     /// Records retries that were granted to router processes, or no longer count.
-    Repeats(Vec<RepeatChange>),
+    Repeats(Vec<RetryChange>),
     /// Records request contents that crashed targets or were served. An empty list
     /// only removes expired entries.
     Suspects(Vec<SuspectChange>),
@@ -111,7 +111,7 @@
     /// # Errors
     ///
     /// Fails if the bytes have another format version or are damaged.
-    pub fn from_bytes(bytes: &[u8]) -> Result<Self, UnreadableState> {
+    pub fn from_bytes(bytes: &[u8]) -> Result<Self, DecodeStateError> {
         from_bytes(bytes)
     }
 }
