--- a/crates/deckwind-core/src/state/configuration.rs
+++ b/crates/deckwind-core/src/state/configuration.rs
@@ -6,7 +6,7 @@
 use super::names::{AccountName, Revision, TargetName, TemplateName};
 use super::objects::{Account, Target, TargetKind, TargetStatus, Template, Workload};
 use super::quarantine::SuspectList;
-use super::release::{Published, Release};
+use super::release::{PublishedRelease, Release};
 use super::release_change::{ReleaseDelta, ReleaseHistory};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -98,7 +98,7 @@
 
     /// Returns the last revision written in this process that must be sent to
     /// routers. Later revisions changed nothing that routers get.
-    pub fn shown(&self) -> Revision {
+    pub fn visible_revision(&self) -> Revision {
         self.shown
     }
 
@@ -249,7 +249,7 @@
     /// # Errors
     ///
     /// [`Rejection::Invalid`] if the release is inconsistent.
-    pub(super) fn publish(&mut self, published: Published) -> Result<Revision, Rejection> {
+    pub(super) fn publish(&mut self, published: PublishedRelease) -> Result<Revision, Rejection> {
         if let Err(why) = published.release.check() {
             return Err(Rejection::Invalid { why });
         }
--- a/crates/deckwind-core/src/state/content.rs
+++ b/crates/deckwind-core/src/state/content.rs
@@ -42,16 +42,18 @@
 /// Error for text that is not a digest of 32 hexadecimal digits.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0:?} is no digest of a request: 32 hexadecimal digits, as logs and status print them")]
-pub struct NoDigest(String);
+pub struct ParseDigestError(String);
 
 impl FromStr for ContentDigest {
-    type Err = NoDigest;
+    type Err = ParseDigestError;
 
-    fn from_str(s: &str) -> Result<Self, NoDigest> {
+    fn from_str(s: &str) -> Result<Self, ParseDigestError> {
         const DIGITS: usize = 32;
         let is_well_formed = s.len() == DIGITS && s.bytes().all(|b| b.is_ascii_hexdigit());
         let digest = u128::from_str_radix(s, 16).ok().filter(|_| is_well_formed);
-        digest.map(Self).ok_or_else(|| NoDigest(s.to_string()))
+        digest
+            .map(Self)
+            .ok_or_else(|| ParseDigestError(s.to_string()))
     }
 }
 
--- a/crates/deckwind-core/src/state/encoding.rs
+++ b/crates/deckwind-core/src/state/encoding.rs
@@ -11,7 +11,7 @@
 
 /// Error from decoding state or a command.
 #[derive(Debug, PartialEq, Error)]
-pub enum UnreadableState {
+pub enum DecodeStateError {
     /// The data has another format version, or no version byte.
     #[error("format version {found:?} is not supported; this process reads {STATE_VERSION}")]
     Version {
@@ -29,12 +29,12 @@
     out
 }
 
-pub(super) fn from_bytes<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, UnreadableState> {
+pub(super) fn from_bytes<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, DecodeStateError> {
     match bytes.split_first() {
         Some((&STATE_VERSION, body)) => Ok(postcard::from_bytes(body)?),
         other => {
             let found = other.map(|(version, _)| *version);
-            Err(UnreadableState::Version { found })
+            Err(DecodeStateError::Version { found })
         }
     }
 }
--- a/crates/deckwind-core/src/state/lives.rs
+++ b/crates/deckwind-core/src/state/incarnations.rs
@@ -1,6 +1,6 @@
 //! Incarnations of targets.
 //!
-//! An incarnation ([`Life`]) is one run of a target's process, from its start to its
+//! An incarnation ([`Incarnation`]) is one run of a target's process, from its start to its
 //! end. A target may restart under the same id, and state of the previous incarnation
 //! no longer applies. Replicated records, plans and counters therefore identify the
 //! incarnation that they refer to.
@@ -16,7 +16,7 @@
 
 /// Identifies one incarnation of a target.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
+pub struct Incarnation {
     /// The target's id.
     pub id: InstanceId,
     /// Start time, Unix milliseconds by the target's own clock. `None` for targets
@@ -24,7 +24,7 @@
     pub born: Option<u64>,
 }
 
-impl<T: Into<InstanceId>> From<T> for Life {
+impl<T: Into<InstanceId>> From<T> for Incarnation {
     /// Creates the incarnation of a target that does not report its start time.
     fn from(id: T) -> Self {
         Self {
@@ -34,7 +34,7 @@
     }
 }
 
-impl std::fmt::Display for Life {
+impl std::fmt::Display for Incarnation {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.born {
             Some(born) => write!(f, "{}/{born}", self.id),
@@ -45,7 +45,7 @@
 
 /// Relation of an incarnation to the known one of the same target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum IncarnationStatus {
     /// It is the known incarnation.
     Known,
     /// It is newer than the known incarnation, or none is known.
@@ -62,9 +62,9 @@
 
 /// Start times of the ended incarnations of one target, ordered by their end.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub(super) struct EndedLives(VecDeque<Option<u64>>);
+pub(super) struct EndedIncarnations(VecDeque<Option<u64>>);
 
-impl EndedLives {
+impl EndedIncarnations {
     /// Records an ended incarnation.
     pub fn record(&mut self, born: Option<u64>) {
         self.0.retain(|b| *b != born);
@@ -81,18 +81,24 @@
 
     /// Compares an incarnation that reports the start time `reported` with the known
     /// one; `known` is `None` if no incarnation of the target is active.
-    pub fn standing(&self, known: Option<Option<u64>>, reported: Option<u64>) -> Standing {
+    pub fn incarnation_status(
+        &self,
+        known: Option<Option<u64>>,
+        reported: Option<u64>,
+    ) -> IncarnationStatus {
         let has_ended = self.0.contains(&reported);
         match known {
-            Some(known) if known == reported => Standing::Known,
+            Some(known) if known == reported => IncarnationStatus::Known,
             // A target that once reported its start time always reports it.
-            Some(Some(_)) if reported.is_none() => Standing::Ended,
-            None if reported.is_none() && self.0.iter().any(Option::is_some) => Standing::Ended,
+            Some(Some(_)) if reported.is_none() => IncarnationStatus::Ended,
+            None if reported.is_none() && self.0.iter().any(Option::is_some) => {
+                IncarnationStatus::Ended
+            }
             // The known incarnation replaced it while it was silent.
-            Some(known) if has_ended && reported > known => Standing::Doubtful,
-            _ if has_ended => Standing::Ended,
-            Some(known) if reported < known => Standing::Doubtful,
-            _ => Standing::Newer,
+            Some(known) if has_ended && reported > known => IncarnationStatus::Doubtful,
+            _ if has_ended => IncarnationStatus::Ended,
+            Some(known) if reported < known => IncarnationStatus::Doubtful,
+            _ => IncarnationStatus::Newer,
         }
     }
 }
--- a/crates/deckwind-core/src/state/instances.rs
+++ b/crates/deckwind-core/src/state/instances.rs
@@ -7,7 +7,7 @@
 //!     silent ──────────────────────────────────┘
 //! ```
 //!
-//! A target that restarts under its id is a new incarnation ([`Life`]): its first
+//! A target that restarts under its id is a new incarnation ([`Incarnation`]): its first
 //! announcement replaces all state of the previous one.
 //!
 //! Each change goes through the log, so that what was acknowledged to a target
@@ -15,8 +15,8 @@
 //! its lease.
 
 use super::configuration::Versioned;
+use super::incarnations::{EndedIncarnations, Incarnation, IncarnationStatus, may_be_older};
 use super::instance_index::InstanceIndex;
-use super::lives::{EndedLives, Life, Standing, may_be_older};
 use super::names::{DataCentre, Revision};
 use super::objects::LayerRange;
 use super::release::Release;
@@ -73,8 +73,8 @@
 
 impl Instance {
     /// Returns the incarnation that this record describes.
-    pub fn life(&self) -> Life {
-        Life {
+    pub fn life(&self) -> Incarnation {
+        Incarnation {
             id: self.id.clone(),
             born: self.born,
         }
@@ -94,13 +94,13 @@
         keep_layers: bool,
         /// Incarnations found silent, which this one may replace although it reports
         /// an earlier start time.
-        over: Vec<Life>,
+        over: Vec<Incarnation>,
     },
     /// The instance holds these layers. Has no effect if another incarnation is
     /// known by now.
     Holds {
         /// The incarnation.
-        life: Life,
+        life: Incarnation,
         /// Layers available to requests.
         layers: LayerRange,
         /// Number of layers that occupy memory.
@@ -108,9 +108,9 @@
     },
     /// The instance has not announced itself to the leader for some time. Has no
     /// effect if another incarnation is known by now.
-    Silent(Life),
+    Silent(Incarnation),
     /// The instance has left. Has no effect if a newer incarnation is known by now.
-    Left(Life),
+    Left(Incarnation),
 }
 
 /// Maximum number of instances that have left and are still recorded, so that a late
@@ -128,7 +128,7 @@
     #[serde(skip)]
     index: Arc<InstanceIndex>,
     /// Ended incarnations by target id. Routers do not need them.
-    ended: BTreeMap<InstanceId, EndedLives>,
+    ended: BTreeMap<InstanceId, EndedIncarnations>,
     /// Engines of layered pools that have never held layers. They are not sent to
     /// routers, which cannot select them: of 3,000 engines 2,600 are spare. The set
     /// is not in snapshots; a replica that starts from a snapshot sends all engines,
@@ -141,7 +141,7 @@
 #[derive(Deserialize)]
 struct Written {
     all: BTreeMap<InstanceId, Versioned<Instance>>,
-    ended: BTreeMap<InstanceId, EndedLives>,
+    ended: BTreeMap<InstanceId, EndedIncarnations>,
 }
 
 impl From<Written> for Instances {
@@ -175,12 +175,12 @@
 
     /// Iterates over the ids of all instances written after `since`, including those
     /// that have left.
-    pub fn written_since(&self, since: Revision) -> impl Iterator<Item = &InstanceId> {
+    pub fn changed_since_ids(&self, since: Revision) -> impl Iterator<Item = &InstanceId> {
         self.index.written_after(since)
     }
 
     /// Returns the last revision that wrote an instance; zero if there is none.
-    pub fn written_upto(&self) -> Revision {
+    pub fn last_written(&self) -> Revision {
         self.index.last_revision()
     }
 
@@ -190,20 +190,21 @@
     }
 
     /// Compares an incarnation with the known one of the same target id.
-    pub fn standing(&self, life: &Life) -> Standing {
+    pub fn incarnation_status(&self, life: &Incarnation) -> IncarnationStatus {
         let known = self.get(&life.id).map(|i| i.born);
         match self.ended.get(&life.id) {
-            Some(ended) => ended.standing(known, life.born),
-            None => EndedLives::default().standing(known, life.born),
+            Some(ended) => ended.incarnation_status(known, life.born),
+            None => EndedIncarnations::default().incarnation_status(known, life.born),
         }
     }
 
     /// Returns the incarnations that may be newer than the announced one, and therefore
     /// must have ended before the announcement is accepted. `at_address` lists the
     /// incarnations at its address.
-    pub fn doubted_by(&self, instance: &Instance, at_address: &[Life]) -> Vec<Life> {
+    pub fn blocked_by(&self, instance: &Instance, at_address: &[Incarnation]) -> Vec<Incarnation> {
         let known = self.get(&instance.id).map(Instance::life);
-        let is_unconfirmed = self.standing(&instance.life()) == Standing::Doubtful;
+        let is_unconfirmed =
+            self.incarnation_status(&instance.life()) == IncarnationStatus::Doubtful;
         let others = at_address.iter().filter(|l| l.id != instance.id);
         let newer = others.filter(|l| may_be_older(instance.born, l.born));
         let known = known.filter(|_| is_unconfirmed);
@@ -212,7 +213,7 @@
 
     /// Returns whether an announcement names a pool that the release does not have,
     /// and would modify or end a recorded instance.
-    pub fn is_misplaced(&self, instance: &Instance, release: Option<&Release>) -> bool {
+    pub fn names_unknown_pool(&self, instance: &Instance, release: Option<&Release>) -> bool {
         if release.is_none_or(|r| r.pool(&instance.pool).is_some()) {
             return false;
         }
@@ -223,16 +224,16 @@
 
     /// Returns the incarnations that these changes end because newer incarnations of
     /// the same targets announced themselves, as pairs of old and new.
-    pub fn ended_by(&self, changes: &[InstanceChange]) -> Vec<(Life, Life)> {
+    pub fn superseded_by(&self, changes: &[InstanceChange]) -> Vec<(Incarnation, Incarnation)> {
         let ended_by_change = |change: &InstanceChange| {
             let InstanceChange::Announced { instance, over, .. } = change else {
                 return None;
             };
             let known = self.get(&instance.id)?.life();
-            let is_newer = match self.standing(&instance.life()) {
-                Standing::Newer => true,
-                Standing::Doubtful => over.contains(&known),
-                Standing::Known | Standing::Ended => false,
+            let is_newer = match self.incarnation_status(&instance.life()) {
+                IncarnationStatus::Newer => true,
+                IncarnationStatus::Doubtful => over.contains(&known),
+                IncarnationStatus::Known | IncarnationStatus::Ended => false,
             };
             is_newer.then(|| (known, instance.life()))
         };
@@ -255,7 +256,7 @@
             InstanceChange::Announced { instance, .. } => Some(instance),
             _ => None,
         });
-        let mut lives = self.lives_at_addresses_of(announced);
+        let mut lives = self.incarnations_at_addresses_of(announced);
         for change in changes {
             match change {
                 InstanceChange::Left(life) => self.apply_departure(&life, revision),
@@ -264,11 +265,11 @@
                     keep_layers,
                     over,
                 } => {
-                    if self.is_misplaced(&instance, release) {
+                    if self.names_unknown_pool(&instance, release) {
                         continue;
                     }
                     let at_address = lives.entry(instance.address).or_default();
-                    let mut blocking = self.doubted_by(&instance, at_address).into_iter();
+                    let mut blocking = self.blocked_by(&instance, at_address).into_iter();
                     if blocking.any(|life| !over.contains(&life)) {
                         continue;
                     }
@@ -277,7 +278,7 @@
                         self.unseen.insert(life.id.clone());
                     }
                     if self.apply_announcement(instance, keep_layers, revision) {
-                        self.end_other_lives(at_address, &life.id, address, revision);
+                        self.end_other_incarnations(at_address, &life.id, address, revision);
                         at_address.push(life);
                     }
                 }
@@ -302,17 +303,18 @@
     }
 
     /// Returns the incarnations at the addresses of these instances.
-    pub fn lives_at_addresses_of<'a>(
+    pub fn incarnations_at_addresses_of<'a>(
         &self,
         announced: impl Iterator<Item = &'a Instance>,
-    ) -> BTreeMap<SocketAddr, Vec<Life>> {
-        let lives_at = |i: &Instance| (i.address, self.at(i.address).map(Instance::life).collect());
-        announced.map(lives_at).collect()
+    ) -> BTreeMap<SocketAddr, Vec<Incarnation>> {
+        let incarnations_at =
+            |i: &Instance| (i.address, self.at(i.address).map(Instance::life).collect());
+        announced.map(incarnations_at).collect()
     }
 
-    fn end_other_lives(
+    fn end_other_incarnations(
         &mut self,
-        lives: &mut Vec<Life>,
+        lives: &mut Vec<Incarnation>,
         id: &str,
         address: SocketAddr,
         revision: Revision,
@@ -326,7 +328,7 @@
     }
 
     /// Applies an announcement. Returns false if a newer one is known or its
-    /// incarnation has ended. [`Standing::Doubtful`] occurs here only if the known
+    /// incarnation has ended. [`IncarnationStatus::Doubtful`] occurs here only if the known
     /// incarnation was found silent.
     fn apply_announcement(
         &mut self,
@@ -334,10 +336,12 @@
         keep_layers: bool,
         revision: Revision,
     ) -> bool {
-        match self.standing(&instance.life()) {
-            Standing::Ended => return false,
-            Standing::Newer | Standing::Doubtful => self.end_known(&instance.id, revision),
-            Standing::Known => {}
+        match self.incarnation_status(&instance.life()) {
+            IncarnationStatus::Ended => return false,
+            IncarnationStatus::Newer | IncarnationStatus::Doubtful => {
+                self.end_known(&instance.id, revision)
+            }
+            IncarnationStatus::Known => {}
         }
         if let Some(known) = self.get(&instance.id) {
             if known.announced > instance.announced {
@@ -357,9 +361,12 @@
 
     /// Records that an incarnation left: either the known one, or a newer one that
     /// never announced itself.
-    fn apply_departure(&mut self, life: &Life, revision: Revision) {
-        let standing = self.standing(life);
-        let ends_known = matches!(standing, Standing::Known | Standing::Newer);
+    fn apply_departure(&mut self, life: &Incarnation, revision: Revision) {
+        let incarnation_status = self.incarnation_status(life);
+        let ends_known = matches!(
+            incarnation_status,
+            IncarnationStatus::Known | IncarnationStatus::Newer
+        );
         if ends_known && self.get(&life.id).is_some() {
             self.end_known(&life.id, revision);
             let ended = self.ended.entry(life.id.clone()).or_default();
@@ -378,7 +385,7 @@
 
     fn update_known(
         &mut self,
-        life: &Life,
+        life: &Incarnation,
         revision: Revision,
         change: impl FnOnce(&mut Instance),
     ) {
@@ -436,7 +443,7 @@
 
     /// Returns the instances that changed after `since` and are sent to routers.
     pub fn since(&self, since: Revision) -> Vec<(InstanceId, Versioned<Instance>)> {
-        let changed = self.written_since(since);
+        let changed = self.changed_since_ids(since);
         let changed = changed.filter(|id| !self.unseen.contains(*id));
         let with_value = |id: &InstanceId| Some((id.clone(), self.all.get(id)?.clone()));
         changed.filter_map(with_value).collect()
--- a/crates/deckwind-core/src/state/mod.rs
+++ b/crates/deckwind-core/src/state/mod.rs
@@ -18,42 +18,44 @@
 mod configuration;
 mod content;
 mod encoding;
+mod incarnations;
 mod instance_index;
 mod instances;
-mod lives;
 mod names;
 mod objects;
 mod packed;
 mod quarantine;
 mod release;
 mod release_change;
-mod repeats;
+mod retry_ledger;
 mod state_machine;
 
 pub use claims::{
-    Claim, ClaimKey, ClaimLimits, ClaimStatus, ClaimTable, ClaimVerdict, Holder, Outcome,
+    Claim, ClaimKey, ClaimLimits, ClaimStatus, ClaimTable, ClaimVerdict, Outcome, RouterProcess,
 };
 pub use command::{
     ApplyRequest, Change, ClaimRequest, Command, CommandBody, FinishRequest, Rejection, Reply,
 };
 pub use configuration::{Configuration, Delta, Versioned};
-pub use content::{ContentDigest, NoDigest};
-pub use encoding::{STATE_VERSION, UnreadableState};
+pub use content::{ContentDigest, ParseDigestError};
+pub use encoding::{DecodeStateError, STATE_VERSION};
+pub use incarnations::{Incarnation, IncarnationStatus};
 pub use instances::{Instance, InstanceChange, InstanceId, InstanceState, Instances};
-pub use lives::{Life, Standing};
 pub use names::{AccountName, DataCentre, RequestId, Revision, TargetName, TemplateName, VmName};
 pub use objects::{
     Account, AccountLimits, LayerRange, Objective, Parameters, Priority, Target, TargetKind,
     TargetStatus, Template, Workload,
 };
-pub use packed::{PackedDelta, Unpackable};
+pub use packed::{PackedDelta, UnpackError};
 pub use quarantine::{
-    ENDS_TO_QUARANTINE, MOST_ENDS, QUARANTINED_FOR_MS, Quarantine, SuspectChange, SuspectList,
+    MAX_ENDS, QUARANTINE_DURATION_MS, QUARANTINE_THRESHOLD, Quarantine, SuspectChange, SuspectList,
 };
 pub use release::{
-    AcceleratorKind, CallerLimits, EngineModel, KeyDigest, KeyHolder, Pool, PoolName, Published,
-    Release, Route, RouteKind, Split,
+    AcceleratorKind, CallerLimits, EngineModel, KeyDigest, KeyHolder, Pool, PoolName,
+    PublishedRelease, Release, Route, RouteKind, Split,
+};
+pub use release_change::{ItemChanges, ReleaseChange, ReleaseDelta, RouteKey};
+pub use retry_ledger::{
+    RetryAllowance, RetryAllowanceId, RetryAllowanceKey, RetryChange, RetryLedger,
 };
-pub use release_change::{Changed, ReleaseChange, ReleaseDelta, RouteKey};
-pub use repeats::{Allowance, AllowanceId, AllowanceKey, RepeatChange, RepeatLedger};
 pub use state_machine::StateMachine;
--- a/crates/deckwind-core/src/state/packed.rs
+++ b/crates/deckwind-core/src/state/packed.rs
@@ -29,7 +29,7 @@
 
 /// Error from decoding a packed delta.
 #[derive(Debug, Error)]
-pub enum Unpackable {
+pub enum UnpackError {
     /// The bytes are not a valid deflate stream.
     #[error("a packed delta can't be inflated: {0}")]
     Inflate(#[from] std::io::Error),
@@ -73,7 +73,7 @@
     ///
     /// Fails if the bytes can't be inflated, are too long uncompressed, or are not a
     /// valid delta.
-    pub fn unpack(&self) -> Result<Delta, Unpackable> {
+    pub fn unpack(&self) -> Result<Delta, UnpackError> {
         if !self.deflated {
             return Ok(postcard::from_bytes(&self.bytes)?);
         }
@@ -81,7 +81,7 @@
         let inflater = flate2::read::DeflateDecoder::new(&self.bytes[..]);
         inflater.take(MAX_DELTA_BYTES + 1).read_to_end(&mut plain)?;
         if plain.len() as u64 > MAX_DELTA_BYTES {
-            return Err(Unpackable::TooLong);
+            return Err(UnpackError::TooLong);
         }
         Ok(postcard::from_bytes(&plain)?)
     }
--- a/crates/deckwind-core/src/state/quarantine.rs
+++ b/crates/deckwind-core/src/state/quarantine.rs
@@ -18,7 +18,7 @@
 //! content with stronger evidence.
 
 use super::content::ContentDigest;
-use super::lives::Life;
+use super::incarnations::Incarnation;
 use serde::{Deserialize, Serialize};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,12 +27,12 @@
 /// number of targets that operators allow a request to crash. Streams that move together
 /// from a crashed target may also meet the next crash together, so two crashes can be a
 /// coincidence during bursts of such requests.
-pub const ENDS_TO_QUARANTINE: usize = 3;
+pub const QUARANTINE_THRESHOLD: usize = 3;
 
 /// Maximum number of crashes recorded per request content. Those of attempts that were
 /// in progress when it was quarantined distinguish it from request contents that were
 /// merely present.
-pub const MOST_ENDS: usize = 16;
+pub const MAX_ENDS: usize = 16;
 
 /// Time until a request content below the quarantine threshold expires after its last
 /// crash, milliseconds. Callers that retry do so within minutes.
@@ -41,7 +41,7 @@
 /// Duration of a quarantine after the last crash, milliseconds. It limits a request that
 /// always crashes its target to three crashes an hour; a request that was quarantined by
 /// coincidence is served again afterwards.
-pub const QUARANTINED_FOR_MS: u64 = 60 * 60 * 1_000;
+pub const QUARANTINE_DURATION_MS: u64 = 60 * 60 * 1_000;
 
 /// Maximum number of request contents in the table, 150 bytes each. Sufficient for the
 /// crash of a data centre of 500 targets with eight request contents each.
@@ -58,7 +58,7 @@
         /// Digest of the request content.
         content: ContentDigest,
         /// The incarnation that ended.
-        life: Life,
+        life: Incarnation,
         /// Whether the router had received an event of the request from it.
         begun: bool,
     },
@@ -71,7 +71,7 @@
 /// Crashes of targets that ran a request content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Suspect {
-    ended: Vec<Life>,
+    ended: Vec<Incarnation>,
     /// Number of these incarnations from which an event of the request had arrived.
     begun: u32,
     /// Time of the last crash by the leader's clock, milliseconds since the Unix epoch.
@@ -89,12 +89,12 @@
 
     /// Returns whether the number of crashes reaches the quarantine threshold.
     fn reaches_threshold(&self) -> bool {
-        self.ended.len() >= ENDS_TO_QUARANTINE
+        self.ended.len() >= QUARANTINE_THRESHOLD
     }
 
     fn is_expired(&self, now_ms: u64) -> bool {
         let ttl_ms = match self.reaches_threshold() {
-            true => QUARANTINED_FOR_MS,
+            true => QUARANTINE_DURATION_MS,
             false => SUSPECT_TTL_MS,
         };
         now_ms.saturating_sub(self.last_ms) >= ttl_ms
@@ -125,7 +125,13 @@
         }
     }
 
-    fn record_crash(&mut self, content: ContentDigest, life: Life, begun: bool, now_ms: u64) {
+    fn record_crash(
+        &mut self,
+        content: ContentDigest,
+        life: Incarnation,
+        begun: bool,
+        now_ms: u64,
+    ) {
         if !self.0.contains_key(&content) {
             self.evict_if_full();
         }
@@ -134,7 +140,7 @@
             begun: 0,
             last_ms: now_ms,
         });
-        if suspect.ended.contains(&life) || suspect.ended.len() >= MOST_ENDS {
+        if suspect.ended.contains(&life) || suspect.ended.len() >= MAX_ENDS {
             return;
         }
         suspect.ended.push(life);
@@ -159,19 +165,22 @@
 
     /// Returns whether any row has expired. Expired rows are removed by the next
     /// [`SuspectChange`] command.
-    pub fn has_outdated(&self, now_ms: u64) -> bool {
+    pub fn has_expired(&self, now_ms: u64) -> bool {
         self.0.values().any(|suspect| suspect.is_expired(now_ms))
     }
 
     /// Iterates over the quarantined request contents, each with the incarnations that
     /// crashed and the remaining time of the quarantine, milliseconds.
-    pub fn quarantined(&self, now_ms: u64) -> impl Iterator<Item = (ContentDigest, &[Life], u64)> {
+    pub fn quarantined(
+        &self,
+        now_ms: u64,
+    ) -> impl Iterator<Item = (ContentDigest, &[Incarnation], u64)> {
         let culprits = self.culprits();
         let is_quarantined =
             move |c: &ContentDigest, s: &Suspect| culprits.contains(c) && !s.is_expired(now_ms);
         let quarantined = self.0.iter().filter(move |(c, s)| is_quarantined(c, s));
         quarantined.map(move |(content, s)| {
-            let until = s.last_ms + QUARANTINED_FOR_MS;
+            let until = s.last_ms + QUARANTINE_DURATION_MS;
             (*content, s.ended.as_slice(), until.saturating_sub(now_ms))
         })
     }
@@ -184,7 +193,7 @@
         candidates.sort_by_key(|(_, s)| Reverse(s.evidence()));
         let mut culprits: Vec<(&ContentDigest, &Suspect)> = Vec::new();
         for (content, suspect) in candidates {
-            let is_explained = |life: &Life| {
+            let is_explained = |life: &Incarnation| {
                 let mut stronger = culprits
                     .iter()
                     .filter(|(_, s)| s.evidence() > suspect.evidence());
@@ -201,7 +210,7 @@
     /// after one more crash. If there are too many, those with the most crashes are
     /// listed, and of these the most recent ones.
     pub(super) fn suspect_list(&self) -> SuspectList {
-        let min_ends = ENDS_TO_QUARANTINE - 1;
+        let min_ends = QUARANTINE_THRESHOLD - 1;
         let culprits = self.culprits();
         let is_listed =
             |c: &ContentDigest, s: &Suspect| !s.reaches_threshold() || culprits.contains(c);
@@ -229,7 +238,7 @@
 impl SuspectList {
     /// Returns the number of crashes of a request content; zero if it is not listed. One
     /// with a single crash is not listed.
-    pub fn ends(&self, content: &ContentDigest) -> usize {
+    pub fn crash_count(&self, content: &ContentDigest) -> usize {
         self.0.get(content).map_or(0, |ends| usize::from(*ends))
     }
 
@@ -240,7 +249,7 @@
 
     /// Iterates over the quarantined request contents, which are not sent to any target.
     pub fn quarantined(&self) -> impl Iterator<Item = &ContentDigest> {
-        let reaches_threshold = |ends: &u8| usize::from(*ends) >= ENDS_TO_QUARANTINE;
+        let reaches_threshold = |ends: &u8| usize::from(*ends) >= QUARANTINE_THRESHOLD;
         self.0
             .iter()
             .filter(move |(_, ends)| reaches_threshold(ends))
--- a/crates/deckwind-core/src/state/release.rs
+++ b/crates/deckwind-core/src/state/release.rs
@@ -26,7 +26,7 @@
 
 impl RouteKind {
     /// Returns whether a request that may have run may be retried.
-    pub fn may_repeat(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         match self {
             RouteKind::Repeatable => true,
             RouteKind::Once => false,
@@ -149,7 +149,7 @@
     /// Returns the maximum number of idle connections, at least one, that each of
     /// `routers` routers may keep to one target. All idle connections together use at
     /// most half of the target's connections; the rest is left to active ones.
-    pub fn most_idle(&self, routers: u32) -> usize {
+    pub fn max_idle_connections(&self, routers: u32) -> usize {
         let share = self.max_connections / 2 / routers.max(1);
         share.max(1) as usize
     }
@@ -292,7 +292,7 @@
 /// A release with the document that it was read from. Operators can read the document
 /// back unchanged; it is never sent to routers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Published {
+pub struct PublishedRelease {
     /// The release.
     pub release: Release,
     /// The unchanged bytes of the document.
--- a/crates/deckwind-core/src/state/release_change.rs
+++ b/crates/deckwind-core/src/state/release_change.rs
@@ -37,23 +37,23 @@
     /// Whether requests need keys at all.
     pub asks_keys: bool,
     /// Changed routes.
-    pub routes: Changed<RouteKey, Route>,
+    pub routes: ItemChanges<RouteKey, Route>,
     /// Changed pools.
-    pub pools: Changed<PoolName, Pool>,
+    pub pools: ItemChanges<PoolName, Pool>,
     /// Changed accounts with their keys.
-    pub key_holders: Changed<AccountName, KeyHolder>,
+    pub key_holders: ItemChanges<AccountName, KeyHolder>,
 }
 
 /// Items of one kind that were written, and the keys of removed ones.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Changed<K, T> {
+pub struct ItemChanges<K, T> {
     /// Written items, with their current values.
     pub written: Vec<T>,
     /// Keys of removed items.
     pub removed: Vec<K>,
 }
 
-impl<K: Ord, T> Changed<K, T> {
+impl<K: Ord, T> ItemChanges<K, T> {
     /// Applies the changes to `items`. Applying them twice is idempotent.
     fn apply(self, items: &mut Vec<T>, key_of: impl Fn(&T) -> K) {
         let replaced: BTreeSet<K> = self.written.iter().map(&key_of).collect();
@@ -151,11 +151,11 @@
         since: Revision,
         items: &[T],
         key_of: impl Fn(&T) -> K,
-    ) -> Changed<K, T> {
+    ) -> ItemChanges<K, T> {
         let changed_after = |(k, r): (&K, &Revision)| (*r > since).then(|| k.clone());
         let keys: BTreeSet<K> = self.written.iter().filter_map(changed_after).collect();
         let items = items.iter().filter(|_| !keys.is_empty());
-        Changed {
+        ItemChanges {
             written: items
                 .filter(|t| keys.contains(&key_of(t)))
                 .cloned()
--- a/crates/deckwind-core/src/state/repeats.rs
+++ b/crates/deckwind-core/src/state/retry_ledger.rs
@@ -5,7 +5,7 @@
 //! therefore counts until a leader that observed enough time pass has recorded its
 //! expiry.
 
-use super::claims::Holder;
+use super::claims::RouterProcess;
 use super::release::PoolName;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -14,22 +14,22 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct AllowanceId(pub u64);
+pub struct RetryAllowanceId(pub u64);
 
 /// Router process and pool that a retry allowance belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct AllowanceKey {
+pub struct RetryAllowanceKey {
     /// The router process.
-    pub holder: Holder,
+    pub holder: RouterProcess,
     /// Pool whose requests may be retried.
     pub pool: PoolName,
 }
 
 /// A retry allowance: retries for one pool granted to one router process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Allowance {
+pub struct RetryAllowance {
     /// Router process and pool.
-    pub key: AllowanceKey,
+    pub key: RetryAllowanceKey,
     /// Total number of granted retries.
     pub issued: u64,
     /// Number of retries that were used before the start of the current window.
@@ -38,27 +38,27 @@
     pub back: u64,
 }
 
-impl Allowance {
+impl RetryAllowance {
     /// Returns the number of retries that still count against the retry budget.
-    pub fn counts(&self) -> u64 {
+    pub fn outstanding(&self) -> u64 {
         self.issued.saturating_sub(self.spent_over + self.back)
     }
 }
 
 /// A change of the retry ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RepeatChange {
+pub enum RetryChange {
     /// Creates a retry allowance.
     Open {
         /// Router process and pool.
-        key: AllowanceKey,
+        key: RetryAllowanceKey,
         /// Number of granted retries.
         count: u64,
     },
     /// Adds retries to an allowance.
     Issue {
         /// The allowance.
-        id: AllowanceId,
+        id: RetryAllowanceId,
         /// Number of additional retries.
         count: u64,
     },
@@ -66,27 +66,27 @@
     /// have no effect.
     Over {
         /// The allowance.
-        id: AllowanceId,
+        id: RetryAllowanceId,
         /// Total number of retries used before the current window.
         spent: u64,
         /// Total number of returned retries.
         back: u64,
     },
     /// Removes an allowance of which no retry counts any more and none may be used.
-    Close(AllowanceId),
+    Close(RetryAllowanceId),
 }
 
 /// The retry ledger: all retry allowances that may still count.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RepeatLedger {
+pub struct RetryLedger {
     last: u64,
     changes: u64,
-    allowances: BTreeMap<AllowanceId, Allowance>,
+    allowances: BTreeMap<RetryAllowanceId, RetryAllowance>,
 }
 
-impl RepeatLedger {
+impl RetryLedger {
     /// Applies the changes of one log entry.
-    pub fn apply(&mut self, changes: Vec<RepeatChange>) {
+    pub fn apply(&mut self, changes: Vec<RetryChange>) {
         self.changes += 1;
         for change in changes {
             self.apply_one(change);
@@ -98,42 +98,43 @@
         self.changes
     }
 
-    fn apply_one(&mut self, change: RepeatChange) {
+    fn apply_one(&mut self, change: RetryChange) {
         match change {
-            RepeatChange::Open { key, count } => {
+            RetryChange::Open { key, count } => {
                 self.last += 1;
-                let allowance = Allowance {
+                let allowance = RetryAllowance {
                     key,
                     issued: count,
                     spent_over: 0,
                     back: 0,
                 };
-                self.allowances.insert(AllowanceId(self.last), allowance);
+                self.allowances
+                    .insert(RetryAllowanceId(self.last), allowance);
             }
-            RepeatChange::Issue { id, count } => {
+            RetryChange::Issue { id, count } => {
                 if let Some(allowance) = self.allowances.get_mut(&id) {
                     allowance.issued += count;
                 }
             }
-            RepeatChange::Over { id, spent, back } => {
+            RetryChange::Over { id, spent, back } => {
                 if let Some(allowance) = self.allowances.get_mut(&id) {
                     allowance.spent_over = allowance.spent_over.max(spent);
                     allowance.back = allowance.back.max(back);
                 }
             }
-            RepeatChange::Close(id) => {
+            RetryChange::Close(id) => {
                 self.allowances.remove(&id);
             }
         }
     }
 
     /// Iterates over all allowances.
-    pub fn iter(&self) -> impl Iterator<Item = (AllowanceId, &Allowance)> {
+    pub fn iter(&self) -> impl Iterator<Item = (RetryAllowanceId, &RetryAllowance)> {
         self.allowances.iter().map(|(id, a)| (*id, a))
     }
 
     /// Returns the allowance with this id.
-    pub fn get(&self, id: AllowanceId) -> Option<&Allowance> {
+    pub fn get(&self, id: RetryAllowanceId) -> Option<&RetryAllowance> {
         self.allowances.get(&id)
     }
 }
--- a/crates/deckwind-core/src/state/state_machine.rs
+++ b/crates/deckwind-core/src/state/state_machine.rs
@@ -3,10 +3,10 @@
 use super::claims::{Claim, ClaimLimits, ClaimStatus, ClaimTable};
 use super::command::{ApplyRequest, ClaimRequest, Command, CommandBody, Rejection, Reply};
 use super::configuration::Configuration;
-use super::encoding::{UnreadableState, from_bytes, to_bytes};
+use super::encoding::{DecodeStateError, from_bytes, to_bytes};
 use super::names::{RequestId, Revision};
 use super::quarantine::Quarantine;
-use super::repeats::RepeatLedger;
+use super::retry_ledger::RetryLedger;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -29,7 +29,7 @@
     claims: ClaimTable,
     results: BTreeMap<RequestId, RecordedResult>,
     results_order: VecDeque<RequestId>,
-    repeats: RepeatLedger,
+    repeats: RetryLedger,
     quarantine: Quarantine,
 }
 
@@ -49,7 +49,7 @@
 
     /// Enables or disables the recording of release changes, which a process needs that
     /// sends deltas to routers; see [`Configuration::record_changes`].
-    pub fn hand_out(&mut self, enable: bool) {
+    pub fn set_record_changes(&mut self, enable: bool) {
         match enable {
             true => self.configuration.record_changes(),
             false => self.configuration.stop_recording_changes(),
@@ -62,7 +62,7 @@
     }
 
     /// Returns the retry ledger.
-    pub fn repeats(&self) -> &RepeatLedger {
+    pub fn repeats(&self) -> &RetryLedger {
         &self.repeats
     }
 
@@ -169,7 +169,7 @@
     /// # Errors
     ///
     /// Fails if the snapshot has another format version or is damaged.
-    pub fn from_snapshot(bytes: &[u8]) -> Result<Self, UnreadableState> {
+    pub fn from_snapshot(bytes: &[u8]) -> Result<Self, DecodeStateError> {
         from_bytes(bytes)
     }
 }
--- a/crates/deckwind-net/src/edge.rs
+++ b/crates/deckwind-net/src/edge.rs
@@ -5,10 +5,10 @@
 //! it only translates and makes no decisions.
 
 use bytes::Bytes;
-use deckwind_core::control::{AnnouncementFault, GiveUp};
+use deckwind_core::control::{AnnouncementFault, UnloadMode};
 use deckwind_core::routes::TargetNotice;
 use deckwind_core::routing::paths::Stage;
-use deckwind_core::state::{Instance, KeyDigest, LayerRange, Life, Published};
+use deckwind_core::state::{Incarnation, Instance, KeyDigest, LayerRange, PublishedRelease};
 use http::{HeaderMap, Method, StatusCode, request::Parts};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -114,7 +114,7 @@
 impl EngineReport {
     /// Returns whether the report comes from an incarnation other than the one started
     /// at `born`. Returns `false` if either start time is unknown.
-    pub fn is_of_another_life(&self, born: Option<u64>) -> bool {
+    pub fn is_of_other_incarnation(&self, born: Option<u64>) -> bool {
         matches!((self.born, born), (Some(said), Some(known)) if said != known)
     }
 }
@@ -147,21 +147,21 @@
     /// Returns the call that orders an engine to hold these layers. `orders` is the
     /// number of orders that the engine has accepted so far; it must refuse if it has
     /// accepted more.
-    fn place(&self, layers: LayerRange, give_up: GiveUp, orders: u64) -> TargetCall;
+    fn place(&self, layers: LayerRange, unload_mode: UnloadMode, orders: u64) -> TargetCall;
 }
 
 /// A decoded call to a control replica.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ControlCall {
     /// Publishes a release.
-    Publish(Box<Published>),
+    Publish(Box<PublishedRelease>),
     /// Reads the document of the release in force.
     Document,
     /// Announces a target's current state.
     Announce(Box<Instance>),
     /// Reports that a target has left. Without a start time, this applies to the
     /// incarnation that is known at that moment.
-    Leave(Life),
+    Leave(Incarnation),
 }
 
 /// Wire format of calls from operators and targets to control replicas.
--- a/crates/deckwind-store/src/disk.rs
+++ b/crates/deckwind-store/src/disk.rs
@@ -55,7 +55,7 @@
     }
 
     /// Reverts [`MemoryDisk::fail_after`].
-    pub fn mend(&self) {
+    pub fn clear_failure(&self) {
         self.with_inner(|d| d.fail_at = None);
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Inverts one byte of a file, in its synced contents too.
-    pub fn damage(&self, name: &str, at: usize) {
+    pub fn corrupt_byte(&self, name: &str, at: usize) {
         self.with_inner(|d| {
             if let Some(&i) = d.names.get(name) {
                 d.files[i].contents[at] ^= 0xff;
--- a/crates/deckwind-store/src/lib.rs
+++ b/crates/deckwind-store/src/lib.rs
@@ -23,4 +23,4 @@
 
 pub use disk::{Disk, MemoryDisk};
 pub use fs_disk::FsDisk;
-pub use store::{Opened, Store, StoreError};
+pub use store::{OpenedStore, Store, StoreError};
--- a/crates/deckwind-store/src/store.rs
+++ b/crates/deckwind-store/src/store.rs
@@ -61,17 +61,17 @@
 
 /// Contents of a data folder when it was opened.
 #[derive(Debug)]
-pub struct Opened {
+pub struct OpenedStore {
     /// Identifier of the replica.
     pub id: ReplicaId,
     /// Whether the folder was new.
-    pub fresh: bool,
+    pub is_new: bool,
     /// State to pass to [`deckwind_core::replication::Replica::new`].
     pub stored: Stored,
     /// Encoded state in the snapshot, if there is one.
     pub snapshot: Option<Vec<u8>>,
     /// Number of bytes of a torn record that were truncated.
-    pub cut_bytes: usize,
+    pub truncated_bytes: usize,
 }
 
 /// Open data folder.
@@ -85,10 +85,13 @@
 
 impl Store {
     /// Opens a data folder. `fresh` is the identifier that a new folder gets.
-    pub fn open(mut disk: Box<dyn Disk>, fresh: ReplicaId) -> Result<(Self, Opened), StoreError> {
+    pub fn open(
+        mut disk: Box<dyn Disk>,
+        fresh: ReplicaId,
+    ) -> Result<(Self, OpenedStore), StoreError> {
         let (id, is_fresh) = open_identity(disk.as_mut(), fresh)?;
         let snapshot: Option<Snapshot> = read_single_record(disk.as_ref(), SNAPSHOT)?;
-        let (batches, end, cut_bytes) = open_log(disk.as_mut())?;
+        let (batches, end, truncated_bytes) = open_log(disk.as_mut())?;
         let mut stored = Stored::default();
         let mut snapshot_data = None;
         if let Some(s) = snapshot {
@@ -107,12 +110,12 @@
             log_bytes: end as u64,
             syncs: 0,
         };
-        let opened = Opened {
+        let opened = OpenedStore {
             id,
-            fresh: is_fresh,
+            is_new: is_fresh,
             stored,
             snapshot: snapshot_data,
-            cut_bytes,
+            truncated_bytes,
         };
         Ok((store, opened))
     }
--- a/crates/deckwind-testkit/examples/capacity.rs
+++ b/crates/deckwind-testkit/examples/capacity.rs
@@ -16,8 +16,8 @@
 };
 use deckwind_core::router::{RouterConfig, RouterCore};
 use deckwind_core::state::{
-    ApplyRequest, Change, ClaimKey, ClaimRequest, Command, CommandBody, FinishRequest, Holder,
-    Outcome, Revision, StateMachine,
+    ApplyRequest, Change, ClaimKey, ClaimRequest, Command, CommandBody, FinishRequest, Outcome,
+    Revision, RouterProcess, StateMachine,
 };
 use deckwind_core::time::Instant;
 use deckwind_store::{FsDisk, MemoryDisk, Store};
@@ -81,8 +81,8 @@
     }
 }
 
-fn holder(i: u32) -> Holder {
-    Holder {
+fn holder(i: u32) -> RouterProcess {
+    RouterProcess {
         vm: format!("vm-{i}").into(),
         boot: u64::from(i),
     }
@@ -253,7 +253,7 @@
 }
 
 /// Creates the only replica of a cluster on a disk and runs it until it leads.
-fn leader(store: Store, opened: deckwind_store::Opened) -> Result<ControlNode> {
+fn leader(store: Store, opened: deckwind_store::OpenedStore) -> Result<ControlNode> {
     let cfg = ReplicaConfig::new(opened.id, [0], 1);
     let mut node = ControlNode::new(
         cfg,
@@ -265,7 +265,7 @@
     )?;
     for i in 0..400 {
         let now = now(1_000 + i * 10);
-        node.take(now, Vec::new(), &mut Vec::new())?;
+        node.process_batch(now, Vec::new(), &mut Vec::new())?;
     }
     Ok(node)
 }
@@ -297,7 +297,7 @@
                 token: u64::from(i),
                 request: ControlRequest::Renew(renewal(i, 8)),
             });
-            node.take(
+            node.process_batch(
                 now(6_000 + round * 400),
                 requests.collect(),
                 &mut Vec::new(),
@@ -331,7 +331,7 @@
                 ControlEvent::Request { token: n, request }
             });
             let mut effects = Vec::new();
-            node.take(now(6_000 + b), events.collect(), &mut effects)?;
+            node.process_batch(now(6_000 + b), events.collect(), &mut effects)?;
             replies += effects
                 .iter()
                 .filter(|e| matches!(e, Effect::Reply(..)))
@@ -368,7 +368,7 @@
                 token: u64::from(i),
                 request,
             };
-            node.take(now(6_000), vec![event], &mut Vec::new())?;
+            node.process_batch(now(6_000), vec![event], &mut Vec::new())?;
         }
         let bytes = node.store().log_bytes();
         drop(node);
--- a/crates/deckwind-testkit/src/fan_out.rs
+++ b/crates/deckwind-testkit/src/fan_out.rs
@@ -9,14 +9,16 @@
 pub use crate::synthetic_fleet::{engine, engine_fleet, engine_release, release};
 use anyhow::{Context, Result, ensure};
 use deckwind_core::control::{
-    ControlEvent, ControlLimits, ControlReply, ControlRequest, EngineUse, LimitReport, Looks,
-    OperatorRequest, PlaceOrder, PoolReport, RelayedReplies, RelayedRequest, Renewal, RepeatReport,
-    UseNumber,
+    ControlEvent, ControlLimits, ControlReply, ControlRequest, EngineLoadVersion, EngineStreamLoad,
+    LimitReport, OperatorRequest, PlacementOrder, PoolRetryReport, RelayedReplies, RelayedRequest,
+    Renewal, RetryReport, ScanCounts,
 };
 use deckwind_core::membership::{LeaseTiming, RouterLeaseState};
 use deckwind_core::replication::{ReplicaConfig, ReplicaId};
 use deckwind_core::routing::paths::Held;
-use deckwind_core::state::{Holder, Instance, LayerRange, Published, Release, Revision};
+use deckwind_core::state::{
+    Instance, LayerRange, PublishedRelease, Release, Revision, RouterProcess,
+};
 use deckwind_core::time::Instant;
 use deckwind_store::{MemoryDisk, Store};
 use deckwind_wire::encode;
@@ -60,14 +62,14 @@
     sent_at: Option<Instant>,
     was_live: bool,
     /// Last update of the engines' load that the router has received.
-    use_known: Option<UseNumber>,
+    use_known: Option<EngineLoadVersion>,
 }
 
 enum Arrival {
     Renewal(usize, Box<Renewal>),
     Reply(usize, Box<ControlReply>),
     /// An engine has completed an order.
-    Placed(PlaceOrder),
+    Placed(PlacementOrder),
 }
 
 /// Traffic of the leader's link and time that the leader worked.
@@ -124,7 +126,7 @@
         let start = Instant::from_millis(1_000);
         let lease = lease_timing();
         let limits = ControlLimits {
-            state_bytes_per_s: ControlLimits::state_pace(link_mbps),
+            state_bytes_per_s: ControlLimits::state_rate_for_link(link_mbps),
             ..ControlLimits::default()
         };
         let replica_config = ReplicaConfig::new(id, [0], 1);
@@ -170,8 +172,8 @@
     }
 
     /// Returns the rows that the leader has scanned so far.
-    pub fn looks(&self) -> Looks {
-        self.node.core().looks()
+    pub fn scan_counts(&self) -> ScanCounts {
+        self.node.core().scan_counts()
     }
 
     /// Has all routers serve the pool and hold retries in reserve from now on; they may
@@ -200,7 +202,7 @@
     /// Publishes a release.
     pub fn publish(&mut self, release: Release) {
         let document = Vec::new();
-        let published = Published { release, document };
+        let published = PublishedRelease { release, document };
         let request = OperatorRequest::Publish(Box::new(published));
         self.operator_events
             .push(ControlEvent::Operator { token: 0, request });
@@ -222,7 +224,7 @@
 
     /// Returns the committed revision.
     pub fn revision(&self) -> Revision {
-        self.node.core().machine().configuration().revision()
+        self.node.core().state_machine().configuration().revision()
     }
 
     /// Returns the releases that routers have applied.
@@ -242,13 +244,13 @@
 
     /// Returns the layers that an engine holds according to the committed state.
     pub fn held_by(&self, id: &str) -> LayerRange {
-        let instances = self.node.core().machine().configuration().instances();
+        let instances = self.node.core().state_machine().configuration().instances();
         instances.get(id).map(|i| i.layers).unwrap_or_default()
     }
 
     /// Returns the number of engines that hold layers.
     pub fn holding(&self) -> usize {
-        let instances = self.node.core().machine().configuration().instances();
+        let instances = self.node.core().state_machine().configuration().instances();
         instances.iter().filter(|i| !i.layers.is_empty()).count()
     }
 
@@ -293,7 +295,7 @@
                     batch.push(self.receive_renewal(router, *renewal))
                 }
                 Arrival::Reply(router, reply) => self.handle_reply(router, *reply)?,
-                Arrival::Placed(order) => batch.push(ControlEvent::Placed {
+                Arrival::Placed(order) => batch.push(ControlEvent::PlacementDone {
                     life: order.life(),
                     held: Some(order.layers),
                 }),
@@ -305,7 +307,7 @@
             wall_ms: self.now.since(self.start).as_millis() as u64,
         };
         let begun = std::time::Instant::now();
-        self.node.take(now, batch, &mut effects)?;
+        self.node.process_batch(now, batch, &mut effects)?;
         let took = begun.elapsed();
         self.carried.worked += took;
         self.carried.longest_batch = self.carried.longest_batch.max(took);
@@ -370,7 +372,7 @@
         }
         r.sent_at = Some(self.now);
         let renewal = Renewal {
-            holder: Holder {
+            holder: RouterProcess {
                 vm: format!("router-{router}").as_str().into(),
                 boot: 1,
             },
@@ -396,14 +398,14 @@
         self.schedule(departure + ONE_WAY_DELAY, arrival);
     }
 
-    fn engine_load_of(&self, router: usize) -> Vec<EngineUse> {
+    fn engine_load_of(&self, router: usize) -> Vec<EngineStreamLoad> {
         let held = Held {
             layer_tokens: 40_000,
             begun: 1,
         };
         let engine = |e: usize| {
             let address = SocketAddr::from(([127, 0, 1, 1], e as u16 + 1));
-            EngineUse::new(address, held)
+            EngineStreamLoad::new(address, held)
         };
         let own_engines = (0..self.engines_in_use).filter(|e| e % 4 == router % 4);
         own_engines.map(engine).collect()
@@ -448,7 +450,7 @@
             .context("a reply without a renewal in flight")?;
         if let ControlReply::Granted(grant) = reply {
             let delta = grant.changes(r.lease.applied())?;
-            r.lease.granted(grant.lease(sent_at), delta);
+            r.lease.apply_grant(grant.lease(sent_at), delta);
             r.use_known = grant.in_use.map(|update| update.upto).or(r.use_known);
         }
         Ok(())
@@ -461,11 +463,11 @@
 }
 
 /// Report of a router that serves the pool and has used no retries.
-fn retry_report(max_retries: u64) -> RepeatReport {
-    RepeatReport {
+fn retry_report(max_retries: u64) -> RetryReport {
+    RetryReport {
         most: max_retries,
         window: Duration::from_secs(10),
-        pools: vec![PoolReport {
+        pools: vec![PoolRetryReport {
             pool: POOL.to_string(),
             allowance: None,
             spent: 0,
--- a/crates/deckwind-testkit/src/lab.rs
+++ b/crates/deckwind-testkit/src/lab.rs
@@ -10,7 +10,7 @@
 use deckwind_core::membership::{InForce, LeaseTiming};
 use deckwind_core::replication::{Entry, Index, ReplicaConfig, ReplicaId, Term};
 use deckwind_core::state::{
-    ApplyRequest, Change, ClaimLimits, Instance, Life, Revision, TargetName,
+    ApplyRequest, Change, ClaimLimits, Incarnation, Instance, Revision, TargetName,
 };
 use deckwind_core::time::Instant;
 use deckwind_store::{MemoryDisk, Store};
@@ -254,7 +254,7 @@
         self.partitions.clear();
         for slot in 0..self.nodes.len() {
             self.nodes[slot].frozen = false;
-            self.nodes[slot].disk.mend();
+            self.nodes[slot].disk.clear_failure();
             if self.nodes[slot].node.is_none() {
                 self.nodes[slot].disk.crash(0);
                 self.start(slot);
@@ -264,12 +264,12 @@
 
     /// Returns the slot of the replica that may answer now.
     pub fn leader(&self) -> Option<usize> {
-        (0..self.nodes.len()).find(|slot| self.may_answer(*slot))
+        (0..self.nodes.len()).find(|slot| self.can_serve_reads(*slot))
     }
 
-    pub(crate) fn may_answer(&self, slot: usize) -> bool {
+    pub(crate) fn can_serve_reads(&self, slot: usize) -> bool {
         let node = self.nodes[slot].node.as_ref();
-        node.is_some_and(|n| n.core().replica().may_answer(self.local_time(slot).at))
+        node.is_some_and(|n| n.core().replica().can_serve_reads(self.local_time(slot).at))
     }
 
     /// Runs until a replica may answer; returns its slot.
@@ -330,7 +330,7 @@
 
     /// Reports at a replica that an incarnation of a target leaves; replies are recorded
     /// under the incarnation's id.
-    pub fn leave(&mut self, slot: usize, life: Life) {
+    pub fn leave(&mut self, slot: usize, life: Incarnation) {
         let token = self.next_token;
         self.next_token += 1;
         self.pending
@@ -402,7 +402,7 @@
         }
         let batch = std::mem::take(&mut lab_node.inbox);
         let mut effects = Vec::new();
-        if node.take(now, batch, &mut effects).is_err() {
+        if node.process_batch(now, batch, &mut effects).is_err() {
             lab_node.node = None;
         }
         for effect in effects {
--- a/crates/deckwind-testkit/src/lab_checks.rs
+++ b/crates/deckwind-testkit/src/lab_checks.rs
@@ -37,7 +37,7 @@
     /// Checks all invariants; called after each step.
     pub(super) fn check(&mut self) {
         let answering: Vec<usize> = (0..self.nodes.len())
-            .filter(|s| self.may_answer(*s))
+            .filter(|s| self.can_serve_reads(*s))
             .collect();
         assert!(
             answering.len() <= 1,
@@ -69,7 +69,7 @@
             return;
         };
         let replica = node.core().replica();
-        if replica.leading_since().is_some() {
+        if replica.leader_since().is_some() {
             let first = *self.leaders.entry(replica.term()).or_insert(replica.id());
             assert_eq!(
                 first,
@@ -101,7 +101,7 @@
 
     fn check_knows_accepted(&self, slot: usize) {
         let node = self.nodes[slot].node.as_ref().expect("the replica runs");
-        let revision = node.core().machine().configuration().revision();
+        let revision = node.core().state_machine().configuration().revision();
         assert!(
             revision >= self.accepted,
             "slot {slot} answers at revision {revision}, but {} was accepted",
--- a/crates/deckwind-testkit/src/lab_net.rs
+++ b/crates/deckwind-testkit/src/lab_net.rs
@@ -3,7 +3,7 @@
 
 use crate::lab::Lab;
 use deckwind_core::control::{
-    ControlEvent, ControlRequest, HeardTargets, OrderBatch, RelayedReplies, RelayedRequest,
+    AnnouncementReport, ControlEvent, ControlRequest, OrderBatch, RelayedReplies, RelayedRequest,
 };
 use deckwind_core::replication::{Event, Message};
 use deckwind_core::time::Instant;
@@ -26,7 +26,7 @@
 pub(crate) enum InFlight {
     Message(Message),
     /// To the replica in this slot.
-    Heard(u32, HeardTargets),
+    Heard(u32, AnnouncementReport),
     /// From the replica in the first slot to the one in the second.
     Relayed(u32, u32, Vec<RelayedRequest>),
     /// To the replica in this slot.
@@ -50,7 +50,7 @@
                 }
                 InFlight::Heard(slot, heard) => self.nodes[slot as usize]
                     .inbox
-                    .push(ControlEvent::Heard(heard)),
+                    .push(ControlEvent::AnnouncementReport(heard)),
                 InFlight::Relayed(from, to, requests) => self.deliver_relayed(from, to, requests),
                 InFlight::RelayedReplies(slot, answers) => {
                     let event = ControlEvent::Answered(answers.into_answers());
@@ -75,12 +75,12 @@
                     self.send(InFlight::Message(m));
                 }
             }
-            Effect::TellHeard(to, heard) => {
+            Effect::ReportAnnouncements(to, heard) => {
                 if !self.partitions.contains(&(slot as u32, to)) {
                     self.send(InFlight::Heard(to, heard));
                 }
             }
-            Effect::PassOn(to, requests) => {
+            Effect::ForwardRequests(to, requests) => {
                 if !self.partitions.contains(&(slot as u32, to)) {
                     self.send(InFlight::Relayed(slot as u32, to, requests));
                 }
@@ -102,9 +102,9 @@
             // The simulated targets hold no layers and never fail.
             Effect::Place(_)
             | Effect::Check(..)
-            | Effect::NoteLife(_)
-            | Effect::NoteLimit(_)
-            | Effect::AskPace(_) => {}
+            | Effect::LogIncarnationDecision(_)
+            | Effect::LogLimitDecision(_)
+            | Effect::ProbePace(_) => {}
             Effect::OperatorReply(token, reply) => {
                 if let Some(Requester::Operator(id)) = self.pending.remove(&token) {
                     self.record_reply(&id, reply);
@@ -129,7 +129,7 @@
 
     /// Sends orders, which arrive within their timeout.
     fn send_orders(&mut self, slot: usize, batch: OrderBatch) {
-        let timeout_micros = batch.within.as_micros() as u64;
+        let timeout_micros = batch.order_timeout.as_micros() as u64;
         let delay = Duration::from_micros(self.rng.random_range(0..timeout_micros));
         self.schedule(self.now + delay, InFlight::Orders(slot, batch));
     }
@@ -149,10 +149,10 @@
             *newest = term;
         }
         let target = batch.target;
-        let taken = !self.rng.random_ratio(self.faults.orders_unanswered, 1_000);
+        let accepted = !self.rng.random_ratio(self.faults.orders_unanswered, 1_000);
         self.nodes[slot]
             .inbox
-            .push(ControlEvent::OrdersDone { target, taken });
+            .push(ControlEvent::OrdersDone { target, accepted });
     }
 
     fn send(&mut self, in_flight: InFlight) {
--- a/crates/deckwind-testkit/src/lab_routers.rs
+++ b/crates/deckwind-testkit/src/lab_routers.rs
@@ -5,8 +5,8 @@
 use deckwind_core::membership::{LeaseTiming, ReplicaChoice, RouterLeaseState};
 use deckwind_core::routes::{Claim, CutRuns, RepeatBudgets, RepeatLimits, Started};
 use deckwind_core::state::{
-    ClaimKey, ClaimRequest, ClaimVerdict, ContentDigest, FinishRequest, Holder, Outcome, Revision,
-    VmName,
+    ClaimKey, ClaimRequest, ClaimVerdict, ContentDigest, FinishRequest, Outcome, Revision,
+    RouterProcess, VmName,
 };
 use deckwind_core::time::Instant;
 use deckwind_wire::{ControlReply, ControlRequest, Renewal};
@@ -105,8 +105,8 @@
         &self.name
     }
 
-    fn holder(&self) -> Holder {
-        Holder {
+    fn holder(&self) -> RouterProcess {
+        RouterProcess {
             vm: self.name.clone(),
             boot: self.boot,
         }
@@ -278,7 +278,7 @@
                     let delta = grant
                         .changes(self.lease.applied())
                         .expect("the delta is intact");
-                    self.lease.granted(grant.lease(sent_at), delta);
+                    self.lease.apply_grant(grant.lease(sent_at), delta);
                     let budgets = self.budgets.as_mut();
                     budgets.map(|b| b.told(sent_at, self.timing.ttl, &grant.repeats));
                 }
--- a/crates/deckwind-testkit/src/placing.rs
+++ b/crates/deckwind-testkit/src/placing.rs
@@ -4,11 +4,11 @@
 //! A path needs a range for each layer, so the capacity of a data centre is bounded by
 //! the layer with the smallest token capacity: the narrowest one.
 
-use deckwind_core::control::{PlaceOrder, PlacementDesk};
+use deckwind_core::control::{PlacementManager, PlacementOrder};
 use deckwind_core::routing::placement::{common, tokens_beside};
 use deckwind_core::state::{
-    AcceleratorKind, Command, CommandBody, EngineModel, Instance, InstanceChange, InstanceState,
-    Instances, LayerRange, Life, Pool, Release, StateMachine,
+    AcceleratorKind, Command, CommandBody, EngineModel, Incarnation, Instance, InstanceChange,
+    InstanceState, Instances, LayerRange, Pool, Release, StateMachine,
 };
 use deckwind_core::time::Instant;
 use std::collections::{BTreeMap, BTreeSet};
@@ -90,12 +90,12 @@
 /// Engines and the leader's placement of layers on them.
 #[derive(Clone)]
 pub struct Placing {
-    manager: PlacementDesk,
+    manager: PlacementManager,
     machine: StateMachine,
     release: Release,
     now: Instant,
     /// Orders in progress, by the time at which they end.
-    loading: BTreeMap<(Instant, String), PlaceOrder>,
+    loading: BTreeMap<(Instant, String), PlacementOrder>,
     /// Number of orders given so far.
     pub orders: usize,
     incarnations: usize,
@@ -123,7 +123,7 @@
             ..Release::default()
         };
         let mut placing = Self {
-            manager: PlacementDesk::default(),
+            manager: PlacementManager::default(),
             machine: StateMachine::default(),
             release,
             now: Instant::from_millis(1_000),
@@ -183,11 +183,11 @@
         self.loading.retain(|(_, id), _| !ids.contains(id));
         let left = ids
             .iter()
-            .map(|id| InstanceChange::Left(Life::from(id.as_str())));
+            .map(|id| InstanceChange::Left(Incarnation::from(id.as_str())));
         self.apply(left.collect());
         for id in ids {
             self.manager
-                .ended(self.now, &Life::from(id.as_str()), false);
+                .order_ended(self.now, &Incarnation::from(id.as_str()), false);
         }
     }
 
@@ -235,7 +235,7 @@
                 return;
             }
             let order = entry.remove();
-            self.manager.ended(self.now, &order.life(), true);
+            self.manager.order_ended(self.now, &order.life(), true);
             self.apply(vec![InstanceChange::Holds {
                 life: order.life(),
                 layers: order.layers,
@@ -246,12 +246,12 @@
 
     fn run_planner(&mut self) {
         let instances = self.instances().clone();
-        let step = self.manager.work(self.now, &self.release, &instances);
+        let step = self.manager.next_step(self.now, &self.release, &instances);
         self.apply(step.changes);
         let max_concurrent = model().loads_at_once as usize;
         for order in step.orders {
             self.orders += 1;
-            let layers = order.layers.len() - common(order.layers, order.believed).len();
+            let layers = order.layers.len() - common(order.layers, order.expected_layers).len();
             let share = f64::from(layers) / f64::from(model().layers);
             let rounds = (self.loading.len() + 1).div_ceil(max_concurrent) as f64;
             let duration = Duration::from_secs_f64(model().load_ms / 1e3 * share * rounds);
--- a/crates/deckwind-testkit/tests/testsuite/announcements.rs
+++ b/crates/deckwind-testkit/tests/testsuite/announcements.rs
@@ -25,7 +25,7 @@
 
 fn committed(lab: &Lab, slot: usize) -> &Instances {
     let node = lab.node(slot).expect("it is up");
-    node.core().machine().configuration().instances()
+    node.core().state_machine().configuration().instances()
 }
 
 fn follower_of(leader: usize) -> usize {
@@ -44,7 +44,7 @@
     let leader = lab.run_until_led();
     let revision = |lab: &Lab| {
         let node = lab.node(leader).expect("it is up");
-        node.core().machine().configuration().revision().0
+        node.core().state_machine().configuration().revision().0
     };
     let before = revision(&lab);
     let steps = 120;
--- a/crates/deckwind-testkit/tests/testsuite/bystanders.rs
+++ b/crates/deckwind-testkit/tests/testsuite/bystanders.rs
@@ -10,7 +10,7 @@
 
 use crate::quarantine::{apply, content};
 use deckwind_core::routes::CutRuns;
-use deckwind_core::state::{ContentDigest, Life, StateMachine};
+use deckwind_core::state::{ContentDigest, Incarnation, StateMachine};
 use deckwind_core::time::Instant;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -59,10 +59,10 @@
     routers: Vec<CutRuns>,
     state_machine: StateMachine,
     /// Ended incarnations, and when routers learn of them.
-    ended_incarnations: Vec<(u64, Life)>,
+    ended_incarnations: Vec<(u64, Incarnation)>,
     /// Time when routers learn the agreed crash counts.
     agreement_known_at: Option<u64>,
-    crashed: BTreeSet<Life>,
+    crashed: BTreeSet<Incarnation>,
     poison_contents: Vec<ContentDigest>,
 }
 
@@ -102,8 +102,8 @@
         self.streams.push(stream);
     }
 
-    fn incarnation_at(&self, engine: usize) -> Life {
-        Life {
+    fn incarnation_at(&self, engine: usize) -> Incarnation {
+        Incarnation {
             id: format!("e-{engine}"),
             born: Some(self.incarnations[engine]),
         }
@@ -152,12 +152,12 @@
         };
         let crashing: BTreeSet<usize> = self.streams.iter().filter(due).map(|s| s.engine).collect();
         crashing.into_iter().for_each(|e| self.crash_engine(e));
-        let known_ended = |(at, _): &(u64, Life)| *at <= self.now_ms;
+        let known_ended = |(at, _): &(u64, Incarnation)| *at <= self.now_ms;
         let (known_ended, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.ended_incarnations)
             .into_iter()
             .partition(known_ended);
         self.ended_incarnations = rest;
-        let known_ended: Vec<Life> = known_ended
+        let known_ended: Vec<Incarnation> = known_ended
             .into_iter()
             .map(|(_, incarnation)| incarnation)
             .collect();
--- a/crates/deckwind-testkit/tests/testsuite/come_back.rs
+++ b/crates/deckwind-testkit/tests/testsuite/come_back.rs
@@ -9,7 +9,7 @@
 
 use crate::repeat_rig::Control;
 use deckwind_core::routes::{Claim, Refusal, RepeatBudgets, RepeatLimits, Started};
-use deckwind_core::state::Holder;
+use deckwind_core::state::RouterProcess;
 use deckwind_core::time::Instant;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -93,7 +93,7 @@
             .filter(|(_, due)| **due <= now)
         {
             *due = now + RENEWAL_INTERVAL;
-            let holder = Holder {
+            let holder = RouterProcess {
                 vm: format!("r{i}").as_str().into(),
                 boot: 1,
             };
--- a/crates/deckwind-testkit/tests/testsuite/connections.rs
+++ b/crates/deckwind-testkit/tests/testsuite/connections.rs
@@ -28,7 +28,7 @@
         max_connections: limit,
         engine: None,
     };
-    assert_eq!(pool.most_idle(routers), max_idle);
+    assert_eq!(pool.max_idle_connections(routers), max_idle);
 }
 
 /// Five connections are in use at once; two of them may be kept once they are idle.
--- a/crates/deckwind-testkit/tests/testsuite/crowding.rs
+++ b/crates/deckwind-testkit/tests/testsuite/crowding.rs
@@ -7,7 +7,7 @@
 //! average. At such a load engines refused four in ten arrivals, and each refusal costs
 //! one of the few retries.
 
-use deckwind_core::control::{EngineFull, EngineUse};
+use deckwind_core::control::{EngineFull, EngineStreamLoad};
 use deckwind_core::routes::{Choice, Claim, Room, TargetBook, choose_path};
 use deckwind_core::routing::paths::{Held, Stage};
 use deckwind_core::routing::placement::tokens_beside;
@@ -128,7 +128,9 @@
                 total.layer_tokens -= one.layer_tokens;
                 total.begun -= one.begun;
             }
-            let uses = others.into_iter().map(|(a, load)| EngineUse::new(a, load));
+            let uses = others
+                .into_iter()
+                .map(|(a, load)| EngineStreamLoad::new(a, load));
             book.others_hold(&uses.collect::<Vec<_>>());
         }
     }
--- a/crates/deckwind-testkit/tests/testsuite/decisions.rs
+++ b/crates/deckwind-testkit/tests/testsuite/decisions.rs
@@ -7,9 +7,9 @@
 };
 use deckwind_core::burn::{Alert, BurnMeter};
 use deckwind_core::membership::{
-    AccountDemand, LeaseGrant, LeaseTiming, RouterLeaseState, ServeDecision, share_of,
+    AccountDemand, LeaseGrant, LeaseTiming, RouterLeaseState, ServeDecision, account_share,
 };
-use deckwind_core::replication::{Fence, FenceCheck, OrderIssuer, Term};
+use deckwind_core::replication::{Fence, FenceIssuer, FenceSupport, Term};
 use deckwind_core::routing::{BoundTarget, Health, HealthState, hardware_bound};
 use deckwind_core::state::{Configuration, Delta, LayerRange, Priority};
 use deckwind_core::time::Instant;
@@ -141,7 +141,7 @@
     let total: f64 = demand.iter().sum();
     let mut admitted = 0;
     for per_s in demand.into_iter().take(routers as usize) {
-        let share = share_of(LIMIT, AccountDemand { per_s }, total, routers);
+        let share = account_share(LIMIT, AccountDemand { per_s }, total, routers);
         let mut limiter = AccountLimiter::default();
         limiter.set_rate(at(0), &"a".into(), share.per_s);
         let requests = (per_s * SECONDS as f64) as u64;
@@ -258,17 +258,17 @@
     expected: ServeDecision,
 ) {
     let mut lease = RouterLeaseState::new(LeaseTiming::default());
-    assert!(lease.granted(LeaseGrant::new(at(0), Term(1)), Delta::default()));
+    assert!(lease.apply_grant(LeaseGrant::new(at(0), Term(1)), Delta::default()));
     let mut template = service_template("cap", repeatable);
     template.serve_stale_ms = 1_000;
-    assert_eq!(lease.decide(at(ms), &template), expected);
+    assert_eq!(lease.serve_decision(at(ms), &template), expected);
 }
 
 #[test]
 fn a_deposed_leaders_grant_is_dropped() {
     let mut lease = RouterLeaseState::new(LeaseTiming::default());
-    assert!(lease.granted(LeaseGrant::new(at(0), Term(2)), Delta::default()));
-    assert!(!lease.granted(LeaseGrant::new(at(5_000), Term(1)), Delta::default()));
+    assert!(lease.apply_grant(LeaseGrant::new(at(0), Term(2)), Delta::default()));
+    assert!(!lease.apply_grant(LeaseGrant::new(at(5_000), Term(1)), Delta::default()));
     assert!(!lease.is_live(at(3_000)));
 }
 
@@ -277,25 +277,28 @@
     let lease = RouterLeaseState::new(LeaseTiming::default());
     let mut template = chat_template("t", 4);
     template.serve_stale_ms = 1_000_000_000;
-    assert_eq!(lease.decide(at(0), &template), ServeDecision::Refuse);
+    assert_eq!(
+        lease.serve_decision(at(0), &template),
+        ServeDecision::Refuse
+    );
     assert_eq!(*lease.configuration(), Configuration::default());
 }
 
 #[parameterized(
-    checks_in_lease = { FenceCheck::Checks, 100, Some(500), true },
-    checks_after_lease = { FenceCheck::Checks, 600, Some(500), false },
-    no_lease = { FenceCheck::Checks, 100, None, false },
-    unchecked_too_new = { FenceCheck::DoesNotCheck, 100, Some(5_000), false },
-    unchecked_in_time = { FenceCheck::DoesNotCheck, 300, Some(5_000), true },
-    unchecked_near_the_end = { FenceCheck::DoesNotCheck, 400, Some(500), false },
+    checks_in_lease = { FenceSupport::Checks, 100, Some(500), true },
+    checks_after_lease = { FenceSupport::Checks, 600, Some(500), false },
+    no_lease = { FenceSupport::Checks, 100, None, false },
+    unchecked_too_new = { FenceSupport::DoesNotCheck, 100, Some(5_000), false },
+    unchecked_in_time = { FenceSupport::DoesNotCheck, 300, Some(5_000), true },
+    unchecked_near_the_end = { FenceSupport::DoesNotCheck, 400, Some(500), false },
 )]
 fn orders_are_issued_only_while_no_other_leader_can_issue_any(
-    check: FenceCheck,
+    check: FenceSupport,
     now_ms: u64,
     until_ms: Option<u64>,
     allowed: bool,
 ) {
-    let mut issuer = OrderIssuer::new(Term(3), at(0), Duration::from_millis(200));
+    let mut issuer = FenceIssuer::new(Term(3), at(0), Duration::from_millis(200));
     let fence = issuer.issue(at(now_ms), until_ms.map(at), check);
     let expected = Fence {
         term: Term(3),
--- a/crates/deckwind-testkit/tests/testsuite/engine_use.rs
+++ b/crates/deckwind-testkit/tests/testsuite/engine_use.rs
@@ -2,7 +2,7 @@
 //! changed loads are sent: finely resolved for engines of the router's own data centre,
 //! coarsely for others. No network.
 
-use deckwind_core::control::{EngineUse, UseNews, UseNumber};
+use deckwind_core::control::{EngineLoadUpdate, EngineLoadVersion, EngineStreamLoad};
 use deckwind_core::replication::Term;
 use deckwind_core::routes::TargetBook;
 use deckwind_core::routing::paths::Held;
@@ -48,9 +48,9 @@
     }
 }
 
-fn update(number: u64, all: bool, engines: Vec<EngineUse>) -> UseNews {
-    UseNews {
-        upto: UseNumber {
+fn update(number: u64, all: bool, engines: Vec<EngineStreamLoad>) -> EngineLoadUpdate {
+    EngineLoadUpdate {
+        upto: EngineLoadVersion {
             term: Term(1),
             number,
         },
@@ -64,8 +64,8 @@
 #[test]
 fn a_router_counts_its_own_streams_once() {
     let mut book = TargetBook::default();
-    let own = [EngineUse::new(engine_address(1), load(300, 1))];
-    let all = vec![EngineUse::new(engine_address(1), load(1_000, 3))];
+    let own = [EngineStreamLoad::new(engine_address(1), load(300, 1))];
+    let all = vec![EngineStreamLoad::new(engine_address(1), load(1_000, 3))];
     book.use_told(&own, Some(&update(1, true, all)));
     // The router's own streams have ended since its report.
     assert_eq!(book.held(engine_address(1)), load(700, 2));
@@ -79,7 +79,7 @@
 #[test]
 fn engines_keep_their_load_until_an_update_names_them_or_is_full() {
     let mut book = TargetBook::default();
-    let engine_load = |port, tokens| EngineUse::new(engine_address(port), load(tokens, 0));
+    let engine_load = |port, tokens| EngineStreamLoad::new(engine_address(port), load(tokens, 0));
     book.use_told(
         &[],
         Some(&update(
--- a/crates/deckwind-testkit/tests/testsuite/full_disk.rs
+++ b/crates/deckwind-testkit/tests/testsuite/full_disk.rs
@@ -36,7 +36,7 @@
         let disk = MemoryDisk::default();
         let shared_disk = disk.clone();
         let open = Box::new(move |_: &std::path::Path| Ok(Box::new(shared_disk.clone()) as _));
-        let control = Control::start_on(&cx, &cfg, open).expect("the replica starts");
+        let control = Control::start_with_disk(&cx, &cfg, open).expect("the replica starts");
         Self {
             disk,
             control,
@@ -88,7 +88,7 @@
                 "{reply:?}"
             );
             assert!(replica.control.is_alive());
-            replica.disk.mend();
+            replica.disk.clear_failure();
             replica.wait_until_accepted().await;
         }
         let control = replica.control;
--- a/crates/deckwind-testkit/tests/testsuite/growth.rs
+++ b/crates/deckwind-testkit/tests/testsuite/growth.rs
@@ -1,7 +1,7 @@
 //! Scaling of the leader's work and traffic with the fleet, measured in rows scanned,
 //! messages and bytes at one fleet size and at multiples of it. Runs in virtual time.
 
-use deckwind_core::control::Looks;
+use deckwind_core::control::ScanCounts;
 use deckwind_testkit::fan_out::{Carried, FanOut, engine_fleet, engine_release};
 use std::time::Duration;
 use yare::parameterized;
@@ -33,7 +33,7 @@
 
 /// Returns the rows that the leader of a settled system scanned, and the traffic that it
 /// sent, within [`MEASURED_INTERVALS`].
-fn settled_cost(routers: usize, engines: usize, relays: u32) -> (Looks, Carried) {
+fn settled_cost(routers: usize, engines: usize, relays: u32) -> (ScanCounts, Carried) {
     let mut fan_out = FanOut::new(routers, 0, LINK_MBPS).unwrap();
     fan_out.publish(engine_release(1, 10));
     fan_out.pass_on(relays);
@@ -41,11 +41,11 @@
     (1..=SETTLING_INTERVALS).for_each(|number| announce_all(&mut fan_out, engines, number));
     assert!(fan_out.holding() > 0, "layers are placed");
     fan_out.take_carried();
-    let before = fan_out.looks();
+    let before = fan_out.scan_counts();
     let measured = SETTLING_INTERVALS + 1..=SETTLING_INTERVALS + MEASURED_INTERVALS;
     measured.for_each(|number| announce_all(&mut fan_out, engines, number));
-    let after = fan_out.looks();
-    let rows_scanned = Looks {
+    let after = fan_out.scan_counts();
+    let rows_scanned = ScanCounts {
         renewals: after.renewals - before.renewals,
         leases: after.leases - before.leases,
         targets: after.targets - before.targets,
--- a/crates/deckwind-testkit/tests/testsuite/instance_index.rs
+++ b/crates/deckwind-testkit/tests/testsuite/instance_index.rs
@@ -22,7 +22,7 @@
     }
     let all = instances.since(Revision::ZERO);
     let last = all.iter().map(|(_, v)| v.revision).max();
-    assert_eq!(instances.written_upto(), last.unwrap_or(Revision::ZERO));
+    assert_eq!(instances.last_written(), last.unwrap_or(Revision::ZERO));
     for since in [0, 5, 20, 1_000].map(Revision) {
         let later = all.iter().filter(|(_, v)| v.revision > since);
         let later: BTreeSet<&String> = later.map(|(id, _)| id).collect();
--- a/crates/deckwind-testkit/tests/testsuite/leader_changes.rs
+++ b/crates/deckwind-testkit/tests/testsuite/leader_changes.rs
@@ -56,9 +56,9 @@
     fan_out.run_for(Duration::from_secs(3)).unwrap();
     fan_out.restart_routers();
     fan_out.take_carried();
-    let before = fan_out.looks().renewals;
+    let before = fan_out.scan_counts().renewals;
     fan_out.run_until_applied(Duration::from_secs(2)).unwrap();
-    let rows_scanned = fan_out.looks().renewals - before;
+    let rows_scanned = fan_out.scan_counts().renewals - before;
     (rows_scanned, fan_out.take_carried().bytes)
 }
 
--- a/crates/deckwind-testkit/tests/testsuite/limit_rig.rs
+++ b/crates/deckwind-testkit/tests/testsuite/limit_rig.rs
@@ -2,12 +2,12 @@
 //! time, and the check of the requests that arrive at the target.
 
 use deckwind_core::control::{
-    LimitDesk, LimitKey, LimitList, LimitReport, PermitAnswer, PermitAsk, PermitVerdict,
+    LimitKey, LimitList, LimitReport, PermitAnswer, PermitRequest, PermitVerdict, TargetLimiter,
 };
 use deckwind_core::rate::Rate;
 use deckwind_core::replication::Term;
 use deckwind_core::routes::{Permit, TargetLimits};
-use deckwind_core::state::Life;
+use deckwind_core::state::Incarnation;
 use deckwind_core::time::Instant;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -37,7 +37,7 @@
 pub fn target() -> LimitKey {
     LimitKey {
         address: ([10, 0, 0, 1], 80).into(),
-        life: Life::from("engine"),
+        life: Incarnation::from("engine"),
     }
 }
 
@@ -111,7 +111,7 @@
 /// and leader carry the time of the request on the router's clock too.
 enum Message {
     Renewal(usize, u64, Instant, LimitReport),
-    AskPermits(usize, u64, Instant, PermitAsk),
+    AskPermits(usize, u64, Instant, PermitRequest),
     RenewalAnswered(usize, u64, Instant, Term, Option<LimitList>),
     PermitsAnswered(usize, u64, Instant, PermitAnswer),
     /// Response of the target: the limit that it names, and the permit of the request.
@@ -130,7 +130,7 @@
     schedule: &'a Schedule,
     rng: StdRng,
     routers: Vec<Router>,
-    limiter: LimitDesk,
+    limiter: TargetLimiter,
     term: u64,
     in_flight: BTreeMap<(u64, u64), Message>,
     sequence: u64,
@@ -180,15 +180,15 @@
         match message {
             Message::Renewal(router, boot, asked, report) => {
                 for heard in &report.heard {
-                    self.limiter.heard(leader_now(ms), heard);
+                    self.limiter.record_received_limit(leader_now(ms), heard);
                 }
-                let list = self.limiter.list_for(leader_now(ms), report.known);
+                let list = self.limiter.list_if_changed(leader_now(ms), report.known);
                 let answer = Message::RenewalAnswered(router, boot, asked, Term(self.term), list);
                 self.send_lossy(ms, answer);
             }
             Message::AskPermits(router, boot, asked, ask) => {
                 let now = leader_now(ms);
-                self.limiter.heard(now, &ask.heard);
+                self.limiter.record_received_limit(now, &ask.heard);
                 let answer = PermitAnswer {
                     verdicts: vec![self.limiter.permit(now, &ask)],
                     at: self.limiter.time(now),
@@ -257,7 +257,7 @@
             let wants = r.waiting;
             r.permit_asked_ms = Some(ms);
             if !is_partitioned {
-                let ask = PermitAsk { heard, wants };
+                let ask = PermitRequest { heard, wants };
                 self.send_lossy(ms, Message::AskPermits(router, boot, now, ask));
             }
         } else if r.permit_asked_ms.is_none() {
@@ -348,7 +348,7 @@
         schedule,
         rng: StdRng::seed_from_u64(schedule.seed),
         routers: Vec::new(),
-        limiter: LimitDesk::new(Term(1)),
+        limiter: TargetLimiter::new(Term(1)),
         term: 1,
         in_flight: BTreeMap::new(),
         sequence: 0,
@@ -362,7 +362,7 @@
         let at = |when: &u64| *when / STEP_MS * STEP_MS == ms;
         if schedule.leader_changes_ms.iter().any(at) {
             sim.term += 1;
-            sim.limiter = LimitDesk::new(Term(sim.term));
+            sim.limiter = TargetLimiter::new(Term(sim.term));
         }
         for (router, _) in schedule.restarts.iter().filter(|(_, when)| at(when)) {
             let r = &mut sim.routers[router % schedule.routers];
--- a/crates/deckwind-testkit/tests/testsuite/lives.rs
+++ b/crates/deckwind-testkit/tests/testsuite/lives.rs
@@ -2,10 +2,10 @@
 //! previous incarnation must not apply to the new one. Runs in virtual time.
 
 use crate::support::{announced, cards, instances, model};
-use deckwind_core::control::{ControlEvent, OperatorReply, PlacementDesk};
+use deckwind_core::control::{ControlEvent, OperatorReply, PlacementManager};
 use deckwind_core::state::{
-    Command, CommandBody, Instance, InstanceChange, InstanceState, LayerRange, Life, Pool, Release,
-    StateMachine,
+    Command, CommandBody, Incarnation, Instance, InstanceChange, InstanceState, LayerRange, Pool,
+    Release, StateMachine,
 };
 use deckwind_core::time::Instant;
 use deckwind_testkit::fan_out::engine;
@@ -30,7 +30,7 @@
     }
 }
 
-fn life_id(born: Option<u64>) -> Life {
+fn life_id(born: Option<u64>) -> Incarnation {
     announcement(born, 0, 0).life()
 }
 
@@ -65,7 +65,7 @@
 
     fn committed(&self, id: &str) -> Option<Instance> {
         let node = self.lab.node(self.leader).expect("it is up");
-        let cfg = node.core().machine().configuration();
+        let cfg = node.core().state_machine().configuration();
         cfg.instances().get(id).cloned()
     }
 
@@ -214,7 +214,7 @@
     rig.lab.announce(leader, draining.clone());
     rig.lab.run_for(COMMIT_TIME);
     let reply = rig.lab.last_reply("engine-1");
-    assert_eq!(reply, Some(&OperatorReply::Doubted));
+    assert_eq!(reply, Some(&OperatorReply::Unconfirmed));
     rig.lab.run_for(Duration::from_secs(5));
     rig.lab.announce(leader, draining);
     rig.lab.run_for(Duration::from_millis(600));
@@ -256,7 +256,10 @@
 #[test]
 fn the_leave_of_an_unconfirmed_incarnation_is_not_acknowledged() {
     let mut rig = RestartRig::new();
-    assert_eq!(rig.leave(Some(FIRST_BORN_MS - 1)), OperatorReply::Doubted);
+    assert_eq!(
+        rig.leave(Some(FIRST_BORN_MS - 1)),
+        OperatorReply::Unconfirmed
+    );
     assert!(rig.registered().is_some());
     rig.lab.run_for(Duration::from_secs(5));
     let reply = rig.leave(Some(FIRST_BORN_MS - 1));
@@ -279,8 +282,8 @@
 /// Results of the leader's own orders and probes that arrive after the incarnation that
 /// they concern has ended.
 #[parameterized(
-    an_order_that_ended = { ControlEvent::Placed { life: life_id(Some(FIRST_BORN_MS)), held: Some(LayerRange::new(0, 8)) } },
-    a_probe_without_answer = { ControlEvent::Checked { life: life_id(Some(FIRST_BORN_MS)), there: false } },
+    an_order_that_ended = { ControlEvent::PlacementDone { life: life_id(Some(FIRST_BORN_MS)), held: Some(LayerRange::new(0, 8)) } },
+    a_probe_without_answer = { ControlEvent::Checked { life: life_id(Some(FIRST_BORN_MS)), is_running: false } },
 )]
 fn late_results_for_an_ended_incarnation_do_not_change_the_new_one(late: ControlEvent) {
     let mut rig = RestartRig::new();
@@ -379,14 +382,14 @@
         let born = Some(FIRST_BORN_MS);
         apply(&mut machine, announced(Instance { born, ..i.clone() }));
     }
-    let mut desk = PlacementDesk::default();
+    let mut desk = PlacementManager::default();
     let mut now = Instant::from_millis(1_000);
-    let mut run_rounds = |desk: &mut PlacementDesk, machine: &mut StateMachine| {
+    let mut run_rounds = |desk: &mut PlacementManager, machine: &mut StateMachine| {
         let mut orders = Vec::new();
         for _ in 0..20 {
             now = now + Duration::from_millis(100);
             let instances = machine.configuration().instances().clone();
-            let work = desk.work(now, &release, &instances);
+            let work = desk.next_step(now, &release, &instances);
             work.changes.into_iter().for_each(|c| apply(machine, c));
             orders.extend(work.orders);
         }
@@ -396,7 +399,7 @@
     let (old, others) = first.split_first().expect("layers are placed");
     assert_eq!(old.born, Some(FIRST_BORN_MS));
     for order in others {
-        desk.ended(at, &order.life(), true);
+        desk.order_ended(at, &order.life(), true);
         let held = InstanceChange::Holds {
             life: order.life(),
             layers: order.layers,
@@ -419,10 +422,13 @@
     let (at, second) = run_rounds(&mut desk, &mut machine);
     let new = second.iter().find(|o| o.id == old.id);
     let new = new.expect("the new incarnation is given an order of its own");
-    assert_eq!((new.born, new.believed), (born, LayerRange::default()));
-    desk.ended(at, &old.life(), true);
+    assert_eq!(
+        (new.born, new.expected_layers),
+        (born, LayerRange::default())
+    );
+    desk.order_ended(at, &old.life(), true);
     assert!(
-        desk.is_under_way(&new.life()),
+        desk.is_order_in_flight(&new.life()),
         "the order to the new incarnation is still under way"
     );
 }
--- a/crates/deckwind-testkit/tests/testsuite/notices.rs
+++ b/crates/deckwind-testkit/tests/testsuite/notices.rs
@@ -6,7 +6,7 @@
     Choice, Claim, NoChoice, Refusal, Room, TargetBook, TargetNotice, TargetNotices, choose_path,
     choose_plain,
 };
-use deckwind_core::state::{Instance, InstanceState, Life};
+use deckwind_core::state::{Incarnation, Instance, InstanceState};
 use deckwind_core::time::Instant;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -353,7 +353,12 @@
     let mut instance = target(1, 7);
     instance.born = None;
     let mut notices = TargetNotices::default();
-    notices.hear(START, instance.address, &Life::from("t-1"), &leaves());
+    notices.hear(
+        START,
+        instance.address,
+        &Incarnation::from("t-1"),
+        &leaves(),
+    );
     assert!(notices.leaves(&instance));
     assert!(!notices.leaves(&target(1, 7)));
 }
--- a/crates/deckwind-testkit/tests/testsuite/other_writers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/other_writers.rs
@@ -9,11 +9,11 @@
 use deckwind_core::control::AnnouncementFault;
 use deckwind_core::routes::InstanceIndex;
 use deckwind_core::state::{
-    Command, CommandBody, Instance, Pool, Published, Release, StateMachine,
+    Command, CommandBody, Instance, Pool, PublishedRelease, Release, StateMachine,
 };
 use deckwind_fakes::{FakeRunner, RunnerFault};
 use deckwind_testkit::eventually_async;
-use deckwindd::control::{LOG_EVERY, Refusals};
+use deckwindd::control::{REFUSAL_LOG_INTERVAL, RefusalLog};
 use http::StatusCode;
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
@@ -93,7 +93,7 @@
         ..Release::default()
     };
     let document = Vec::new();
-    CommandBody::Publish(Box::new(Published { release, document }))
+    CommandBody::Publish(Box::new(PublishedRelease { release, document }))
 }
 
 /// Targets may announce themselves before a release names their pool, whether that is the
@@ -157,14 +157,26 @@
 /// line per second.
 #[test]
 fn refused_announcements_are_logged_in_few_lines() {
-    let refusals = Refusals::default();
+    let refusals = RefusalLog::default();
     let start = Instant::now();
     let (one, other) = (AnnouncementFault::Unreadable, AnnouncementFault::NoId);
-    assert_eq!(refusals.note(start, one), Some(0));
+    assert_eq!(refusals.record(start, one), Some(0));
     for ms in 1..1_000 {
-        assert_eq!(refusals.note(start + Duration::from_millis(ms), one), None);
+        assert_eq!(
+            refusals.record(start + Duration::from_millis(ms), one),
+            None
+        );
     }
-    assert_eq!(refusals.note(start + LOG_EVERY / 2, other), Some(0));
-    assert_eq!(refusals.note(start + LOG_EVERY, one), Some(999));
-    assert_eq!(refusals.note(start + 3 * LOG_EVERY, one), Some(0));
+    assert_eq!(
+        refusals.record(start + REFUSAL_LOG_INTERVAL / 2, other),
+        Some(0)
+    );
+    assert_eq!(
+        refusals.record(start + REFUSAL_LOG_INTERVAL, one),
+        Some(999)
+    );
+    assert_eq!(
+        refusals.record(start + 3 * REFUSAL_LOG_INTERVAL, one),
+        Some(0)
+    );
 }
--- a/crates/deckwind-testkit/tests/testsuite/paths.rs
+++ b/crates/deckwind-testkit/tests/testsuite/paths.rs
@@ -1,7 +1,7 @@
 //! Paths over engines that hold layers, and the free capacity of these engines.
 
 use crate::support::{cards, instances, model, place};
-use deckwind_core::control::EngineUse;
+use deckwind_core::control::EngineStreamLoad;
 use deckwind_core::routes::{
     Choice, Claim, NoChoice, Patience, Room, TargetBook, TargetFault, choose_path,
 };
@@ -242,12 +242,12 @@
     let mut book = TargetBook::default();
     let first = choose(&book, &all, demand(900, false, 1)).expect("a path");
     let path = first.path.expect("a path");
-    let load = |stage: &deckwind_core::routing::paths::Stage| EngineUse {
+    let load = |stage: &deckwind_core::routing::paths::Stage| EngineStreamLoad {
         address: stage.address,
         layer_tokens: 99_500 * u64::from(stage.layers.len()),
         begun: 100,
     };
-    let loads: Vec<EngineUse> = path.stages.iter().map(load).collect();
+    let loads: Vec<EngineStreamLoad> = path.stages.iter().map(load).collect();
     book.others_hold(&loads);
     for draw in 0..20 {
         let next = choose(&book, &all, demand(900, false, draw)).expect("the other chain");
@@ -313,12 +313,12 @@
     let mut book = TargetBook::default();
     let is_unloaded = |i: &&Instance| i.layers.first == 0 && i.id.ends_with("-0");
     let loaded = all.iter().filter(|i| !is_unloaded(i));
-    let half_load = |i: &Instance| EngineUse {
+    let half_load = |i: &Instance| EngineStreamLoad {
         address: i.address,
         layer_tokens: 40_000 * u64::from(i.layers.len()),
         begun: 40,
     };
-    let loads: Vec<EngineUse> = loaded.map(half_load).collect();
+    let loads: Vec<EngineStreamLoad> = loaded.map(half_load).collect();
     book.others_hold(&loads);
     let mut begun = std::collections::BTreeMap::new();
     for draw in 0..200 {
@@ -348,12 +348,12 @@
         "b" => 60_000,
         _ => 50_000,
     };
-    let load = |i: &Instance| EngineUse {
+    let load = |i: &Instance| EngineStreamLoad {
         address: i.address,
         layer_tokens: tokens(i) * u64::from(i.layers.len()),
         begun: 50,
     };
-    let loads: Vec<EngineUse> = all.iter().map(load).collect();
+    let loads: Vec<EngineStreamLoad> = all.iter().map(load).collect();
     book.others_hold(&loads);
     let mut begun = std::collections::BTreeMap::new();
     for draw in 0..300 {
@@ -415,12 +415,12 @@
     let all = instances(&all);
     let mut book = TargetBook::default();
     let is_full = |i: &&Instance| i.data_centre.as_str() == "b";
-    let loads = all.iter().filter(is_full).map(|i| EngineUse {
+    let loads = all.iter().filter(is_full).map(|i| EngineStreamLoad {
         address: i.address,
         layer_tokens: 100_000 * u64::from(i.layers.len()),
         begun: 100,
     });
-    book.others_hold(&loads.collect::<Vec<EngineUse>>());
+    book.others_hold(&loads.collect::<Vec<EngineStreamLoad>>());
     let first = all.iter().find(|i| i.layers.first == 0).expect("an engine");
     book.failed(Instant::from_millis(1_000), first.address, fault);
     let chosen = choose(&book, &all, demand(900, false, 1));
@@ -478,12 +478,12 @@
     place(&mut cards);
     let all = instances(&cards);
     let mut book = TargetBook::default();
-    let loads = all.iter().map(|i| EngineUse {
+    let loads = all.iter().map(|i| EngineStreamLoad {
         address: i.address,
         layer_tokens: 94_500 * u64::from(i.layers.len()),
         begun: 80,
     });
-    book.others_hold(&loads.collect::<Vec<EngineUse>>());
+    book.others_hold(&loads.collect::<Vec<EngineStreamLoad>>());
     let demand = Room {
         claim,
         ..demand(900, false, 1)
--- a/crates/deckwind-testkit/tests/testsuite/placement.rs
+++ b/crates/deckwind-testkit/tests/testsuite/placement.rs
@@ -1,7 +1,7 @@
 //! Placement of a model's layers on engines, and the chains that they form.
 
 use crate::support::{cards, instances, model, place};
-use deckwind_core::control::{GiveUp, PlacementDesk};
+use deckwind_core::control::{PlacementManager, UnloadMode};
 use deckwind_core::routing::chains::chain_groups;
 use deckwind_core::routing::placement::{Card, Mend, common, is_whole, plan_chain, tokens_beside};
 use deckwind_core::state::{Command, CommandBody, InstanceChange, StateMachine};
@@ -207,9 +207,9 @@
     assert_eq!(groups[0].len(), 12, "one chain over both");
 }
 
-/// Drives a [`PlacementDesk`] against a state machine, as a leader does.
+/// Drives a [`PlacementManager`] against a state machine, as a leader does.
 struct PlacementRig {
-    desk: PlacementDesk,
+    desk: PlacementManager,
     machine: StateMachine,
     release: Release,
     now_ms: u64,
@@ -228,7 +228,7 @@
             ..Release::default()
         };
         let mut rig = Self {
-            desk: PlacementDesk::default(),
+            desk: PlacementManager::default(),
             machine: StateMachine::default(),
             release,
             now_ms: 1_000,
@@ -263,15 +263,15 @@
         self.now_ms += 100;
         let now = Instant::from_millis(self.now_ms);
         let instances = self.machine.configuration().instances().clone();
-        let work = self.desk.work(now, &self.release, &instances);
+        let work = self.desk.next_step(now, &self.release, &instances);
         self.apply(work.changes);
         let interrupting = work.orders.iter().filter(|o| {
-            let kept = common(o.believed, o.layers) == o.believed;
-            o.give_up == GiveUp::AtOnce && !kept
+            let kept = common(o.expected_layers, o.layers) == o.expected_layers;
+            o.unload_mode == UnloadMode::AtOnce && !kept
         });
         let counts = (work.orders.len(), interrupting.count());
         for order in work.orders {
-            self.desk.ended(now, &order.life(), true);
+            self.desk.order_ended(now, &order.life(), true);
             let layers = order.layers;
             self.apply(vec![InstanceChange::Holds {
                 life: order.life(),
@@ -375,7 +375,7 @@
         rig.now_ms += 100;
         let instances = rig.instances().clone();
         let now = Instant::from_millis(rig.now_ms);
-        let work = rig.desk.work(now, &rig.release, &instances);
+        let work = rig.desk.next_step(now, &rig.release, &instances);
         rig.apply(work.changes);
         orders = work.orders;
     }
@@ -384,12 +384,12 @@
             .instances()
             .get(&order.id)
             .expect("the engine is registered");
-        let needed_layers = order.layers.len().max(order.believed.len());
+        let needed_layers = order.layers.len().max(order.expected_layers.len());
         assert!(
             engine.in_memory >= needed_layers,
             "{engine:?} under {order:?}"
         );
-        assert_eq!(engine.layers, common(order.believed, order.layers));
+        assert_eq!(engine.layers, common(order.expected_layers, order.layers));
     }
 }
 
--- a/crates/deckwind-testkit/tests/testsuite/placement_at_size.rs
+++ b/crates/deckwind-testkit/tests/testsuite/placement_at_size.rs
@@ -2,7 +2,7 @@
 //! per round, engines that keep joining, and engines that can't hold layers. No network.
 
 use crate::support::announced;
-use deckwind_core::control::{PlaceWork, PlacementDesk};
+use deckwind_core::control::{PlacementManager, PlacementStep};
 use deckwind_core::state::{
     Command, CommandBody, Instance, InstanceChange, Instances, Release, StateMachine,
 };
@@ -14,9 +14,9 @@
 /// Interval between two rounds of the leader's placement.
 const ROUND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Drives a [`PlacementDesk`] against a state machine, as a leader does.
+/// Drives a [`PlacementManager`] against a state machine, as a leader does.
 struct PlacementRig {
-    desk: PlacementDesk,
+    desk: PlacementManager,
     machine: StateMachine,
     release: Release,
     now: Instant,
@@ -25,7 +25,7 @@
 impl PlacementRig {
     fn new(fleet: Vec<Instance>) -> Self {
         let mut rig = Self {
-            desk: PlacementDesk::default(),
+            desk: PlacementManager::default(),
             machine: StateMachine::default(),
             release: engine_release(1, 1),
             now: Instant::from_millis(1_000),
@@ -44,13 +44,13 @@
     }
 
     /// Runs one round and carries out its orders at once.
-    fn run_round(&mut self) -> PlaceWork {
+    fn run_round(&mut self) -> PlacementStep {
         self.now = self.now + ROUND_INTERVAL;
         let instances = self.instances().clone();
-        let work = self.desk.work(self.now, &self.release, &instances);
+        let work = self.desk.next_step(self.now, &self.release, &instances);
         self.apply(work.changes.clone());
         for order in &work.orders {
-            self.desk.ended(self.now, &order.life(), true);
+            self.desk.order_ended(self.now, &order.life(), true);
             self.apply(vec![InstanceChange::Holds {
                 life: order.life(),
                 layers: order.layers,
@@ -68,9 +68,9 @@
 
     /// Runs one round and returns the number of engines that it scanned.
     fn run_round_counting_scans(&mut self) -> u64 {
-        let before = self.desk.looks();
+        let before = self.desk.rows_scanned();
         self.run_round();
-        self.desk.looks() - before
+        self.desk.rows_scanned() - before
     }
 }
 
@@ -180,7 +180,7 @@
     assert_eq!(ids.len(), 300);
     for id in ids {
         assert!(
-            rig.desk.ordered(&id).is_none(),
+            rig.desk.ordered_layers(&id).is_none(),
             "the order to {id} is still under way"
         );
     }
--- a/crates/deckwind-testkit/tests/testsuite/published.rs
+++ b/crates/deckwind-testkit/tests/testsuite/published.rs
@@ -5,9 +5,9 @@
 use crate::support::announced;
 use deckwind_core::routes::{Claim, EventCutter, Paid, ReleaseIndex, RepeatBudgets, RepeatLimits};
 use deckwind_core::state::{
-    Command, CommandBody, Configuration, Holder, Instance, InstanceChange, InstanceState,
-    KeyHolder, LayerRange, Pool, Published, Rejection, Release, Reply, Revision, Route, RouteKind,
-    Split, StateMachine,
+    Command, CommandBody, Configuration, Instance, InstanceChange, InstanceState, KeyHolder,
+    LayerRange, Pool, PublishedRelease, Rejection, Release, Reply, Revision, Route, RouteKind,
+    RouterProcess, Split, StateMachine,
 };
 use deckwind_core::time::Instant;
 use rand::{RngExt, SeedableRng};
@@ -59,7 +59,7 @@
 
 fn publish(machine: &mut StateMachine, release: Release) -> Reply {
     let document = release.version.to_string().into_bytes();
-    let published = Published { release, document };
+    let published = PublishedRelease { release, document };
     machine.apply(Command {
         at_ms: 1,
         body: CommandBody::Publish(Box::new(published)),
@@ -309,8 +309,8 @@
     }
 }
 
-fn holder(vm: usize, boot: u64) -> Holder {
-    Holder {
+fn holder(vm: usize, boot: u64) -> RouterProcess {
+    RouterProcess {
         vm: format!("r{vm}").as_str().into(),
         boot,
     }
--- a/crates/deckwind-testkit/tests/testsuite/quarantine.rs
+++ b/crates/deckwind-testkit/tests/testsuite/quarantine.rs
@@ -8,7 +8,7 @@
 use deckwind_core::membership::LeaseTiming;
 use deckwind_core::routes::CutRuns;
 use deckwind_core::state::{
-    Command, CommandBody, ContentDigest, Life, StateMachine, SuspectChange,
+    Command, CommandBody, ContentDigest, Incarnation, StateMachine, SuspectChange,
 };
 use deckwind_core::time::Instant;
 use deckwind_testkit::{Lab, NetFaults};
@@ -23,8 +23,8 @@
     ContentDigest::of("POST", "/x", Some("account"), name.as_bytes())
 }
 
-pub fn incarnation(name: &str) -> Life {
-    Life::from(name)
+pub fn incarnation(name: &str) -> Incarnation {
+    Incarnation::from(name)
 }
 
 pub fn apply(machine: &mut StateMachine, at_ms: u64, changes: Vec<SuspectChange>) {
@@ -32,7 +32,7 @@
     machine.apply(Command { at_ms, body });
 }
 
-pub fn crash(content: ContentDigest, life: Life) -> SuspectChange {
+pub fn crash(content: ContentDigest, life: Incarnation) -> SuspectChange {
     SuspectChange::Ended {
         content,
         life,
@@ -78,7 +78,7 @@
     let snapshot = machine.to_snapshot();
     let again = StateMachine::from_snapshot(&snapshot).expect("a snapshot");
     assert_eq!(quarantined(&again), count, "after a restart");
-    assert!(!again.quarantine().has_outdated(last_minute * MINUTE_MS + 1));
+    assert!(!again.quarantine().has_expired(last_minute * MINUTE_MS + 1));
 }
 
 /// Memory is bounded, and a content with two crashes is not evicted by contents with one.
@@ -98,7 +98,7 @@
         let other = content(&i.to_string());
         apply(&mut machine, 2, vec![crash(other, incarnation("c"))]);
     }
-    assert_eq!(machine.configuration().suspects().ends(&digest), 2);
+    assert_eq!(machine.configuration().suspects().crash_count(&digest), 2);
     for i in 0..2_000 {
         let other = content(&i.to_string());
         let crashes = ["d", "e", "f"].map(|name| crash(other, incarnation(name)));
@@ -183,8 +183,8 @@
         }
     }
 
-    fn incarnation_at(&self, engine: usize) -> Life {
-        Life {
+    fn incarnation_at(&self, engine: usize) -> Incarnation {
+        Incarnation {
             id: format!("e-{engine}"),
             born: Some(self.incarnations[engine]),
         }
--- a/crates/deckwind-testkit/tests/testsuite/rejections.rs
+++ b/crates/deckwind-testkit/tests/testsuite/rejections.rs
@@ -9,7 +9,7 @@
 use deckwind_core::replication::{ReplicaConfig, ReplicaId};
 use deckwind_core::routes::TargetBook;
 use deckwind_core::routing::paths::EngineView;
-use deckwind_core::state::{Holder, Revision};
+use deckwind_core::state::{Revision, RouterProcess};
 use deckwind_core::time::Instant;
 use deckwind_store::{MemoryDisk, Store};
 use deckwindd::control::{ControlNode, Effect, Now};
@@ -19,8 +19,8 @@
 
 const START: Instant = Instant::from_millis(1_000);
 
-fn holder(vm: &str) -> Holder {
-    Holder {
+fn holder(vm: &str) -> RouterProcess {
+    RouterProcess {
         vm: vm.into(),
         boot: 1,
     }
@@ -61,7 +61,7 @@
         let event = |(token, request)| ControlEvent::Request { token, request };
         let batch = requests.into_iter().map(event).collect();
         let mut effects = Vec::new();
-        self.node.take(now, batch, &mut effects).unwrap();
+        self.node.process_batch(now, batch, &mut effects).unwrap();
         let reply = |effect| match effect {
             Effect::Reply(token, reply) => Some((token, reply)),
             _ => None,
--- a/crates/deckwind-testkit/tests/testsuite/release_changes.rs
+++ b/crates/deckwind-testkit/tests/testsuite/release_changes.rs
@@ -3,7 +3,7 @@
 
 use deckwind_core::state::{
     Command, CommandBody, Configuration, Delta, InstanceChange, KeyHolder, PackedDelta, Pool,
-    Published, Release, ReleaseDelta, Revision, Route, RouteKind, Split, StateMachine,
+    PublishedRelease, Release, ReleaseDelta, Revision, Route, RouteKind, Split, StateMachine,
 };
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -96,7 +96,7 @@
 }
 
 fn publish(machine: &mut StateMachine, release: Release) {
-    let published = Published {
+    let published = PublishedRelease {
         release,
         document: Vec::new(),
     };
@@ -137,13 +137,13 @@
         late in prop::collection::vec(any::<prop::sample::Index>(), 6),
     ) {
         let mut machine = StateMachine::default();
-        machine.hand_out(true);
+        machine.set_record_changes(true);
         let mut router = Configuration::default();
         let mut sent = Vec::new();
         for (i, sketch) in sketches.iter().enumerate() {
             if restarted[i] {
                 machine = StateMachine::from_snapshot(&machine.to_snapshot()).unwrap();
-                machine.hand_out(i % 2 == 0);
+                machine.set_record_changes(i % 2 == 0);
             }
             publish(&mut machine, sketch.release(i as u64 + 1));
             if received_by_router[i] {
@@ -166,7 +166,7 @@
 fn machine_with(routes: u16) -> StateMachine {
     let mut machine = StateMachine::default();
     publish(&mut machine, large(1, routes, 0));
-    machine.hand_out(true);
+    machine.set_record_changes(true);
     machine
 }
 
@@ -199,11 +199,11 @@
 fn a_replica_that_does_not_hand_out_releases_sends_whole_ones_only() {
     let mut machine = machine_with(3);
     let held = machine.configuration().revision();
-    machine.hand_out(false);
+    machine.set_record_changes(false);
     publish(&mut machine, large(2, 3, 5));
     let whole = machine.configuration().delta_since(held).release;
     assert!(matches!(whole, Some(ReleaseDelta::Whole(_))));
-    machine.hand_out(true);
+    machine.set_record_changes(true);
     let held = machine.configuration().revision();
     publish(&mut machine, large(3, 3, 6));
     let change = machine.configuration().delta_since(held).release;
@@ -219,12 +219,12 @@
         at_ms: 1,
         body: CommandBody::Instances(vec![InstanceChange::Silent("engine".into())]),
     });
-    machine.hand_out(true);
+    machine.set_record_changes(true);
     let mut router = Configuration::default();
     router.merge(packed(&machine, Revision::ZERO));
     assert!(router.revision() > Revision::ZERO);
     publish(&mut machine, large(1, 3, 0));
-    machine.hand_out(true);
+    machine.set_record_changes(true);
     router.merge(packed(&machine, router.revision()));
     assert_eq!(router.release(), machine.configuration().release());
 }
--- a/crates/deckwind-testkit/tests/testsuite/renewals.rs
+++ b/crates/deckwind-testkit/tests/testsuite/renewals.rs
@@ -5,7 +5,7 @@
 };
 use deckwind_core::membership::LeaseTiming;
 use deckwind_core::replication::{ReplicaConfig, ReplicaId};
-use deckwind_core::state::{Holder, Revision};
+use deckwind_core::state::{Revision, RouterProcess};
 use deckwind_core::time::Instant;
 use deckwind_store::{MemoryDisk, Store};
 use deckwind_testkit::{Lab, NetFaults};
@@ -14,7 +14,7 @@
 
 fn renewal() -> ControlRequest {
     ControlRequest::Renew(Renewal {
-        holder: Holder {
+        holder: RouterProcess {
             vm: "router".into(),
             boot: 1,
         },
@@ -56,7 +56,7 @@
         };
         let batch = if ms == 0 { vec![request] } else { Vec::new() };
         let mut effects = Vec::new();
-        node.take(now, batch, &mut effects).unwrap();
+        node.process_batch(now, batch, &mut effects).unwrap();
         replies.extend(effects.into_iter().filter_map(|e| match e {
             Effect::Reply(7, reply) => Some((ms, reply)),
             _ => None,
--- a/crates/deckwind-testkit/tests/testsuite/repeat_rig.rs
+++ b/crates/deckwind-testkit/tests/testsuite/repeat_rig.rs
@@ -1,10 +1,10 @@
 //! A leader that grants retries, in virtual time: the allocator of one leader, and the retry
 //! ledger, which survives a change of leader as the replicated log does.
 
-use deckwind_core::control::{RepeatDesk, RepeatGrant, RepeatReport};
+use deckwind_core::control::{RetryBudgetAllocator, RetryGrant, RetryReport};
 use deckwind_core::membership::LeaseTiming;
 use deckwind_core::routes::{RepeatBudgets, RepeatLimits, Started};
-use deckwind_core::state::{Holder, RepeatChange, RepeatLedger};
+use deckwind_core::state::{RetryChange, RetryLedger, RouterProcess};
 use deckwind_core::time::Instant;
 use std::time::Duration;
 
@@ -33,27 +33,27 @@
     asked_ms: u64,
     /// Time of the request on the router's clock.
     asked: Instant,
-    holder: Holder,
+    holder: RouterProcess,
 }
 
 /// Model of the control replicas.
 pub struct Control {
-    pub allocator: RepeatDesk,
-    pub ledger: RepeatLedger,
-    proposed: Option<Vec<RepeatChange>>,
+    pub allocator: RetryBudgetAllocator,
+    pub ledger: RetryLedger,
+    proposed: Option<Vec<RetryChange>>,
     parked: Vec<ParkedRenewal>,
 }
 
 /// Answer to a renewal: the router, the time of its request on the test's and on its own
 /// clock, its boot number, and the retries granted.
-pub type RenewalAnswer = (usize, u64, Instant, u64, Vec<RepeatGrant>);
+pub type RenewalAnswer = (usize, u64, Instant, u64, Vec<RetryGrant>);
 
 impl Control {
     /// Creates the model of a cluster that starts.
     pub fn new(now: Instant) -> Self {
-        let ledger = RepeatLedger::default();
+        let ledger = RetryLedger::default();
         Self {
-            allocator: RepeatDesk::new(now, LeaseTiming::default(), &ledger),
+            allocator: RetryBudgetAllocator::new(now, LeaseTiming::default(), &ledger),
             ledger,
             proposed: None,
             parked: Vec::new(),
@@ -67,12 +67,12 @@
             self.ledger.apply(changes);
         }
         self.parked.clear();
-        self.allocator = RepeatDesk::new(now, LeaseTiming::default(), &self.ledger);
+        self.allocator = RetryBudgetAllocator::new(now, LeaseTiming::default(), &self.ledger);
     }
 
     /// Handles the report of a router that needs more retries.
-    pub fn report_shortage(&mut self, now: Instant, holder: &Holder, report: &RepeatReport) {
-        self.allocator.reported(now, holder, report);
+    pub fn report_shortage(&mut self, now: Instant, holder: &RouterProcess, report: &RetryReport) {
+        self.allocator.record_report(now, holder, report);
     }
 
     /// Handles a lease renewal, which waits for [`Control::answer_renewals`].
@@ -82,10 +82,10 @@
         router: usize,
         asked_ms: u64,
         asked: Instant,
-        holder: &Holder,
-        report: &RepeatReport,
+        holder: &RouterProcess,
+        report: &RetryReport,
     ) {
-        self.allocator.reported(now, holder, report);
+        self.allocator.record_report(now, holder, report);
         self.parked.push(ParkedRenewal {
             router,
             asked_ms,
@@ -98,7 +98,7 @@
     pub fn commit_and_propose(&mut self, now: Instant) {
         if let Some(changes) = self.proposed.take() {
             self.ledger.apply(changes);
-            self.allocator.applied(now, &self.ledger);
+            self.allocator.ledger_applied(now, &self.ledger);
         }
         self.proposed = self.allocator.propose(now, &self.ledger);
     }
@@ -108,7 +108,7 @@
         let mut answers = Vec::new();
         for parked in std::mem::take(&mut self.parked) {
             let is_expired = parked.asked_ms + RENEWAL_HOLD_MS <= ms;
-            if !is_expired && !self.allocator.has_news(&parked.holder) {
+            if !is_expired && !self.allocator.has_unannounced(&parked.holder) {
                 self.parked.push(parked);
                 continue;
             }
@@ -120,9 +120,9 @@
     }
 
     /// Requests retries for a router and applies the committed grants at once.
-    pub fn ask(&mut self, now: Instant, holder: &Holder, budgets: &mut RepeatBudgets) {
+    pub fn ask(&mut self, now: Instant, holder: &RouterProcess, budgets: &mut RepeatBudgets) {
         let report = budgets.report(now).expect("the limits allow retries");
-        self.allocator.reported(now, holder, &report);
+        self.allocator.record_report(now, holder, &report);
         self.commit_and_propose(now);
         self.commit_and_propose(now);
         let lease_ttl = LeaseTiming::default().ttl;
--- a/crates/deckwind-testkit/tests/testsuite/repeat_share.rs
+++ b/crates/deckwind-testkit/tests/testsuite/repeat_share.rs
@@ -3,7 +3,7 @@
 
 use crate::repeat_rig::{Control, LIMITS};
 use deckwind_core::routes::{Claim, RepeatBudgets, Started};
-use deckwind_core::state::Holder;
+use deckwind_core::state::RouterProcess;
 use deckwind_core::time::Instant;
 use yare::parameterized;
 
@@ -132,8 +132,8 @@
     SimulationResult { requests, retries }
 }
 
-fn holder(vm: usize, boot: u64) -> Holder {
-    Holder {
+fn holder(vm: usize, boot: u64) -> RouterProcess {
+    RouterProcess {
         vm: format!("r{vm}").as_str().into(),
         boot,
     }
--- a/crates/deckwind-testkit/tests/testsuite/replication.rs
+++ b/crates/deckwind-testkit/tests/testsuite/replication.rs
@@ -62,7 +62,7 @@
     }
     lab.heal();
     let slot = lab.run_until_led();
-    let machine = lab.node(slot).unwrap().core().machine();
+    let machine = lab.node(slot).unwrap().core().state_machine();
     assert_eq!(machine.configuration().revision(), Revision(300));
     let last = machine.configuration().template(&"t5".into()).unwrap();
     assert_eq!(*last, chat_template("t5", 300));
@@ -82,7 +82,7 @@
         .node(slot)
         .unwrap()
         .core()
-        .machine()
+        .state_machine()
         .configuration()
         .clone();
     assert_eq!(
@@ -134,7 +134,7 @@
         .node(old)
         .unwrap()
         .core()
-        .machine()
+        .state_machine()
         .configuration()
         .clone();
     assert_eq!(
@@ -180,7 +180,7 @@
         lab.node(lost)
             .unwrap()
             .core()
-            .machine()
+            .state_machine()
             .configuration()
             .revision(),
         Revision(40)
@@ -340,14 +340,17 @@
         wall_ms: ms,
     };
     for ms in (0..3_000).step_by(10) {
-        node.take(now(ms), Vec::new(), &mut Vec::new()).unwrap();
+        node.process_batch(now(ms), Vec::new(), &mut Vec::new())
+            .unwrap();
     }
     let event = Event::Propose {
         token: 1,
         command: vec![255; 3],
     };
     let batch = vec![ControlEvent::Replica(event)];
-    let stopped = node.take(now(3_000), batch, &mut Vec::new()).unwrap_err();
+    let stopped = node
+        .process_batch(now(3_000), batch, &mut Vec::new())
+        .unwrap_err();
     assert_eq!(
         stopped.to_string(),
         "the command at index 3 is of another version; update this replica"
--- a/crates/deckwind-testkit/tests/testsuite/seeds.rs
+++ b/crates/deckwind-testkit/tests/testsuite/seeds.rs
@@ -2,7 +2,7 @@
 //! once, admit replicas at other addresses, and remove voters that never return.
 
 use deckwind_core::replication::{
-    Action, BySeeds, Event, Index, Message, Replica, ReplicaConfig, ReplicaId, Role, Stored,
+    Action, Event, Index, Message, Replica, ReplicaConfig, ReplicaId, Role, SeedDiscovery, Stored,
 };
 use deckwind_core::time::Instant;
 use std::collections::{BTreeMap, BTreeSet};
@@ -46,9 +46,9 @@
         };
         let slots = SEEDS.into_iter().chain([slot]);
         let mut cfg = ReplicaConfig::new(id, slots, u64::from(slot) + self.identity);
-        cfg.by_seeds = Some(BySeeds {
+        cfg.seed_discovery = Some(SeedDiscovery {
             may_form: first_start && SEEDS.contains(&slot),
-            voters_wanted: 5,
+            desired_voters: 5,
         });
         let now = Instant::from_millis(self.now_ms);
         let replica = Replica::new(cfg, Stored::default(), now);
--- a/crates/deckwind-testkit/tests/testsuite/shared_bound.rs
+++ b/crates/deckwind-testkit/tests/testsuite/shared_bound.rs
@@ -2,9 +2,9 @@
 //! lost and duplicated messages and drifting clocks.
 
 use crate::repeat_rig::{Control, LIMITS, STARTED, USED_FRACTION};
-use deckwind_core::control::RepeatGrant;
+use deckwind_core::control::RetryGrant;
 use deckwind_core::routes::{Claim, RepeatBudgets};
-use deckwind_core::state::Holder;
+use deckwind_core::state::RouterProcess;
 use deckwind_core::time::Instant;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -85,7 +85,7 @@
 }
 
 struct Router {
-    holder: Holder,
+    holder: RouterProcess,
     budgets: RepeatBudgets,
     /// Time of the unanswered renewal.
     pending_since_ms: Option<u64>,
@@ -96,7 +96,7 @@
 impl Router {
     fn start(number: usize, boot: u64, clock_drift: i64) -> Self {
         Self {
-            holder: Holder {
+            holder: RouterProcess {
                 vm: format!("r{number}").as_str().into(),
                 boot,
             },
@@ -118,7 +118,7 @@
     boot: u64,
     asked_ms: u64,
     asked: Instant,
-    grants: Vec<RepeatGrant>,
+    grants: Vec<RetryGrant>,
 }
 
 /// Times of the requests, and of the retries with their routers.
@@ -198,7 +198,7 @@
         boot: u64,
         asked_ms: u64,
         asked: Instant,
-        grants: &[RepeatGrant],
+        grants: &[RetryGrant],
     ) {
         let max_delay = self.schedule.max_delay;
         let copies = match max_delay {
--- a/crates/deckwind-testkit/tests/testsuite/shared_limit.rs
+++ b/crates/deckwind-testkit/tests/testsuite/shared_limit.rs
@@ -3,7 +3,9 @@
 //! clocks. No network, virtual time.
 
 use crate::limit_rig::{Schedule, check, count_between, leader_now, simulate, target};
-use deckwind_core::control::{BURST, LimitDesk, LimitHeard, PERMIT_FOR, PermitAsk, PermitVerdict};
+use deckwind_core::control::{
+    PERMIT_BURST, PERMIT_TTL, PermitRequest, PermitVerdict, ReceivedLimit, TargetLimiter,
+};
 use deckwind_core::rate::Rate;
 use deckwind_core::replication::Term;
 use proptest::prelude::*;
@@ -105,7 +107,7 @@
         ..Schedule::default()
     };
     let arrivals = simulate(&schedule);
-    let permits_expired_ms = 8_000 + PERMIT_FOR.as_millis() as u64 + 200;
+    let permits_expired_ms = 8_000 + PERMIT_TTL.as_millis() as u64 + 200;
     assert_eq!(count_between(&arrivals, permits_expired_ms, 16_000), 0);
     assert!(count_between(&arrivals, 17_000, 20_000) > 0);
 }
@@ -115,21 +117,21 @@
 #[test]
 fn unused_permits_do_not_accumulate() {
     let now = leader_now(0);
-    let mut limiter = LimitDesk::new(Term(1));
-    let heard = LimitHeard {
+    let mut limiter = TargetLimiter::new(Term(1));
+    let heard = ReceivedLimit {
         target: target(),
         rate: Rate::from_millis(1_000),
         ago: Duration::ZERO,
         permitted: None,
         none_named: None,
     };
-    limiter.heard(now, &heard);
-    let ask = PermitAsk { heard, wants: 100 };
+    limiter.record_received_limit(now, &heard);
+    let ask = PermitRequest { heard, wants: 100 };
     let after_an_hour = leader_now(3_600_000);
     let PermitVerdict::Permitted(waits) = limiter.permit(after_an_hour, &ask) else {
         panic!("permits are due");
     };
-    assert_eq!(waits.len(), BURST as usize);
+    assert_eq!(waits.len(), PERMIT_BURST as usize);
 }
 
 fn arbitrary_limit_changes() -> impl Strategy<Value = Vec<(u64, Option<u32>)>> {
--- a/crates/deckwind-testkit/tests/testsuite/slow.rs
+++ b/crates/deckwind-testkit/tests/testsuite/slow.rs
@@ -9,7 +9,7 @@
 use deckwind_core::membership::LeaseTiming;
 use deckwind_core::replication::{ReplicaConfig, ReplicaId};
 use deckwind_core::routes::{Claim, Room, TargetBook, choose_path};
-use deckwind_core::state::{Holder, Instance, Revision};
+use deckwind_core::state::{Instance, Revision, RouterProcess};
 use deckwind_core::time::Instant;
 use deckwind_store::{MemoryDisk, Store};
 use deckwindd::control::{ControlNode, Effect, Now};
@@ -56,7 +56,9 @@
             wall_ms: self.at.as_micros() / 1_000,
         };
         let mut effects = Vec::new();
-        self.node.take(now, events, &mut effects).expect("works");
+        self.node
+            .process_batch(now, events, &mut effects)
+            .expect("works");
         effects
     }
 
@@ -76,7 +78,7 @@
 
     fn renew(&mut self) -> Vec<Effect> {
         let renewal = Renewal {
-            holder: Holder {
+            holder: RouterProcess {
                 vm: "router".into(),
                 boot: 1,
             },
@@ -101,7 +103,7 @@
 
 fn pace_requests(effects: &[Effect]) -> Vec<SocketAddr> {
     let requests = effects.iter().filter_map(|e| match e {
-        Effect::AskPace(address) => Some(*address),
+        Effect::ProbePace(address) => Some(*address),
         _ => None,
     });
     requests.collect()
--- a/crates/deckwind-testkit/tests/testsuite/spare_engines.rs
+++ b/crates/deckwind-testkit/tests/testsuite/spare_engines.rs
@@ -4,8 +4,8 @@
 
 use crate::support::announced;
 use deckwind_core::state::{
-    Command, CommandBody, Configuration, Instance, InstanceChange, LayerRange, Published, Release,
-    Revision, StateMachine,
+    Command, CommandBody, Configuration, Instance, InstanceChange, LayerRange, PublishedRelease,
+    Release, Revision, StateMachine,
 };
 use deckwind_testkit::fan_out::{engine, engine_release, release};
 
@@ -15,7 +15,7 @@
 
 fn publish(machine: &mut StateMachine, release: Release) {
     let document = Vec::new();
-    let published = Box::new(Published { release, document });
+    let published = Box::new(PublishedRelease { release, document });
     apply(machine, CommandBody::Publish(published));
 }
 
@@ -58,9 +58,9 @@
 fn a_spare_engine_is_not_sent_to_routers() {
     let (mut machine, router) = with_spare_engine();
     assert_eq!(layers(&router), None);
-    let shown = machine.configuration().shown();
+    let shown = machine.configuration().visible_revision();
     announce(&mut machine, engine(2, 0, 1));
-    assert_eq!(machine.configuration().shown(), shown);
+    assert_eq!(machine.configuration().visible_revision(), shown);
     assert!(machine.configuration().revision() > shown);
 }
 
@@ -69,7 +69,7 @@
     let (mut machine, router) = with_spare_engine();
     set_layers(&mut machine, "engine-1", 8);
     assert_eq!(
-        machine.configuration().shown(),
+        machine.configuration().visible_revision(),
         machine.configuration().revision()
     );
     let router = catch_up(&machine, router);
--- a/crates/deckwind-testkit/tests/testsuite/store.rs
+++ b/crates/deckwind-testkit/tests/testsuite/store.rs
@@ -121,7 +121,7 @@
         store.put_entries(vec![entry(i, 1)]);
         store.commit().unwrap();
     }
-    disk.damage("log", offset);
+    disk.corrupt_byte("log", offset);
     let refused = Store::open(Box::new(disk), ID).err().unwrap();
     assert_eq!(
         refused.to_string(),
@@ -142,7 +142,7 @@
     assert!(store.commit().is_err());
     disk.crash(15);
     let (mut store, opened) = Store::open(Box::new(disk.clone()), ID).unwrap();
-    assert_eq!(opened.cut_bytes, 15);
+    assert_eq!(opened.truncated_bytes, 15);
     store.put_entries(vec![entry(2, 2)]);
     store.commit().unwrap();
     let (_, opened) = Store::open(Box::new(disk), ID).unwrap();
--- a/crates/deckwind-testkit/tests/testsuite/suspended.rs
+++ b/crates/deckwind-testkit/tests/testsuite/suspended.rs
@@ -57,11 +57,11 @@
     let timing = LeaseTiming::default();
     let mut lease = RouterLeaseState::new(timing);
     let requested_at = clock.now();
-    lease.granted(LeaseGrant::new(requested_at, Term(1)), Delta::default());
+    lease.apply_grant(LeaseGrant::new(requested_at, Term(1)), Delta::default());
     assert!(lease.is_live(clock.now()));
     time.was_suspended(SUSPENSION);
     assert!(!lease.is_live(clock.now()));
-    lease.granted(LeaseGrant::new(requested_at, Term(1)), Delta::default());
+    lease.apply_grant(LeaseGrant::new(requested_at, Term(1)), Delta::default());
     assert!(!lease.is_live(clock.now()));
 }
 
@@ -144,7 +144,7 @@
     lab.run_for(SUSPENSION);
     let node = lab.node(leader).expect("the replica exists");
     let now = lab.now();
-    assert!(!node.core().replica().may_answer(now));
+    assert!(!node.core().replica().can_serve_reads(now));
     let other = lab.leader().expect("another replica leads");
     assert_ne!(other, leader);
     lab.freeze(leader, false);
--- a/crates/deckwind-testkit/tests/testsuite/target_periods.rs
+++ b/crates/deckwind-testkit/tests/testsuite/target_periods.rs
@@ -24,7 +24,7 @@
     lab.announce(leader, engine(1, 4, 1));
     let state = |lab: &Lab| {
         let node = lab.node(leader).expect("the replica is running");
-        let instances = node.core().machine().configuration().instances();
+        let instances = node.core().state_machine().configuration().instances();
         instances.get("engine-1").map(|i| i.state)
     };
     lab.run_for(period * 5 / 2);
--- a/crates/deckwind-wire/src/codec.rs
+++ b/crates/deckwind-wire/src/codec.rs
@@ -7,7 +7,7 @@
 pub const PROTOCOL_VERSION: u8 = 7;
 
 /// Maximum size of a message in bytes. Snapshots are the largest messages.
-pub const MAX_MESSAGE: usize = 64 * 1024 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
 
 /// Error of decoding a message.
 #[derive(Debug, PartialEq, Error)]
--- a/crates/deckwind-wire/src/lib.rs
+++ b/crates/deckwind-wire/src/lib.rs
@@ -10,6 +10,6 @@
 mod codec;
 pub mod operator;
 
-pub use codec::{CodecError, MAX_MESSAGE, PROTOCOL_VERSION, decode, encode};
+pub use codec::{CodecError, MAX_MESSAGE_BYTES, PROTOCOL_VERSION, decode, encode};
 pub use deckwind_core::control::{ControlReply, ControlRequest, Grant, PeerMessage, Renewal};
 pub use deckwind_core::replication::Message;
--- a/crates/deckwindd/src/context.rs
+++ b/crates/deckwindd/src/context.rs
@@ -2,7 +2,7 @@
 
 use anyhow::Result;
 use deckwind_config::{SeedSettings, Settings};
-use deckwind_core::control::{DEFAULT_PERIOD, PERIODS};
+use deckwind_core::control::{ANNOUNCE_INTERVAL_RANGE, DEFAULT_ANNOUNCE_INTERVAL};
 use deckwind_net::clock::Clock;
 use deckwind_net::edge::Dialects;
 use deckwind_net::keys::KeyFiles;
@@ -82,15 +82,15 @@
 /// nothing is given or the value lies outside the accepted range.
 pub fn period_of_targets(given: Option<Duration>) -> Duration {
     match given {
-        None => DEFAULT_PERIOD,
-        Some(period) if PERIODS.contains(&period) => period,
+        None => DEFAULT_ANNOUNCE_INTERVAL,
+        Some(period) if ANNOUNCE_INTERVAL_RANGE.contains(&period) => period,
         Some(period) => {
             log::warn!(
                 "event=period_of_targets_not_usable given_ms={} used_ms={}",
                 period.as_millis(),
-                DEFAULT_PERIOD.as_millis()
+                DEFAULT_ANNOUNCE_INTERVAL.as_millis()
             );
-            DEFAULT_PERIOD
+            DEFAULT_ANNOUNCE_INTERVAL
         }
     }
 }
--- a/crates/deckwindd/src/control/calls.rs
+++ b/crates/deckwindd/src/control/calls.rs
@@ -7,7 +7,7 @@
 //! change that is committed twice has no further effect.
 
 use super::handle::{ControlHandle, Input};
-use super::refusals::Refusals;
+use super::refusals::RefusalLog;
 use crate::collect::{CollectError, Grow, Part, Room, collect};
 use crate::context::Context;
 use crate::router::listen;
@@ -62,7 +62,7 @@
     /// Port on which every replica accepts calls, if slots are IPv4 addresses (with
     /// seeds).
     port: Option<u16>,
-    refusals: Refusals,
+    refusals: RefusalLog,
 }
 
 /// Binds the listener and returns a future that serves calls forever.
@@ -82,7 +82,7 @@
         dialect: cx.dialects.control.clone(),
         address,
         port: cx.settings.seeds.is_some().then_some(address.port()),
-        refusals: Refusals::default(),
+        refusals: RefusalLog::default(),
     });
     Ok(async move {
         loop {
@@ -203,7 +203,7 @@
                 respond(StatusCode::OK, self.dialect.heard_at(self.address))
             }
             OperatorReply::NotTaken(fault) => self.refuse_announcement(path, fault, ""),
-            OperatorReply::Doubted => retry_later(path, "another life of it still speaks"),
+            OperatorReply::Unconfirmed => retry_later(path, "another life of it still speaks"),
             OperatorReply::Rejected(rejection) => {
                 refuse(path, StatusCode::BAD_REQUEST, &rejection.to_string())
             }
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Refuses an announcement and logs it, subject to the rate limit of [`Refusals`].
+    /// Refuses an announcement and logs it, subject to the rate limit of [`RefusalLog`].
     fn refuse_announcement(
         &self,
         path: &str,
@@ -228,7 +228,7 @@
         let reason = fault.label();
         metrics::counter!("deckwind_control_announcements_refused_total", "reason" => reason)
             .increment(1);
-        if let Some(left_out) = self.refusals.note(Instant::now(), fault) {
+        if let Some(left_out) = self.refusals.record(Instant::now(), fault) {
             log::warn!(
                 "event=announcement_refused path={path} reason={reason} error={why:?} left_out={left_out}"
             );
--- a/crates/deckwindd/src/control/driver.rs
+++ b/crates/deckwindd/src/control/driver.rs
@@ -13,15 +13,15 @@
 use anyhow::Result;
 use deckwind_config::ControlSettings;
 use deckwind_core::control::{
-    ControlEvent, ControlLimits, LifeNote, OperatorReply, RelayedReplies, RelayedRequest,
-    RelayedRequests,
+    ControlEvent, ControlLimits, IncarnationDecision, OperatorReply, RelayedReplies,
+    RelayedRequest, RelayedRequests,
 };
 use deckwind_core::membership::LeaseTiming;
-use deckwind_core::replication::{BySeeds, Event, ReplicaConfig, Role, Timing};
+use deckwind_core::replication::{Event, ReplicaConfig, Role, SeedDiscovery, Timing};
 use deckwind_net::clock::Clock;
 use deckwind_net::edge::EngineDialect;
 use deckwind_net::targets::KeptConnections;
-use deckwind_store::{Opened, Store};
+use deckwind_store::{OpenedStore, Store};
 use deckwind_wire::ControlReply;
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -79,7 +79,7 @@
         cx: &Context,
         cfg: &ControlSettings,
         store: Store,
-        opened: Opened,
+        opened: OpenedStore,
         senders: Senders,
         handle: ControlHandle,
     ) -> Result<Self> {
@@ -87,9 +87,9 @@
         let is_seed = slots.contains(&cfg.slot);
         slots.push(cfg.slot);
         let mut replica = ReplicaConfig::new(opened.id, slots, rand::random());
-        replica.by_seeds = cx.settings.seeds.as_ref().map(|s| BySeeds {
+        replica.seed_discovery = cx.settings.seeds.as_ref().map(|s| SeedDiscovery {
             may_form: s.first_start && is_seed,
-            voters_wanted: 2 * usize::from(s.lost_at_once) + 1,
+            desired_voters: 2 * usize::from(s.lost_at_once) + 1,
         });
         replica.timing = Timing {
             heartbeat: cfg.heartbeat,
@@ -103,7 +103,7 @@
         };
         let mut limits = ControlLimits::default();
         if let Some(mbps) = cfg.link_mbps {
-            limits.state_bytes_per_s = ControlLimits::state_pace(mbps);
+            limits.state_bytes_per_s = ControlLimits::state_rate_for_link(mbps);
         }
         limits.announce_every = period_of_targets(cfg.announce_every);
         let node = ControlNode::new(replica, lease, limits, store, opened, cx.clock.now())?;
@@ -152,7 +152,7 @@
             wall_ms: self.clock.wall_ms(),
         };
         let mut effects = Vec::new();
-        self.node.take(now, events, &mut effects)?;
+        self.node.process_batch(now, events, &mut effects)?;
         for effect in effects {
             self.perform(effect);
         }
@@ -210,10 +210,10 @@
                 self.operator_replies.insert(token, reply);
                 ControlEvent::Operator { token, request }
             }
-            Input::OrdersDone(target, taken) => ControlEvent::OrdersDone { target, taken },
-            Input::Heard(heard) => ControlEvent::Heard(heard),
-            Input::Placed(life, held) => ControlEvent::Placed { life, held },
-            Input::Checked(life, there) => ControlEvent::Checked { life, there },
+            Input::OrdersDone(target, accepted) => ControlEvent::OrdersDone { target, accepted },
+            Input::Heard(heard) => ControlEvent::AnnouncementReport(heard),
+            Input::Placed(life, held) => ControlEvent::PlacementDone { life, held },
+            Input::Checked(life, is_running) => ControlEvent::Checked { life, is_running },
             Input::Pace(address, percent) => ControlEvent::Pace { address, percent },
             Input::Seeds(slots) => ControlEvent::Replica(Event::Seeds(slots.into_iter().collect())),
             Input::Answers(answers) => ControlEvent::Answered(answers.into_answers()),
@@ -224,17 +224,17 @@
     fn perform(&mut self, effect: Effect) {
         match effect {
             Effect::Send(message) => self.senders.send(message),
-            Effect::PassOn(slot, requests) => self.forward_requests(slot, requests),
-            Effect::TellHeard(slot, heard) => self.senders.report_heard(slot, heard),
+            Effect::ForwardRequests(slot, requests) => self.forward_requests(slot, requests),
+            Effect::ReportAnnouncements(slot, heard) => self.senders.report_heard(slot, heard),
             Effect::Check(life, address) => {
                 let dialect = self.dialect.clone();
                 let checking =
                     target_check::check(life, address, dialect, self.handle.clone(), self.clock);
                 self.runtime.spawn(checking);
             }
-            Effect::NoteLife(note) => log_life_decision(&note),
-            Effect::NoteLimit(note) => limit_metrics::log_change(&note),
-            Effect::AskPace(address) => {
+            Effect::LogIncarnationDecision(note) => log_incarnation_decision(&note),
+            Effect::LogLimitDecision(note) => limit_metrics::log_change(&note),
+            Effect::ProbePace(address) => {
                 let dialect = self.dialect.clone();
                 let connections = self.engine_connections.clone();
                 let querying =
@@ -283,7 +283,7 @@
     /// the other answers of this batch.
     fn add_forwarded_answer(&mut self, slot: u32, life: u64, token: u64, reply: ControlReply) {
         let answers = self.forwarded_answers.remove(&slot);
-        let fits = |a: &RelayedReplies| a.life == life && a.has_room_for(&reply, MAX_STATE_BYTES);
+        let fits = |a: &RelayedReplies| a.life == life && a.can_add(&reply, MAX_STATE_BYTES);
         let mut answers = match answers {
             Some(answers) if fits(&answers) => answers,
             Some(answers) => {
@@ -320,13 +320,13 @@
     }
 }
 
-fn log_life_decision(note: &LifeNote) {
+fn log_incarnation_decision(note: &IncarnationDecision) {
     match note {
-        LifeNote::Ended { life, by } => {
+        IncarnationDecision::Ended { life, by } => {
             metrics::counter!("deckwind_control_lives_ended_total").increment(1);
             log::info!("event=life_ended life={life} by={by}");
         }
-        LifeNote::Doubted { life, over } => {
+        IncarnationDecision::Unconfirmed { life, over } => {
             metrics::counter!("deckwind_control_lives_doubted_total").increment(1);
             log::info!("event=life_doubted life={life} over={over}");
         }
--- a/crates/deckwindd/src/control/handle.rs
+++ b/crates/deckwindd/src/control/handle.rs
@@ -2,9 +2,9 @@
 
 use crossbeam::channel::{Receiver, Sender, bounded};
 use deckwind_core::control::{
-    HeardTargets, OperatorReply, OperatorRequest, RelayedReplies, RelayedRequests,
+    AnnouncementReport, OperatorReply, OperatorRequest, RelayedReplies, RelayedRequests,
 };
-use deckwind_core::state::{LayerRange, Life, TargetName};
+use deckwind_core::state::{Incarnation, LayerRange, TargetName};
 use deckwind_wire::{ControlReply, ControlRequest, Message};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -24,9 +24,9 @@
     OrdersDone(TargetName, bool),
     /// End of an order to this incarnation to place layers: the layers that the engine
     /// held afterwards, if known.
-    Placed(Life, Option<LayerRange>),
+    Placed(Incarnation, Option<LayerRange>),
     /// Result of a check whether this incarnation of a target still runs.
-    Checked(Life, bool),
+    Checked(Incarnation, bool),
     /// Pace that an engine reported, in hundredths of the usual time.
     Pace(SocketAddr, u32),
     /// Requests of routers that another replica forwarded.
@@ -34,7 +34,7 @@
     /// The leader's answers to requests that this replica forwarded.
     Answers(RelayedReplies),
     /// Targets whose announcements another replica has received.
-    Heard(HeardTargets),
+    Heard(AnnouncementReport),
     /// Changed seeds: their slots.
     Seeds(Vec<u32>),
     /// Request to stop the driver.
--- a/crates/deckwindd/src/control/limit_metrics.rs
+++ b/crates/deckwindd/src/control/limit_metrics.rs
@@ -1,7 +1,7 @@
 //! Log lines and metrics of the rate limits of targets, which the leader enforces over
 //! all routers.
 
-use deckwind_core::control::{ControlCore, LimitChange, LimitDesk, LimitNote};
+use deckwind_core::control::{ControlCore, LimitChange, LimitDecision, TargetLimiter};
 use deckwind_core::time::Instant;
 use std::time::Duration;
 
@@ -26,10 +26,10 @@
             return;
         }
         self.updated_at = Some(now);
-        let limiter = core.limit_desk();
+        let limiter = core.target_limiter();
         metrics::gauge!("deckwind_control_limited_targets")
-            .set(limiter.map_or(0, LimitDesk::limited) as f64);
-        let counts = limiter.map_or((0, 0), LimitDesk::counts);
+            .set(limiter.map_or(0, TargetLimiter::limited) as f64);
+        let counts = limiter.map_or((0, 0), TargetLimiter::counts);
         let (permitted, denied) = counts;
         // The counts of a new leader start at 0.
         let increase = |now: u64, before: u64| if now < before { now } else { now - before };
@@ -47,14 +47,14 @@
         count("denied", denials);
         log::info!(
             "event=permits permitted={permits} denied={denials} limited={}",
-            limiter.map_or(0, LimitDesk::limited)
+            limiter.map_or(0, TargetLimiter::limited)
         );
     }
 }
 
 /// Logs the start, change or end of a limit.
-pub fn log_change(note: &LimitNote) {
-    let LimitNote {
+pub fn log_change(note: &LimitDecision) {
+    let LimitDecision {
         target,
         change,
         by,
--- a/crates/deckwindd/src/control/mod.rs
+++ b/crates/deckwindd/src/control/mod.rs
@@ -26,14 +26,14 @@
 
 pub use handle::{ControlHandle, Inbox, Input};
 pub use node::{ControlNode, Effect, Now};
-pub use refusals::{LOG_EVERY, Refusals};
+pub use refusals::{REFUSAL_LOG_INTERVAL, RefusalLog};
 pub use supervisor::OpenDisk;
 
 use crate::context::Context;
 use anyhow::Result;
 use deckwind_config::ControlSettings;
 use deckwind_net::quic::QuicPeer;
-use deckwind_wire::MAX_MESSAGE;
+use deckwind_wire::MAX_MESSAGE_BYTES;
 use std::thread::JoinHandle;
 use supervisor::{Supervisor, open_fs_disk};
 
@@ -47,15 +47,19 @@
 impl Control {
     /// Opens the data folder and starts the replica.
     pub fn start(cx: &Context, cfg: &ControlSettings) -> Result<Self> {
-        Self::start_on(cx, cfg, Box::new(open_fs_disk))
+        Self::start_with_disk(cx, cfg, Box::new(open_fs_disk))
     }
 
     /// Starts the replica like [`Control::start`], on the disk that `open_disk` opens.
-    pub fn start_on(cx: &Context, cfg: &ControlSettings, open_disk: OpenDisk) -> Result<Self> {
+    pub fn start_with_disk(
+        cx: &Context,
+        cfg: &ControlSettings,
+        open_disk: OpenDisk,
+    ) -> Result<Self> {
         let (store, opened) = supervisor::open(&open_disk, cfg)?;
         let _guard = cx.runtime.enter();
         let address = cx.control_address(cfg.slot)?;
-        let peer = QuicPeer::bind(address, cx.key_files().as_ref(), MAX_MESSAGE)?;
+        let peer = QuicPeer::bind(address, cx.key_files().as_ref(), MAX_MESSAGE_BYTES)?;
         let (handle, inbox) = ControlHandle::new();
         cx.runtime.spawn(peers::serve(peer.clone(), handle.clone()));
         operators::serve(cfg, handle.clone())?;
--- a/crates/deckwindd/src/control/node.rs
+++ b/crates/deckwindd/src/control/node.rs
@@ -12,14 +12,14 @@
 use super::work_times::{WorkTimes, kind_of};
 use anyhow::{Context as _, Result};
 use deckwind_core::control::{
-    ControlAction, ControlCore, ControlEvent, ControlLimits, HeardTargets, LifeNote, LimitNote,
-    OperatorReply, OrderBatch, PlaceOrder, RelayedRequest,
+    AnnouncementReport, ControlAction, ControlCore, ControlEvent, ControlLimits,
+    IncarnationDecision, LimitDecision, OperatorReply, OrderBatch, PlacementOrder, RelayedRequest,
 };
 use deckwind_core::membership::LeaseTiming;
 use deckwind_core::replication::{Action, Body, Event, Position, ReplicaConfig};
-use deckwind_core::state::Life;
+use deckwind_core::state::Incarnation;
 use deckwind_core::time::Instant;
-use deckwind_store::{Opened, Store};
+use deckwind_store::{OpenedStore, Store};
 use deckwind_wire::{ControlReply, Message};
 use std::net::SocketAddr;
 
@@ -29,10 +29,10 @@
     /// Send a message to another replica.
     Send(Message),
     /// Forward requests of routers to the replica of this slot, the leader.
-    PassOn(u32, Vec<RelayedRequest>),
+    ForwardRequests(u32, Vec<RelayedRequest>),
     /// Report to the replica of this slot, the leader, the targets whose announcements
     /// this replica has received.
-    TellHeard(u32, HeardTargets),
+    ReportAnnouncements(u32, AnnouncementReport),
     /// Answer a router.
     Reply(u64, ControlReply),
     /// Answer an operator.
@@ -40,15 +40,15 @@
     /// Send orders to a target.
     Order(OrderBatch),
     /// Order an engine to hold other layers.
-    Place(PlaceOrder),
+    Place(PlacementOrder),
     /// Check whether this incarnation of a target still runs.
-    Check(Life, SocketAddr),
+    Check(Incarnation, SocketAddr),
     /// Log and count a decision about an incarnation of a target.
-    NoteLife(LifeNote),
+    LogIncarnationDecision(IncarnationDecision),
     /// Log the start, change or end of a target's rate limit.
-    NoteLimit(LimitNote),
+    LogLimitDecision(LimitDecision),
     /// Query the pace of an engine.
-    AskPace(SocketAddr),
+    ProbePace(SocketAddr),
 }
 
 /// The time of a batch.
@@ -78,7 +78,7 @@
         lease: LeaseTiming,
         limits: ControlLimits,
         store: Store,
-        opened: Opened,
+        opened: OpenedStore,
         now: Instant,
     ) -> Result<Self> {
         let snapshot = opened.snapshot.as_deref();
@@ -104,7 +104,7 @@
     ///
     /// Fails if the disk fails or if the core stops the replica. The replica must not go
     /// on after an error: state that its messages imply may be missing on its disk.
-    pub fn take(
+    pub fn process_batch(
         &mut self,
         now: Now,
         batch: Vec<ControlEvent>,
@@ -193,14 +193,16 @@
             }
             ControlAction::Order(batch) => effects.push(Effect::Order(batch)),
             ControlAction::Check { life, address } => effects.push(Effect::Check(life, address)),
-            ControlAction::NoteLife(note) => effects.push(Effect::NoteLife(note)),
-            ControlAction::NoteLimit(note) => effects.push(Effect::NoteLimit(note)),
-            ControlAction::AskPace { address } => effects.push(Effect::AskPace(address)),
-            ControlAction::PassOn { slot, requests } => {
-                effects.push(Effect::PassOn(slot, requests));
+            ControlAction::LogIncarnationDecision(note) => {
+                effects.push(Effect::LogIncarnationDecision(note))
             }
-            ControlAction::TellHeard { slot, heard } => {
-                effects.push(Effect::TellHeard(slot, heard));
+            ControlAction::LogLimitDecision(note) => effects.push(Effect::LogLimitDecision(note)),
+            ControlAction::ProbePace { address } => effects.push(Effect::ProbePace(address)),
+            ControlAction::ForwardRequests { slot, requests } => {
+                effects.push(Effect::ForwardRequests(slot, requests));
+            }
+            ControlAction::ReportAnnouncements { slot, heard } => {
+                effects.push(Effect::ReportAnnouncements(slot, heard));
             }
             ControlAction::Place(order) => effects.push(Effect::Place(order)),
             _ => {}
--- a/crates/deckwindd/src/control/operators.rs
+++ b/crates/deckwindd/src/control/operators.rs
@@ -19,7 +19,7 @@
 use deckwind_config::ControlSettings;
 use deckwind_core::control::{OperatorReply, OperatorRequest};
 use deckwind_core::membership::InForce;
-use deckwind_core::state::{ApplyRequest, NoDigest};
+use deckwind_core::state::{ApplyRequest, ParseDigestError};
 use deckwind_wire::operator::{AppliedAnswer, ErrorAnswer, NotLeaderAnswer, RejectedAnswer};
 use oxhttp::model::{Body, Request, Response, StatusCode};
 use sha2::{Digest, Sha256};
@@ -108,8 +108,8 @@
         }
         ("POST", path) if path.starts_with(LIFT_PATH) => {
             let content = path[LIFT_PATH.len()..].parse();
-            let content =
-                content.map_err(|e: NoDigest| refuse(StatusCode::BAD_REQUEST, e.to_string()))?;
+            let content = content
+                .map_err(|e: ParseDigestError| refuse(StatusCode::BAD_REQUEST, e.to_string()))?;
             Ok(OperatorRequest::Lift(content))
         }
         _ => Err(refuse(
@@ -158,7 +158,7 @@
         OperatorReply::Heard => text(StatusCode::OK, "heard"),
         OperatorReply::Unknown => answer_lost(),
         // Only announcements of targets are answered with these.
-        OperatorReply::Doubted | OperatorReply::NotTaken(_) => {
+        OperatorReply::Unconfirmed | OperatorReply::NotTaken(_) => {
             text(StatusCode::NOT_FOUND, "not served here")
         }
     }
--- a/crates/deckwindd/src/control/orders.rs
+++ b/crates/deckwindd/src/control/orders.rs
@@ -9,18 +9,18 @@
 /// times out, so that no order can arrive later. If the process was suspended for that
 /// time, the remaining orders are not sent.
 pub async fn send(batch: OrderBatch, handle: ControlHandle, clock: Clock) {
-    let deadline = clock.now() + batch.within;
+    let deadline = clock.now() + batch.order_timeout;
     let engine = HttpEngine::new(batch.address);
     let sending = async {
         for order in batch.orders {
             if deadline <= clock.now() {
-                return Err(TargetError::Late(batch.within));
+                return Err(TargetError::Late(batch.order_timeout));
             }
             engine.order(order).await?;
         }
         Ok::<(), TargetError>(())
     };
-    let sent = clock.timeout(batch.within, sending).await;
+    let sent = clock.timeout(batch.order_timeout, sending).await;
     let is_accepted = matches!(sent, Some(Ok(())));
     if !is_accepted {
         log::info!(
--- a/crates/deckwindd/src/control/peers.rs
+++ b/crates/deckwindd/src/control/peers.rs
@@ -2,7 +2,7 @@
 
 use super::handle::{ControlHandle, Input};
 use crate::context::Context;
-use deckwind_core::control::{HeardTargets, RelayedReplies, RelayedRequests};
+use deckwind_core::control::{AnnouncementReport, RelayedReplies, RelayedRequests};
 use deckwind_core::replication::Body;
 use deckwind_net::quic::{Incoming, QuicPeer, Responder};
 use deckwind_wire::{ControlReply, Message, PeerMessage, decode, encode};
@@ -51,7 +51,7 @@
 
     /// Reports to the replica of this slot the targets whose announcements this replica has
     /// received.
-    pub fn report_heard(&mut self, slot: u32, heard: HeardTargets) {
+    pub fn report_heard(&mut self, slot: u32, heard: AnnouncementReport) {
         self.queue(slot, QueueKind::Others, PeerMessage::Heard(heard));
     }
 
--- a/crates/deckwindd/src/control/placement_task.rs
+++ b/crates/deckwindd/src/control/placement_task.rs
@@ -1,7 +1,7 @@
 //! Orders an engine to hold other layers and polls it until it holds them.
 
 use super::handle::{ControlHandle, Input};
-use deckwind_core::control::PlaceOrder;
+use deckwind_core::control::PlacementOrder;
 use deckwind_core::state::LayerRange;
 use deckwind_net::clock::Clock;
 use deckwind_net::edge::{EngineDialect, EngineReport};
@@ -31,7 +31,7 @@
 /// Carries out one order and sends the driver the layers that the engine holds
 /// afterwards, or `None` if the order failed.
 pub async fn place(
-    order: PlaceOrder,
+    order: PlacementOrder,
     dialect: Arc<dyn EngineDialect>,
     handle: ControlHandle,
     clock: Clock,
@@ -41,7 +41,7 @@
         dialect,
         connections: KeptConnections::new(clock),
     };
-    let result = clock.timeout(task.order.within, task.run()).await;
+    let result = clock.timeout(task.order.order_timeout, task.run()).await;
     let held = match result {
         Some(Ok(held)) => Some(held),
         Some(Err(why)) => task.log_failure(&why),
@@ -60,7 +60,7 @@
 }
 
 struct PlacementTask {
-    order: PlaceOrder,
+    order: PlacementOrder,
     dialect: Arc<dyn EngineDialect>,
     connections: KeptConnections,
 }
@@ -89,20 +89,20 @@
     /// may still arrive later. Each order carries the number of orders in the engine's
     /// last report, which keeps a late order from being carried out after a newer one.
     async fn send_order(&self) -> Result<SendResult, String> {
-        let PlaceOrder {
+        let PlacementOrder {
             layers,
-            believed,
-            give_up,
+            expected_layers,
+            unload_mode,
             address,
             ..
         } = self.order;
         loop {
             let report = self.wait_until_idle().await?;
             let held = held_layers(&report)?;
-            if held == layers || held != believed {
+            if held == layers || held != expected_layers {
                 return Ok(SendResult::Holds(held));
             }
-            let call = self.dialect.place(layers, give_up, report.orders);
+            let call = self.dialect.place(layers, unload_mode, report.orders);
             match call_target(&self.connections, address, &call, ORDER_TIMEOUT).await {
                 Ok(reply) if ACCEPTED_STATUSES.contains(&reply.status) => {
                     return Ok(SendResult::Accepted);
@@ -178,7 +178,7 @@
         }
         let report = self.dialect.read_report(&reply.body);
         let report = report.map_err(|e| e.to_string())?;
-        if report.is_of_another_life(self.order.born) {
+        if report.is_of_other_incarnation(self.order.born) {
             return Err("the report is of another incarnation".to_string());
         }
         Ok(report)
--- a/crates/deckwindd/src/control/refusals.rs
+++ b/crates/deckwindd/src/control/refusals.rs
@@ -8,7 +8,7 @@
 
 /// Minimum time between two log lines of one kind. The second line gives the number of
 /// refusals in between.
-pub const LOG_EVERY: Duration = Duration::from_secs(1);
+pub const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 struct LastLine {
     at: Instant,
@@ -17,12 +17,12 @@
 
 /// Last log line of each kind of fault.
 #[derive(Default)]
-pub struct Refusals(Mutex<BTreeMap<AnnouncementFault, LastLine>>);
+pub struct RefusalLog(Mutex<BTreeMap<AnnouncementFault, LastLine>>);
 
-impl Refusals {
+impl RefusalLog {
     /// Records a refused announcement. Returns the number of refusals left out since the
     /// last line if a line is due now, else `None`.
-    pub fn note(&self, now: Instant, fault: AnnouncementFault) -> Option<u64> {
+    pub fn record(&self, now: Instant, fault: AnnouncementFault) -> Option<u64> {
         let mut last_lines = self.0.lock().expect("no holder panics");
         let Some(last) = last_lines.get_mut(&fault) else {
             let first = LastLine {
@@ -32,7 +32,7 @@
             last_lines.insert(fault, first);
             return Some(0);
         };
-        if now.duration_since(last.at) < LOG_EVERY {
+        if now.duration_since(last.at) < REFUSAL_LOG_INTERVAL {
             last.left_out += 1;
             return None;
         }
--- a/crates/deckwindd/src/control/retry_metrics.rs
+++ b/crates/deckwindd/src/control/retry_metrics.rs
@@ -1,6 +1,6 @@
 //! Log lines and metrics of the retries that a leader grants to routers.
 
-use deckwind_core::control::{ControlCore, RepeatCounts};
+use deckwind_core::control::{ControlCore, RetryCounts};
 use deckwind_core::time::Instant;
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub struct RetryMetrics {
     at: Option<Instant>,
-    last: Vec<RepeatCounts>,
+    last: Vec<RetryCounts>,
 }
 
 impl RetryMetrics {
@@ -22,7 +22,7 @@
             return;
         }
         self.at = Some(now);
-        let counts = core.repeat_counts();
+        let counts = core.retry_counts();
         for pool_counts in counts.iter().filter(|c| !self.last.contains(c)) {
             report(pool_counts);
         }
@@ -30,8 +30,8 @@
     }
 }
 
-fn report(counts: &RepeatCounts) {
-    let RepeatCounts {
+fn report(counts: &RetryCounts) {
+    let RetryCounts {
         pool,
         most,
         counts,
--- a/crates/deckwindd/src/control/supervisor.rs
+++ b/crates/deckwindd/src/control/supervisor.rs
@@ -12,7 +12,7 @@
 use deckwind_config::ControlSettings;
 use deckwind_core::replication::ReplicaId;
 use deckwind_net::quic::QuicPeer;
-use deckwind_store::{Disk, FsDisk, Opened, Store, StoreError};
+use deckwind_store::{Disk, FsDisk, OpenedStore, Store, StoreError};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -38,7 +38,7 @@
 }
 
 /// Opens the data folder of a replica, with a new random identity if it holds none.
-pub fn open(open_disk: &OpenDisk, cfg: &ControlSettings) -> Result<(Store, Opened)> {
+pub fn open(open_disk: &OpenDisk, cfg: &ControlSettings) -> Result<(Store, OpenedStore)> {
     let disk = open_disk(&cfg.data_folder)?;
     let fresh = ReplicaId {
         slot: cfg.slot,
@@ -49,16 +49,16 @@
     log::info!(
         "event=store_opened replica={} fresh={} entries={} cut_bytes={}",
         opened.id,
-        opened.fresh,
+        opened.is_new,
         opened.stored.entries.len(),
-        opened.cut_bytes
+        opened.truncated_bytes
     );
     Ok((store, opened))
 }
 
 impl Supervisor {
     /// Creates the driver of a replica on an open data folder.
-    pub fn driver(&self, store: Store, opened: Opened) -> Result<Driver> {
+    pub fn driver(&self, store: Store, opened: OpenedStore) -> Result<Driver> {
         let senders = Senders::new(&self.cx, &self.peer);
         let handle = self.handle.clone();
         Driver::new(&self.cx, &self.cfg, store, opened, senders, handle)
--- a/crates/deckwindd/src/control/target_check.rs
+++ b/crates/deckwindd/src/control/target_check.rs
@@ -1,7 +1,7 @@
 //! Check whether a target that routers report as failing still runs.
 
 use super::handle::{ControlHandle, Input};
-use deckwind_core::state::Life;
+use deckwind_core::state::Incarnation;
 use deckwind_net::clock::Clock;
 use deckwind_net::edge::EngineDialect;
 use deckwind_net::targets::{KeptConnections, call_target};
@@ -18,7 +18,7 @@
 /// means that this one has ended. Two requests are sent in parallel, because a packet of
 /// one may be lost.
 pub async fn check(
-    life: Life,
+    life: Incarnation,
     address: SocketAddr,
     dialect: Arc<dyn EngineDialect>,
     handle: ControlHandle,
@@ -30,7 +30,7 @@
         let calling = call_target(&connections, address, &call, CHECK_TIMEOUT);
         match tokio::time::timeout(CHECK_TIMEOUT, calling).await {
             Ok(Ok(reply)) => match dialect.read_report(&reply.body) {
-                Ok(report) if report.is_of_another_life(life.born) => {
+                Ok(report) if report.is_of_other_incarnation(life.born) => {
                     Err("the report is of another incarnation".to_string())
                 }
                 _ => Ok(()),
--- a/crates/deckwindd/src/control/work_times.rs
+++ b/crates/deckwindd/src/control/work_times.rs
@@ -70,8 +70,8 @@
         }
         let last = self.load_logged_at.replace(Instant::now());
         let times = std::mem::take(&mut self.since_load_line);
-        metrics::gauge!("deckwind_control_passed_on_waiting").set(core.passed_on() as f64);
-        let Some((routers, behind)) = core.routers_behind() else {
+        metrics::gauge!("deckwind_control_passed_on_waiting").set(core.forwarded_len() as f64);
+        let Some((routers, behind)) = core.lagging_routers() else {
             return;
         };
         metrics::gauge!("deckwind_control_routers_behind_revisions").set(behind as f64);
@@ -99,8 +99,8 @@
         ControlEvent::Request { request, .. } => kind_of_request(request),
         ControlEvent::Relayed { request, .. } => kind_of_request(&request.request),
         ControlEvent::Answered(_) => "answers",
-        ControlEvent::Heard(_) => "heard",
-        ControlEvent::Placed { .. } => "placed",
+        ControlEvent::AnnouncementReport(_) => "heard",
+        ControlEvent::PlacementDone { .. } => "placed",
         ControlEvent::Operator { .. } => "call",
         ControlEvent::OrdersDone { .. } | ControlEvent::Checked { .. } => "orders",
         ControlEvent::Pace { .. } => "pace",
--- a/crates/deckwindd/src/router/control_client.rs
+++ b/crates/deckwindd/src/router/control_client.rs
@@ -189,7 +189,7 @@
         request: &[u8],
         timeout: Duration,
     ) -> Result<(RequestTime, ControlReply)> {
-        let mut slots = self.choice().order();
+        let mut slots = self.choice().preference_order();
         let mut searches = JoinSet::new();
         for _ in 0..CONCURRENT_SEARCHES {
             let search = LeaderSearch {
--- a/crates/deckwindd/src/router/mod.rs
+++ b/crates/deckwindd/src/router/mod.rs
@@ -37,7 +37,7 @@
 use anyhow::{Context as _, Result};
 use deckwind_config::RouterSettings;
 use deckwind_net::quic::QuicPeer;
-use deckwind_wire::{ControlRequest, MAX_MESSAGE};
+use deckwind_wire::{ControlRequest, MAX_MESSAGE_BYTES};
 use routes::LetIn;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -85,7 +85,7 @@
     ///
     /// Fails if an address cannot be bound or the certificates cannot be loaded.
     pub async fn start(cx: &Context, cfg: &RouterSettings) -> Result<Self> {
-        let peer = QuicPeer::bind(cfg.peers, cx.key_files().as_ref(), MAX_MESSAGE)?;
+        let peer = QuicPeer::bind(cfg.peers, cx.key_files().as_ref(), MAX_MESSAGE_BYTES)?;
         let shared = Arc::new(RouterShared::new(cx, cfg, peer.clone()));
         admin_page::serve(cfg.admin, shared.clone())?;
         let mut tasks = vec![
--- a/crates/deckwindd/src/router/routes/mod.rs
+++ b/crates/deckwindd/src/router/routes/mod.rs
@@ -32,7 +32,7 @@
 use crate::context::{Context, period_of_targets};
 use arc_swap::{ArcSwap, ArcSwapOption};
 use deckwind_config::RouterSettings;
-use deckwind_core::control::{EngineFull, EngineUse, Grant, LimitReport, RepeatReport};
+use deckwind_core::control::{EngineFull, EngineStreamLoad, Grant, LimitReport, RetryReport};
 use deckwind_core::routes::{
     Claim, InstanceIndex, LifeOver, Paid, Patience, ReleaseIndex, RepeatBudgets, RepeatLimits,
     Started, TargetBook, TargetFault,
@@ -158,7 +158,7 @@
     /// Returns the maximum number of idle connections that this router may keep to a
     /// target of a pool.
     pub fn max_idle_connections(&self, pool: &Pool) -> usize {
-        pool.most_idle(self.routers.load(Ordering::Relaxed))
+        pool.max_idle_connections(self.routers.load(Ordering::Relaxed))
     }
 
     /// Returns the release in force at this router.
@@ -228,7 +228,7 @@
     }
 
     /// Returns the report on retry budgets for the leader.
-    pub fn repeat_report(&self, now: Instant) -> Option<RepeatReport> {
+    pub fn repeat_report(&self, now: Instant) -> Option<RetryReport> {
         self.retry_budgets().report(now)
     }
 
@@ -308,7 +308,7 @@
         asked: Instant,
         now: Instant,
         lasts: Duration,
-        reported: &[EngineUse],
+        reported: &[EngineStreamLoad],
         grant: &Grant,
     ) {
         if self.retry_budgets().told(asked, lasts, &grant.repeats) {
--- a/crates/deckwindd/src/router/routes/non_streaming.rs
+++ b/crates/deckwindd/src/router/routes/non_streaming.rs
@@ -128,7 +128,7 @@
                 AttemptEnd::NotRun => (self.spend_retry(), self.not_taken()),
                 AttemptEnd::Ran(result) => {
                     ran = Some(result);
-                    let repeatable = self.job.route.kind.may_repeat();
+                    let repeatable = self.job.route.kind.is_retryable();
                     (repeatable && self.spend_retry(), Failure::Refused)
                 }
             };
--- a/crates/deckwindd/src/router/routes/opening/mod.rs
+++ b/crates/deckwindd/src/router/routes/opening/mod.rs
@@ -207,7 +207,7 @@
     /// Handles a failed attempt. Returns an error if the request must not be tried
     /// again.
     fn handle_failure(&mut self, address: SocketAddr, error: AttemptError) -> Result<(), Failure> {
-        let resumable = self.job.route.kind.may_repeat();
+        let resumable = self.job.route.kind.is_retryable();
         match error {
             AttemptError::Blocked => {}
             AttemptError::Unreachable(why) => {
@@ -363,7 +363,7 @@
 
     /// Whether a stalled stream may be resumed at another target.
     pub fn can_move(&self) -> bool {
-        let resumable = self.job.route.kind.may_repeat();
+        let resumable = self.job.route.kind.is_retryable();
         resumable && self.tries_left() && self.job.may_be_sent() && self.choose_target().is_ok()
     }
 
--- a/crates/deckwindd/src/router/routes/permits.rs
+++ b/crates/deckwindd/src/router/routes/permits.rs
@@ -3,7 +3,7 @@
 
 use super::Routes;
 use crate::router::shared::RouterShared;
-use deckwind_core::control::{LeaderTime, LimitKey, PermitAsk, PermitVerdict};
+use deckwind_core::control::{LeaderTime, LimitKey, PermitRequest, PermitVerdict};
 use deckwind_core::routes::Permit;
 use deckwind_core::time::Instant;
 use deckwind_wire::{ControlReply, ControlRequest};
@@ -184,7 +184,7 @@
             continue;
         };
         let wants = waiters.len() as u32;
-        requests.push(PermitAsk { heard, wants });
+        requests.push(PermitRequest { heard, wants });
         requesters.push((target, waiters));
     }
     let request = ControlRequest::Permits(shared.holder(), requests);
--- a/crates/deckwindd/src/router/routes/poison_requests.rs
+++ b/crates/deckwindd/src/router/routes/poison_requests.rs
@@ -5,7 +5,7 @@
 use crate::router::shared::RouterShared;
 use deckwind_core::control::CutReport;
 use deckwind_core::routes::CutRuns;
-use deckwind_core::state::{ContentDigest, Life, SuspectChange, SuspectList};
+use deckwind_core::state::{ContentDigest, Incarnation, SuspectChange, SuspectList};
 use deckwind_core::time::Instant;
 use deckwind_wire::{ControlReply, ControlRequest};
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
     /// Address of the target.
     pub address: SocketAddr,
     /// Incarnation of the target.
-    pub life: &'a Life,
+    pub life: &'a Incarnation,
     /// Time since the first event of the run; `None` if there was none.
     pub ran: Option<Duration>,
     /// Whether the target broke the run off.
@@ -91,7 +91,7 @@
     }
 
     /// Records that these incarnations have ended unplanned.
-    pub fn lives_over(&self, now: Instant, lives: Vec<Life>) {
+    pub fn lives_over(&self, now: Instant, lives: Vec<Incarnation>) {
         if lives.is_empty() {
             return;
         }
@@ -148,7 +148,7 @@
     for content in now.quarantined().filter(|c| !contains(before, c)) {
         log::warn!(
             "event=content_quarantined content={content} ends={}",
-            now.ends(content)
+            now.crash_count(content)
         );
     }
     for content in before.quarantined().filter(|c| !contains(now, c)) {
--- a/crates/deckwindd/src/router/routes/relay/mod.rs
+++ b/crates/deckwindd/src/router/routes/relay/mod.rs
@@ -184,7 +184,7 @@
     /// Resumes a stream that broke off at another target.
     async fn resume_broken(&mut self, why: &str) -> Result<OpenedStream, Failure> {
         self.log_move(why);
-        let resumable = self.opener.job.route.kind.may_repeat();
+        let resumable = self.opener.job.route.kind.is_retryable();
         if !resumable || !self.opener.tries_left() {
             return Err(Failure::Broken(why.to_string()));
         }
--- a/crates/deckwindd/src/router/routes/target_notices.rs
+++ b/crates/deckwindd/src/router/routes/target_notices.rs
@@ -5,7 +5,7 @@
 use deckwind_core::control::LimitKey;
 use deckwind_core::rate::Rate;
 use deckwind_core::routes::{Choice, Permit, TargetNotice};
-use deckwind_core::state::{Instance, Life};
+use deckwind_core::state::{Incarnation, Instance};
 use deckwind_core::time::Instant;
 use deckwind_net::edge::TargetCall;
 use deckwind_net::targets::{TargetError, TargetReply, call_target};
@@ -18,7 +18,7 @@
     /// The target's address.
     pub address: SocketAddr,
     /// The incarnation that the request was meant for.
-    pub life: &'a Life,
+    pub life: &'a Incarnation,
     /// What is answered: the id of a request, or the path of a call to the target's own
     /// interface.
     pub in_reply_to: &'a str,
@@ -53,7 +53,7 @@
         Ok(reply)
     }
 
-    fn incarnation_at(&self, address: SocketAddr) -> Option<Life> {
+    fn incarnation_at(&self, address: SocketAddr) -> Option<Incarnation> {
         let instances = self.instances();
         let instance = instances.iter().find(|i| i.address == address);
         instance.map(Instance::life)
--- a/crates/deckwindd/src/router/routes/target_run.rs
+++ b/crates/deckwindd/src/router/routes/target_run.rs
@@ -4,7 +4,7 @@
 use super::poison_requests::CutRun;
 use crate::router::shared::RouterShared;
 use deckwind_core::routes::Choice;
-use deckwind_core::state::{ContentDigest, Life};
+use deckwind_core::state::{ContentDigest, Incarnation};
 use deckwind_core::time::Instant;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -45,7 +45,7 @@
     request: String,
     content: ContentDigest,
     address: SocketAddr,
-    life: Life,
+    life: Incarnation,
     sent: Instant,
     first_event: Option<Instant>,
     events: u32,
--- a/crates/deckwindd/src/router/shared.rs
+++ b/crates/deckwindd/src/router/shared.rs
@@ -10,7 +10,7 @@
 use deckwind_core::router::{Admitted, Denied, DeniedCode, RouterConfig, RouterCore};
 use deckwind_core::routes::Refusal;
 use deckwind_core::routing::TargetKey;
-use deckwind_core::state::{ContentDigest, DataCentre, Holder, Revision, VmName};
+use deckwind_core::state::{ContentDigest, DataCentre, Revision, RouterProcess, VmName};
 use deckwind_net::clock::Clock;
 use deckwind_net::quic::QuicPeer;
 use deckwind_net::targets::{Engine, HttpEngine, HttpService, PlainService};
@@ -127,8 +127,8 @@
     }
 
     /// Returns the identity of this router process as a holder of leases and claims.
-    pub fn holder(&self) -> Holder {
-        Holder {
+    pub fn holder(&self) -> RouterProcess {
+        RouterProcess {
             vm: self.vm.clone(),
             boot: self.boot,
         }
--- a/crates/deckwindd/src/router/template_runs.rs
+++ b/crates/deckwindd/src/router/template_runs.rs
@@ -7,7 +7,7 @@
 
 use super::routes::CutRun;
 use super::shared::RouterShared;
-use deckwind_core::state::{ContentDigest, Life};
+use deckwind_core::state::{ContentDigest, Incarnation};
 use deckwind_core::time::Instant;
 use std::collections::HashMap;
 use std::io::ErrorKind;
@@ -85,9 +85,9 @@
 
     /// Returns the incarnation that runs the request, under an ID unique to this router
     /// process.
-    fn incarnation(&self) -> Life {
+    fn incarnation(&self) -> Incarnation {
         let holder = self.shared.holder();
-        Life {
+        Incarnation {
             id: format!("{} by {}/{}", self.address, holder.vm, holder.boot),
             born: Some(self.number),
         }
