--- a/crates/deckwind-core/src/control/announcement_reports.rs
+++ b/crates/deckwind-core/src/control/announcement_reports.rs
@@ -55,7 +55,7 @@
 
 /// Compares an announcement with the committed state.
 pub(super) fn compare_announcement(instance: &Instance, committed: &Instances) -> AnnouncementDiff {
-    match committed.incarnation_status(&instance.life()) {
+    match committed.incarnation_status(&instance.incarnation()) {
         IncarnationStatus::Ended => return AnnouncementDiff::Outdated,
         IncarnationStatus::Newer | IncarnationStatus::Doubtful => return AnnouncementDiff::Changed,
         IncarnationStatus::Known => {}
@@ -94,7 +94,7 @@
         match diff {
             AnnouncementDiff::Outdated => {}
             AnnouncementDiff::Unchanged => {
-                self.same.insert(instance.life(), instance.announced);
+                self.same.insert(instance.incarnation(), instance.announced);
             }
             AnnouncementDiff::Changed => self.changed.push(instance),
         }
@@ -140,40 +140,41 @@
     /// Records an announcement of an incarnation. Returns `false`, and records nothing,
     /// if the announcement was delayed and has a lower number than an earlier arrival: it
     /// is no sign that the target is alive.
-    pub fn record(&mut self, now: Instant, life: &Incarnation, number: u64) -> bool {
-        match self.last_received.get_mut(life) {
+    pub fn record(&mut self, now: Instant, incarnation: &Incarnation, number: u64) -> bool {
+        match self.last_received.get_mut(incarnation) {
             Some((_, known)) if number < *known => return false,
             Some(last) => *last = (now, number),
             None => {
-                self.last_received.insert(life.clone(), (now, number));
+                self.last_received
+                    .insert(incarnation.clone(), (now, number));
             }
         }
         true
     }
 
     /// Returns the time of the last announcement of an incarnation.
-    pub fn last_received(&self, life: &Incarnation) -> Option<Instant> {
-        self.last_received.get(life).map(|(at, _)| *at)
+    pub fn last_received(&self, incarnation: &Incarnation) -> Option<Instant> {
+        self.last_received.get(incarnation).map(|(at, _)| *at)
     }
 
     /// Schedules a silence check of an incarnation unless one is scheduled already.
-    pub fn schedule_check(&mut self, life: Incarnation, at: Instant) {
-        if !self.scheduled.contains_key(&life) {
-            self.scheduled.insert(life.clone(), at);
-            self.checks.insert((at, life));
+    pub fn schedule_check(&mut self, incarnation: Incarnation, at: Instant) {
+        if !self.scheduled.contains_key(&incarnation) {
+            self.scheduled.insert(incarnation.clone(), at);
+            self.checks.insert((at, incarnation));
         }
     }
 
     /// Takes an incarnation whose silence check is due. Its schedule entry is removed.
     pub fn take_due(&mut self, now: Instant) -> Option<Incarnation> {
         let due = self.checks.first().is_some_and(|(at, _)| *at <= now);
-        let (_, life) = due.then(|| self.checks.pop_first()).flatten()?;
-        self.scheduled.remove(&life);
-        Some(life)
+        let (_, incarnation) = due.then(|| self.checks.pop_first()).flatten()?;
+        self.scheduled.remove(&incarnation);
+        Some(incarnation)
     }
 
     /// Removes an incarnation that has ended.
-    pub fn forget(&mut self, life: &Incarnation) {
-        self.last_received.remove(life);
+    pub fn forget(&mut self, incarnation: &Incarnation) {
+        self.last_received.remove(incarnation);
     }
 }
--- a/crates/deckwind-core/src/control/announcements.rs
+++ b/crates/deckwind-core/src/control/announcements.rs
@@ -140,8 +140,10 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        for (life, number) in &report.same {
-            leader_state.last_announcements.record(now, life, *number);
+        for (incarnation, number) in &report.same {
+            leader_state
+                .last_announcements
+                .record(now, incarnation, *number);
         }
         for instance in report.changed {
             self.announcement_buffer
@@ -159,8 +161,10 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        for (life, number) in &report.same {
-            leader_state.last_announcements.record(now, life, *number);
+        for (incarnation, number) in &report.same {
+            leader_state
+                .last_announcements
+                .record(now, incarnation, *number);
         }
         let committed = self.state_machine.configuration().instances();
         let incarnations_by_address = committed.incarnations_at_addresses_of(report.changed.iter());
@@ -168,14 +172,15 @@
         let period = self.limits.announce_every;
         let mut changes = Vec::new();
         for mut instance in report.changed {
-            let life = instance.life();
-            let is_newest = leader_state
-                .last_announcements
-                .record(now, &life, instance.announced);
+            let incarnation = instance.incarnation();
+            let is_newest =
+                leader_state
+                    .last_announcements
+                    .record(now, &incarnation, instance.announced);
             if !is_newest {
                 continue;
             }
-            let keep_layers = leader_state.placement.is_order_in_flight(&life);
+            let keep_layers = leader_state.placement.is_order_in_flight(&incarnation);
             let known = committed
                 .get(&instance.id)
                 .filter(|i| i.born == instance.born);
@@ -191,7 +196,7 @@
                 .iter()
                 .find(|l| !leader_state.is_silent(now, since, committed, l, period));
             if let Some(active_incarnation) = active_incarnation {
-                out.push(unconfirmed_incarnation(life, active_incarnation));
+                out.push(unconfirmed_incarnation(incarnation, active_incarnation));
                 continue;
             }
             changes.push(InstanceChange::Announced {
@@ -225,10 +230,11 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        let life = instance.life();
-        let is_newest = leader_state
-            .last_announcements
-            .record(now, &life, instance.announced);
+        let incarnation = instance.incarnation();
+        let is_newest =
+            leader_state
+                .last_announcements
+                .record(now, &incarnation, instance.announced);
         let committed = self.state_machine.configuration().instances();
         if !is_newest || compare_announcement(&instance, committed) != AnnouncementDiff::Changed {
             self.acknowledge(token, out);
@@ -243,12 +249,12 @@
             .iter()
             .find(|l| !leader_state.is_silent(now, since, committed, l, period));
         if let Some(active_incarnation) = active_incarnation {
-            out.push(unconfirmed_incarnation(life, active_incarnation));
+            out.push(unconfirmed_incarnation(incarnation, active_incarnation));
             let reply = OperatorReply::Unconfirmed;
             out.push(ControlAction::OperatorReply { token, reply });
             return;
         }
-        let keep_layers = leader_state.placement.is_order_in_flight(&life);
+        let keep_layers = leader_state.placement.is_order_in_flight(&incarnation);
         let change = InstanceChange::Announced {
             instance,
             keep_layers,
@@ -265,27 +271,27 @@
         &mut self,
         now: Instant,
         token: u64,
-        mut life: Incarnation,
+        mut incarnation: Incarnation,
         out: &mut Vec<ControlAction>,
     ) {
         let committed = self.state_machine.configuration().instances();
-        let known = committed.get(&life.id).map(Instance::life);
+        let known = committed.get(&incarnation.id).map(Instance::incarnation);
         let (Some(known), Some(leader_state)) = (known, &self.leader_state) else {
             self.acknowledge(token, out);
             return;
         };
-        life.born = life.born.or(known.born);
+        incarnation.born = incarnation.born.or(known.born);
         let since = self.replica.leader_since().unwrap_or(now);
         let period = self.limits.announce_every;
-        let ended_incarnation = match committed.incarnation_status(&life) {
-            IncarnationStatus::Known | IncarnationStatus::Newer => life,
+        let ended_incarnation = match committed.incarnation_status(&incarnation) {
+            IncarnationStatus::Known | IncarnationStatus::Newer => incarnation,
             IncarnationStatus::Doubtful
                 if leader_state.is_silent(now, since, committed, &known, period) =>
             {
                 known
             }
             IncarnationStatus::Doubtful => {
-                out.push(unconfirmed_incarnation(life, &known));
+                out.push(unconfirmed_incarnation(incarnation, &known));
                 let reply = OperatorReply::Unconfirmed;
                 out.push(ControlAction::OperatorReply { token, reply });
                 return;
@@ -335,30 +341,32 @@
         let instances = self.state_machine.configuration().instances();
         let written = instances.changed_since_ids(leader_state.watched_upto);
         for i in written.filter_map(|id| instances.get(id)) {
-            let life = i.life();
+            let incarnation = i.incarnation();
             let received = leader_state
                 .last_announcements
-                .last_received(&life)
+                .last_received(&incarnation)
                 .unwrap_or(since);
             leader_state
                 .last_announcements
-                .schedule_check(life, received + period * MAX_MISSED_ANNOUNCEMENTS);
+                .schedule_check(incarnation, received + period * MAX_MISSED_ANNOUNCEMENTS);
         }
         leader_state.watched_upto = instances.last_written();
         let mut changes = Vec::new();
-        while let Some(life) = leader_state.last_announcements.take_due(now) {
+        while let Some(incarnation) = leader_state.last_announcements.take_due(now) {
             self.scan_counts.targets += 1;
-            let known = instances.get(&life.id).filter(|i| i.born == life.born);
+            let known = instances
+                .get(&incarnation.id)
+                .filter(|i| i.born == incarnation.born);
             let Some(known) = known else {
-                leader_state.last_announcements.forget(&life);
+                leader_state.last_announcements.forget(&incarnation);
                 continue;
             };
-            let silence = leader_state.silence(now, since, &life);
+            let silence = leader_state.silence(now, since, &incarnation);
             let (change, next_check) = silence_action(known, silence, period);
             changes.extend(change);
             leader_state
                 .last_announcements
-                .schedule_check(life, now + next_check.max(SILENCE_CHECK_INTERVAL));
+                .schedule_check(incarnation, now + next_check.max(SILENCE_CHECK_INTERVAL));
         }
         if !changes.is_empty() {
             self.propose(
@@ -401,14 +409,17 @@
         let named = failing.iter().flat_map(|address| instances.at(*address));
         for i in named.filter(|i| i.state == InstanceState::Ready) {
             self.scan_counts.targets += 1;
-            let life = i.life();
-            let before = leader_state.checked_at.get(&life);
+            let incarnation = i.incarnation();
+            let before = leader_state.checked_at.get(&incarnation);
             if before.is_some_and(|at| now.since(*at) < TARGET_CHECK_INTERVAL) {
                 continue;
             }
-            leader_state.checked_at.insert(life.clone(), now);
+            leader_state.checked_at.insert(incarnation.clone(), now);
             let address = i.address;
-            out.push(ControlAction::Check { life, address });
+            out.push(ControlAction::Check {
+                incarnation,
+                address,
+            });
         }
     }
 
@@ -418,16 +429,21 @@
     pub(super) fn handle_check_result(
         &mut self,
         now: Instant,
-        life: Incarnation,
-        there: bool,
+        incarnation: Incarnation,
+        is_running: bool,
         out: &mut Vec<ControlAction>,
     ) {
-        let known = self.state_machine.configuration().instances().get(&life.id);
-        let ready = known.is_some_and(|i| i.born == life.born && i.state == InstanceState::Ready);
-        if there || !ready || self.leader_state.is_none() {
+        let known = self
+            .state_machine
+            .configuration()
+            .instances()
+            .get(&incarnation.id);
+        let ready =
+            known.is_some_and(|i| i.born == incarnation.born && i.state == InstanceState::Ready);
+        if is_running || !ready || self.leader_state.is_none() {
             return;
         }
-        let body = CommandBody::Instances(vec![InstanceChange::Silent(life)]);
+        let body = CommandBody::Instances(vec![InstanceChange::Silent(incarnation)]);
         self.propose(now, body, Requester::Internal, out);
     }
 
@@ -437,7 +453,7 @@
     pub(super) fn handle_placement_result(
         &mut self,
         now: Instant,
-        life: &Incarnation,
+        incarnation: &Incarnation,
         held: Option<LayerRange>,
         out: &mut Vec<ControlAction>,
     ) {
@@ -446,12 +462,12 @@
         };
         leader_state
             .placement
-            .order_ended(now, life, held.is_some());
+            .order_ended(now, incarnation, held.is_some());
         let Some(held) = held else {
             return;
         };
         let change = InstanceChange::Holds {
-            life: life.clone(),
+            life: incarnation.clone(),
             layers: held,
             in_memory: held.len(),
         };
@@ -472,12 +488,12 @@
     let ready = instance.state == InstanceState::Ready;
     match silence {
         s if s > departure_timeout => (
-            Some(InstanceChange::Left(instance.life())),
+            Some(InstanceChange::Left(instance.incarnation())),
             SILENCE_CHECK_INTERVAL,
         ),
         s if s <= silence_timeout && ready => (None, silence_timeout - s),
         s if ready => (
-            Some(InstanceChange::Silent(instance.life())),
+            Some(InstanceChange::Silent(instance.incarnation())),
             SILENCE_CHECK_INTERVAL.min(departure_timeout - s),
         ),
         // Its next incarnation or next announcement schedules a new check.
--- a/crates/deckwind-core/src/control/apply.rs
+++ b/crates/deckwind-core/src/control/apply.rs
@@ -20,12 +20,12 @@
     ) {
         let before = self.state_machine.configuration().visible_revision();
         let mut urgency = None;
-        let mut repeats_changed = false;
+        let mut retries_changed = false;
         for entry in entries {
             self.log_bytes += entry.size();
-            let known = self.state_machine.repeats().changes();
+            let known = self.state_machine.retry_ledger().changes();
             let reply = self.apply_entry(&entry, &mut urgency, out);
-            repeats_changed |= self.state_machine.repeats().changes() != known;
+            retries_changed |= self.state_machine.retry_ledger().changes() != known;
             let pending = self.proposals.take_applied(entry.at.index, entry.at.term);
             match (pending, reply) {
                 (Some((requester, true)), Some(reply)) => self.answer(now, requester, reply, out),
@@ -33,7 +33,7 @@
                 (None, _) => {}
             }
         }
-        if repeats_changed {
+        if retries_changed {
             self.apply_retry_changes(now, out);
         }
         let changed = self.state_machine.configuration().visible_revision() > before;
--- a/crates/deckwind-core/src/control/control_core.rs
+++ b/crates/deckwind-core/src/control/control_core.rs
@@ -69,7 +69,7 @@
     pub(super) full: RefusalTable,
     /// Retry allowances of the router processes. Created once this leader may answer, as
     /// the log is applied up to the leader's first entry by then.
-    pub(super) repeats: Option<RetryBudgetAllocator>,
+    pub(super) retry_allocator: Option<RetryBudgetAllocator>,
     /// Limits named by targets.
     pub(super) limits: TargetLimiter,
 }
@@ -182,10 +182,10 @@
     pub fn scan_counts(&self) -> ScanCounts {
         let leader_state = self.leader_state.as_ref();
         let leases = leader_state.map_or(0, |l| l.leases.rows_scanned());
-        let repeats = leader_state.and_then(|l| l.repeats.as_ref());
+        let retry_allocator = leader_state.and_then(|l| l.retry_allocator.as_ref());
         ScanCounts {
             leases,
-            repeats: repeats.map_or(0, RetryBudgetAllocator::rows_scanned),
+            repeats: retry_allocator.map_or(0, RetryBudgetAllocator::rows_scanned),
             cards: leader_state.map_or(0, |l| l.placement.rows_scanned()),
             ..self.scan_counts
         }
@@ -235,12 +235,13 @@
             ControlEvent::Operator { token, request } => {
                 self.handle_operator_request(now, token, request, out)
             }
-            ControlEvent::Checked { life, is_running } => {
-                self.handle_check_result(now, life, is_running, out)
-            }
+            ControlEvent::Checked {
+                incarnation,
+                is_running,
+            } => self.handle_check_result(now, incarnation, is_running, out),
             ControlEvent::AnnouncementReport(report) => self.merge_announcement_report(now, report),
-            ControlEvent::PlacementDone { life, held } => {
-                self.handle_placement_result(now, &life, held, out)
+            ControlEvent::PlacementDone { incarnation, held } => {
+                self.handle_placement_result(now, &incarnation, held, out)
             }
             ControlEvent::Pace { address, percent } => self.handle_pace(now, address, percent, out),
             ControlEvent::OrdersDone { target, accepted } => {
@@ -335,7 +336,7 @@
                 held_bytes: BTreeMap::new(),
                 orphans_checked: false,
                 full: RefusalTable::default(),
-                repeats: None,
+                retry_allocator: None,
                 limits: TargetLimiter::new(term),
             });
         }
--- a/crates/deckwind-core/src/control/event.rs
+++ b/crates/deckwind-core/src/control/event.rs
@@ -108,7 +108,7 @@
     /// Result of a reachability check of a target.
     Checked {
         /// The checked incarnation.
-        life: Incarnation,
+        incarnation: Incarnation,
         /// Whether it appears to be reachable.
         is_running: bool,
     },
@@ -124,7 +124,7 @@
     /// End of a layer placement order.
     PlacementDone {
         /// The incarnation that received the order.
-        life: Incarnation,
+        incarnation: Incarnation,
         /// Layers it held afterwards, if known.
         held: Option<LayerRange>,
     },
@@ -174,7 +174,7 @@
     /// Check whether a target is reachable, then report [`ControlEvent::Checked`].
     Check {
         /// The incarnation to check.
-        life: Incarnation,
+        incarnation: Incarnation,
         /// Address of the target.
         address: SocketAddr,
     },
@@ -240,7 +240,7 @@
     /// The incarnation ended, as a newer one of the same target announced itself.
     Ended {
         /// The ended incarnation.
-        life: Incarnation,
+        incarnation: Incarnation,
         /// The newer incarnation.
         by: Incarnation,
     },
@@ -248,7 +248,7 @@
     /// than incarnations that are still announcing themselves.
     Unconfirmed {
         /// The unconfirmed incarnation.
-        life: Incarnation,
+        incarnation: Incarnation,
         /// The first of the incarnations still active.
         over: Incarnation,
     },
--- a/crates/deckwind-core/src/control/grants.rs
+++ b/crates/deckwind-core/src/control/grants.rs
@@ -222,8 +222,8 @@
         let cfg = self.state_machine.configuration();
         let routers = leader_state.leases.len() as u32;
         let replicas = self.replica.members().all().map(|id| id.slot);
-        let desk = leader_state.repeats.as_mut();
-        let repeats = desk.map_or(Vec::new(), |d| d.grants(now, &renewal.holder));
+        let allocator = leader_state.retry_allocator.as_mut();
+        let repeats = allocator.map_or(Vec::new(), |a| a.grants(now, &renewal.holder));
         Some(Grant {
             term,
             lasts,
--- a/crates/deckwind-core/src/control/incarnations.rs
+++ b/crates/deckwind-core/src/control/incarnations.rs
@@ -12,8 +12,17 @@
 impl LeaderState {
     /// Returns the time since the last announcement of an incarnation. `since` is the
     /// time this replica became leader, which counts if there was none since.
-    pub(super) fn silence(&self, now: Instant, since: Instant, life: &Incarnation) -> Duration {
-        now.since(self.last_announcements.last_received(life).unwrap_or(since))
+    pub(super) fn silence(
+        &self,
+        now: Instant,
+        since: Instant,
+        incarnation: &Incarnation,
+    ) -> Duration {
+        now.since(
+            self.last_announcements
+                .last_received(incarnation)
+                .unwrap_or(since),
+        )
     }
 
     /// Returns whether an incarnation no longer announces itself, so that another one may
@@ -24,23 +33,24 @@
         now: Instant,
         since: Instant,
         committed: &Instances,
-        life: &Incarnation,
+        incarnation: &Incarnation,
         period: Duration,
     ) -> bool {
-        let known = committed.get(&life.id);
+        let known = committed.get(&incarnation.id);
         let is_marked_silent = known.is_some_and(|i| i.state == InstanceState::Silent);
-        is_marked_silent || self.silence(now, since, life) > period * MAX_MISSED_ANNOUNCEMENTS
+        is_marked_silent
+            || self.silence(now, since, incarnation) > period * MAX_MISSED_ANNOUNCEMENTS
     }
 }
 
 /// Returns the log note for an unconfirmed incarnation, which is ignored while
 /// `active_incarnation` announces itself.
 pub(super) fn unconfirmed_incarnation(
-    life: Incarnation,
+    incarnation: Incarnation,
     active_incarnation: &Incarnation,
 ) -> ControlAction {
     let over = active_incarnation.clone();
-    ControlAction::LogIncarnationDecision(IncarnationDecision::Unconfirmed { life, over })
+    ControlAction::LogIncarnationDecision(IncarnationDecision::Unconfirmed { incarnation, over })
 }
 
 impl ControlCore {
@@ -73,9 +83,12 @@
             .instances()
             .superseded_by(changes);
         if self.leader_state.is_some() {
-            let note = |(life, by): &(Incarnation, Incarnation)| {
-                let (life, by) = (life.clone(), by.clone());
-                ControlAction::LogIncarnationDecision(IncarnationDecision::Ended { life, by })
+            let note = |(incarnation, by): &(Incarnation, Incarnation)| {
+                let (incarnation, by) = (incarnation.clone(), by.clone());
+                ControlAction::LogIncarnationDecision(IncarnationDecision::Ended {
+                    incarnation,
+                    by,
+                })
             };
             out.extend(ended.iter().map(note));
         }
--- a/crates/deckwind-core/src/control/limit_handlers.rs
+++ b/crates/deckwind-core/src/control/limit_handlers.rs
@@ -60,11 +60,11 @@
             self.not_leader(token, out);
             return;
         };
-        let desk = &mut leader_state.limits;
-        let changed = before != Some(desk.revision());
-        let verdicts = asks.iter().map(|ask| desk.permit(now, ask)).collect();
+        let limiter = &mut leader_state.limits;
+        let changed = before != Some(limiter.revision());
+        let verdicts = asks.iter().map(|ask| limiter.permit(now, ask)).collect();
         let answer = PermitAnswer {
-            at: desk.time(now),
+            at: limiter.time(now),
             verdicts,
         };
         let reply = ControlReply::Permits(answer);
--- a/crates/deckwind-core/src/control/limit_messages.rs
+++ b/crates/deckwind-core/src/control/limit_messages.rs
@@ -23,7 +23,7 @@
     pub fn of(instance: &Instance) -> Self {
         Self {
             address: instance.address,
-            life: instance.life(),
+            life: instance.incarnation(),
         }
     }
 }
--- a/crates/deckwind-core/src/control/placement_groups.rs
+++ b/crates/deckwind-core/src/control/placement_groups.rs
@@ -43,7 +43,7 @@
 
 impl Engine {
     /// Returns the incarnation of the engine.
-    pub fn life(&self) -> Incarnation {
+    pub fn incarnation(&self) -> Incarnation {
         Incarnation {
             id: self.card.id.clone(),
             born: self.born,
--- a/crates/deckwind-core/src/control/placement_manager.rs
+++ b/crates/deckwind-core/src/control/placement_manager.rs
@@ -75,7 +75,7 @@
 
 impl PlacementOrder {
     /// Returns the incarnation that the order is for.
-    pub fn life(&self) -> Incarnation {
+    pub fn incarnation(&self) -> Incarnation {
         Incarnation {
             id: self.id.clone(),
             born: self.born,
@@ -119,9 +119,9 @@
 }
 
 impl IssuedOrders {
-    fn is_in_flight(&self, life: &Incarnation) -> bool {
-        let in_flight = self.in_flight.get(&life.id);
-        in_flight.is_some_and(|order| order.born == life.born)
+    fn is_in_flight(&self, incarnation: &Incarnation) -> bool {
+        let in_flight = self.in_flight.get(&incarnation.id);
+        in_flight.is_some_and(|order| order.born == incarnation.born)
     }
 
     fn effect_on(&self, card: &Card) -> Option<OrderEffect> {
@@ -154,7 +154,7 @@
             let Some(engine) = group.engine(&card.id) else {
                 continue;
             };
-            let life = engine.life();
+            let life = engine.incarnation();
             let failed = self.not_before.get(&life).is_some_and(|at| *at > now);
             if failed || self.is_in_flight(&life) {
                 continue;
@@ -199,8 +199,8 @@
 impl PlacementManager {
     /// Returns whether an order to this incarnation is in flight. The layers that it
     /// announces meanwhile may be out of date.
-    pub fn is_order_in_flight(&self, life: &Incarnation) -> bool {
-        self.orders.is_in_flight(life)
+    pub fn is_order_in_flight(&self, incarnation: &Incarnation) -> bool {
+        self.orders.is_in_flight(incarnation)
     }
 
     /// Returns the layers that an engine is ordered to hold while the order is in flight.
@@ -209,16 +209,16 @@
     }
 
     /// Records the end of an order to this incarnation.
-    pub fn order_ended(&mut self, now: Instant, life: &Incarnation, ok: bool) {
-        if self.is_order_in_flight(life) {
-            self.orders.in_flight.remove(&life.id);
+    pub fn order_ended(&mut self, now: Instant, incarnation: &Incarnation, ok: bool) {
+        if self.is_order_in_flight(incarnation) {
+            self.orders.in_flight.remove(&incarnation.id);
         }
         if !ok {
             let retry_at = now + RETRY_DELAY;
-            self.orders.not_before.insert(life.clone(), retry_at);
-            self.groups.schedule_check(&life.id, retry_at);
+            self.orders.not_before.insert(incarnation.clone(), retry_at);
+            self.groups.schedule_check(&incarnation.id, retry_at);
         }
-        self.groups.schedule_check(&life.id, now);
+        self.groups.schedule_check(&incarnation.id, now);
     }
 
     /// Returns the number of engines scanned so far.
--- a/crates/deckwind-core/src/control/retry_budget_allocator.rs
+++ b/crates/deckwind-core/src/control/retry_budget_allocator.rs
@@ -4,9 +4,9 @@
 //! Retries of requests are called repeats in the protocol.
 //!
 //! ```text
-//!  router: held, spent, returned, wanted ──► RepeatDesk ──► changes ──► log
-//!                                                ▲                       │
-//!  router ◄── issued so far (with its lease) ────┴──── ledger ◄── committed
+//!  router: held, spent, returned, wanted ──► RetryBudgetAllocator ──► changes ──► log
+//!                                                     ▲                            │
+//!  router ◄── issued so far (with its lease) ─────────┴───────── ledger ◄── committed
 //! ```
 //!
 //! Guarantee: within a window all routers together use no more than `most` retries of a
@@ -126,7 +126,7 @@
     /// Creates the state of a leader that begins now and whose log is applied up to the
     /// first entry of its term.
     pub fn new(now: Instant, timing: LeaseTiming, ledger: &RetryLedger) -> Self {
-        let mut desk = Self {
+        let mut allocator = Self {
             timing,
             budget: None,
             allowances: BTreeMap::new(),
@@ -143,9 +143,9 @@
             last_expiry_at: None,
             rows_scanned: 0,
         };
-        desk.ledger_applied(now, ledger);
-        desk.close_superseded(now);
-        desk
+        allocator.ledger_applied(now, ledger);
+        allocator.close_superseded(now);
+        allocator
     }
 
     /// Closes all but the last of several allowances of a router for one pool. They were
--- a/crates/deckwind-core/src/control/status.rs
+++ b/crates/deckwind-core/src/control/status.rs
@@ -186,7 +186,7 @@
                 behind: revision.0.saturating_sub(lease.applied.0),
                 lease_ms: lease.expires_at.since(now).as_millis() as u64,
                 held_bytes: leader_state.held_bytes.get(vm).copied(),
-                repeats: unused_repeats(leader_state, vm, lease),
+                repeats: unused_retries(leader_state, vm, lease),
             })
         };
         leader_state.leases.routers().filter_map(view).collect()
@@ -204,17 +204,19 @@
 
 /// Returns the retries a router process holds and has not used; `None` if no retries are
 /// granted.
-fn unused_repeats(leader_state: &LeaderState, vm: &VmName, lease: &RouterLease) -> Option<u64> {
+fn unused_retries(leader_state: &LeaderState, vm: &VmName, lease: &RouterLease) -> Option<u64> {
     let holder = RouterProcess {
         vm: vm.clone(),
         boot: lease.boot,
     };
-    let desk = leader_state.repeats.as_ref()?;
-    Some(desk.unused_of(&holder))
+    let allocator = leader_state.retry_allocator.as_ref()?;
+    Some(allocator.unused_of(&holder))
 }
 
 fn engine_view(now: Instant, leader_state: &LeaderState, i: &Instance) -> EngineView {
-    let received = leader_state.last_announcements.last_received(&i.life());
+    let received = leader_state
+        .last_announcements
+        .last_received(&i.incarnation());
     EngineView {
         id: i.id.clone(),
         born: i.born,
--- a/crates/deckwind-core/src/routes/index.rs
+++ b/crates/deckwind-core/src/routes/index.rs
@@ -171,8 +171,8 @@
             };
             has_ended.then(|| LifeOver {
                 address: old.address,
-                life: old.life(),
-                by: new.map(|new| new.life()),
+                life: old.incarnation(),
+                by: new.map(|new| new.incarnation()),
             })
         };
         before.iter().filter_map(ended).collect()
@@ -190,7 +190,7 @@
             None => false,
         };
         let ready = before.iter().filter(|i| i.state == InstanceState::Ready);
-        ready.filter(cut).map(Instance::life).collect()
+        ready.filter(cut).map(Instance::incarnation).collect()
     }
 
     /// Iterates over all targets.
--- a/crates/deckwind-core/src/state/instances.rs
+++ b/crates/deckwind-core/src/state/instances.rs
@@ -73,7 +73,7 @@
 
 impl Instance {
     /// Returns the incarnation that this record describes.
-    pub fn life(&self) -> Incarnation {
+    pub fn incarnation(&self) -> Incarnation {
         Incarnation {
             id: self.id.clone(),
             born: self.born,
@@ -190,11 +190,11 @@
     }
 
     /// Compares an incarnation with the known one of the same target id.
-    pub fn incarnation_status(&self, life: &Incarnation) -> IncarnationStatus {
-        let known = self.get(&life.id).map(|i| i.born);
-        match self.ended.get(&life.id) {
-            Some(ended) => ended.incarnation_status(known, life.born),
-            None => EndedIncarnations::default().incarnation_status(known, life.born),
+    pub fn incarnation_status(&self, incarnation: &Incarnation) -> IncarnationStatus {
+        let known = self.get(&incarnation.id).map(|i| i.born);
+        match self.ended.get(&incarnation.id) {
+            Some(ended) => ended.incarnation_status(known, incarnation.born),
+            None => EndedIncarnations::default().incarnation_status(known, incarnation.born),
         }
     }
 
@@ -202,9 +202,9 @@
     /// must have ended before the announcement is accepted. `at_address` lists the
     /// incarnations at its address.
     pub fn blocked_by(&self, instance: &Instance, at_address: &[Incarnation]) -> Vec<Incarnation> {
-        let known = self.get(&instance.id).map(Instance::life);
+        let known = self.get(&instance.id).map(Instance::incarnation);
         let is_unconfirmed =
-            self.incarnation_status(&instance.life()) == IncarnationStatus::Doubtful;
+            self.incarnation_status(&instance.incarnation()) == IncarnationStatus::Doubtful;
         let others = at_address.iter().filter(|l| l.id != instance.id);
         let newer = others.filter(|l| may_be_older(instance.born, l.born));
         let known = known.filter(|_| is_unconfirmed);
@@ -229,13 +229,13 @@
             let InstanceChange::Announced { instance, over, .. } = change else {
                 return None;
             };
-            let known = self.get(&instance.id)?.life();
-            let is_newer = match self.incarnation_status(&instance.life()) {
+            let known = self.get(&instance.id)?.incarnation();
+            let is_newer = match self.incarnation_status(&instance.incarnation()) {
                 IncarnationStatus::Newer => true,
                 IncarnationStatus::Doubtful => over.contains(&known),
                 IncarnationStatus::Known | IncarnationStatus::Ended => false,
             };
-            is_newer.then(|| (known, instance.life()))
+            is_newer.then(|| (known, instance.incarnation()))
         };
         changes.iter().filter_map(ended_by_change).collect()
     }
@@ -256,10 +256,10 @@
             InstanceChange::Announced { instance, .. } => Some(instance),
             _ => None,
         });
-        let mut lives = self.incarnations_at_addresses_of(announced);
+        let mut incarnations = self.incarnations_at_addresses_of(announced);
         for change in changes {
             match change {
-                InstanceChange::Left(life) => self.apply_departure(&life, revision),
+                InstanceChange::Left(incarnation) => self.apply_departure(&incarnation, revision),
                 InstanceChange::Announced {
                     instance,
                     keep_layers,
@@ -268,18 +268,18 @@
                     if self.names_unknown_pool(&instance, release) {
                         continue;
                     }
-                    let at_address = lives.entry(instance.address).or_default();
+                    let at_address = incarnations.entry(instance.address).or_default();
                     let mut blocking = self.blocked_by(&instance, at_address).into_iter();
-                    if blocking.any(|life| !over.contains(&life)) {
+                    if blocking.any(|incarnation| !over.contains(&incarnation)) {
                         continue;
                     }
-                    let (life, address) = (instance.life(), instance.address);
-                    if is_layered(&instance.pool) && !self.all.contains_key(&life.id) {
-                        self.unseen.insert(life.id.clone());
+                    let (incarnation, address) = (instance.incarnation(), instance.address);
+                    if is_layered(&instance.pool) && !self.all.contains_key(&incarnation.id) {
+                        self.unseen.insert(incarnation.id.clone());
                     }
                     if self.apply_announcement(instance, keep_layers, revision) {
-                        self.end_other_incarnations(at_address, &life.id, address, revision);
-                        at_address.push(life);
+                        self.end_other_incarnations(at_address, &incarnation.id, address, revision);
+                        at_address.push(incarnation);
                     }
                 }
                 InstanceChange::Holds {
@@ -290,11 +290,13 @@
                     i.layers = layers;
                     i.in_memory = in_memory;
                 }),
-                InstanceChange::Silent(life) => self.update_known(&life, revision, |i| {
-                    if i.state == InstanceState::Ready {
-                        i.state = InstanceState::Silent;
-                    }
-                }),
+                InstanceChange::Silent(incarnation) => {
+                    self.update_known(&incarnation, revision, |i| {
+                        if i.state == InstanceState::Ready {
+                            i.state = InstanceState::Silent;
+                        }
+                    })
+                }
             }
         }
         self.evict_oldest_departed();
@@ -307,19 +309,23 @@
         &self,
         announced: impl Iterator<Item = &'a Instance>,
     ) -> BTreeMap<SocketAddr, Vec<Incarnation>> {
-        let incarnations_at =
-            |i: &Instance| (i.address, self.at(i.address).map(Instance::life).collect());
+        let incarnations_at = |i: &Instance| {
+            (
+                i.address,
+                self.at(i.address).map(Instance::incarnation).collect(),
+            )
+        };
         announced.map(incarnations_at).collect()
     }
 
     fn end_other_incarnations(
         &mut self,
-        lives: &mut Vec<Incarnation>,
+        incarnations: &mut Vec<Incarnation>,
         id: &str,
         address: SocketAddr,
         revision: Revision,
     ) {
-        for other in lives.drain(..).filter(|other| other.id != id) {
+        for other in incarnations.drain(..).filter(|other| other.id != id) {
             let is_at_address = self.get(&other.id).is_some_and(|o| o.address == address);
             if is_at_address {
                 self.end_known(&other.id, revision);
@@ -336,7 +342,7 @@
         keep_layers: bool,
         revision: Revision,
     ) -> bool {
-        match self.incarnation_status(&instance.life()) {
+        match self.incarnation_status(&instance.incarnation()) {
             IncarnationStatus::Ended => return false,
             IncarnationStatus::Newer | IncarnationStatus::Doubtful => {
                 self.end_known(&instance.id, revision)
@@ -361,16 +367,16 @@
 
     /// Records that an incarnation left: either the known one, or a newer one that
     /// never announced itself.
-    fn apply_departure(&mut self, life: &Incarnation, revision: Revision) {
-        let incarnation_status = self.incarnation_status(life);
+    fn apply_departure(&mut self, incarnation: &Incarnation, revision: Revision) {
+        let incarnation_status = self.incarnation_status(incarnation);
         let ends_known = matches!(
             incarnation_status,
             IncarnationStatus::Known | IncarnationStatus::Newer
         );
-        if ends_known && self.get(&life.id).is_some() {
-            self.end_known(&life.id, revision);
-            let ended = self.ended.entry(life.id.clone()).or_default();
-            ended.record(life.born);
+        if ends_known && self.get(&incarnation.id).is_some() {
+            self.end_known(&incarnation.id, revision);
+            let ended = self.ended.entry(incarnation.id.clone()).or_default();
+            ended.record(incarnation.born);
         }
     }
 
@@ -385,14 +391,16 @@
 
     fn update_known(
         &mut self,
-        life: &Incarnation,
+        incarnation: &Incarnation,
         revision: Revision,
         change: impl FnOnce(&mut Instance),
     ) {
-        let known = self.get(&life.id).filter(|i| i.born == life.born);
+        let known = self
+            .get(&incarnation.id)
+            .filter(|i| i.born == incarnation.born);
         if let Some(mut instance) = known.cloned() {
             change(&mut instance);
-            self.write(life.id.clone(), Some(instance), revision);
+            self.write(incarnation.id.clone(), Some(instance), revision);
         }
     }
 
--- a/crates/deckwind-core/src/state/quarantine.rs
+++ b/crates/deckwind-core/src/state/quarantine.rs
@@ -128,7 +128,7 @@
     fn record_crash(
         &mut self,
         content: ContentDigest,
-        life: Incarnation,
+        incarnation: Incarnation,
         begun: bool,
         now_ms: u64,
     ) {
@@ -140,10 +140,10 @@
             begun: 0,
             last_ms: now_ms,
         });
-        if suspect.ended.contains(&life) || suspect.ended.len() >= MAX_ENDS {
+        if suspect.ended.contains(&incarnation) || suspect.ended.len() >= MAX_ENDS {
             return;
         }
-        suspect.ended.push(life);
+        suspect.ended.push(incarnation);
         suspect.begun += u32::from(begun);
         suspect.last_ms = now_ms;
     }
@@ -193,11 +193,11 @@
         candidates.sort_by_key(|(_, s)| Reverse(s.evidence()));
         let mut culprits: Vec<(&ContentDigest, &Suspect)> = Vec::new();
         for (content, suspect) in candidates {
-            let is_explained = |life: &Incarnation| {
+            let is_explained = |incarnation: &Incarnation| {
                 let mut stronger = culprits
                     .iter()
                     .filter(|(_, s)| s.evidence() > suspect.evidence());
-                stronger.any(|(_, other)| other.ended.contains(life))
+                stronger.any(|(_, other)| other.ended.contains(incarnation))
             };
             if !suspect.ended.iter().all(is_explained) {
                 culprits.push((content, suspect));
--- a/crates/deckwind-core/src/state/state_machine.rs
+++ b/crates/deckwind-core/src/state/state_machine.rs
@@ -62,7 +62,7 @@
     }
 
     /// Returns the retry ledger.
-    pub fn repeats(&self) -> &RetryLedger {
+    pub fn retry_ledger(&self) -> &RetryLedger {
         &self.repeats
     }
 
--- a/crates/deckwind-testkit/src/fan_out.rs
+++ b/crates/deckwind-testkit/src/fan_out.rs
@@ -296,7 +296,7 @@
                 }
                 Arrival::Reply(router, reply) => self.handle_reply(router, *reply)?,
                 Arrival::Placed(order) => batch.push(ControlEvent::PlacementDone {
-                    life: order.life(),
+                    incarnation: order.incarnation(),
                     held: Some(order.layers),
                 }),
             }
--- a/crates/deckwind-testkit/src/placing.rs
+++ b/crates/deckwind-testkit/src/placing.rs
@@ -235,9 +235,10 @@
                 return;
             }
             let order = entry.remove();
-            self.manager.order_ended(self.now, &order.life(), true);
+            self.manager
+                .order_ended(self.now, &order.incarnation(), true);
             self.apply(vec![InstanceChange::Holds {
-                life: order.life(),
+                life: order.incarnation(),
                 layers: order.layers,
                 in_memory: order.layers.len(),
             }]);
--- a/crates/deckwind-testkit/tests/testsuite/instance_index.rs
+++ b/crates/deckwind-testkit/tests/testsuite/instance_index.rs
@@ -44,7 +44,7 @@
         let number = rng.random_range(0..30u16);
         let mut instance = engine(number, rng.random_range(0..5), round);
         instance.address.set_port(rng.random_range(1..20));
-        let life = instance.life();
+        let life = instance.incarnation();
         let change = match rng.random_range(0..6) {
             0 => InstanceChange::Left(life),
             1 => InstanceChange::Silent(life),
--- a/crates/deckwind-testkit/tests/testsuite/lives.rs
+++ b/crates/deckwind-testkit/tests/testsuite/lives.rs
@@ -31,7 +31,7 @@
 }
 
 fn life_id(born: Option<u64>) -> Incarnation {
-    announcement(born, 0, 0).life()
+    announcement(born, 0, 0).incarnation()
 }
 
 struct RestartRig {
@@ -282,8 +282,8 @@
 /// Results of the leader's own orders and probes that arrive after the incarnation that
 /// they concern has ended.
 #[parameterized(
-    an_order_that_ended = { ControlEvent::PlacementDone { life: life_id(Some(FIRST_BORN_MS)), held: Some(LayerRange::new(0, 8)) } },
-    a_probe_without_answer = { ControlEvent::Checked { life: life_id(Some(FIRST_BORN_MS)), is_running: false } },
+    an_order_that_ended = { ControlEvent::PlacementDone { incarnation: life_id(Some(FIRST_BORN_MS)), held: Some(LayerRange::new(0, 8)) } },
+    a_probe_without_answer = { ControlEvent::Checked { incarnation: life_id(Some(FIRST_BORN_MS)), is_running: false } },
 )]
 fn late_results_for_an_ended_incarnation_do_not_change_the_new_one(late: ControlEvent) {
     let mut rig = RestartRig::new();
@@ -382,26 +382,26 @@
         let born = Some(FIRST_BORN_MS);
         apply(&mut machine, announced(Instance { born, ..i.clone() }));
     }
-    let mut desk = PlacementManager::default();
+    let mut manager = PlacementManager::default();
     let mut now = Instant::from_millis(1_000);
-    let mut run_rounds = |desk: &mut PlacementManager, machine: &mut StateMachine| {
+    let mut run_rounds = |manager: &mut PlacementManager, machine: &mut StateMachine| {
         let mut orders = Vec::new();
         for _ in 0..20 {
             now = now + Duration::from_millis(100);
             let instances = machine.configuration().instances().clone();
-            let work = desk.next_step(now, &release, &instances);
+            let work = manager.next_step(now, &release, &instances);
             work.changes.into_iter().for_each(|c| apply(machine, c));
             orders.extend(work.orders);
         }
         (now, orders)
     };
-    let (at, first) = run_rounds(&mut desk, &mut machine);
+    let (at, first) = run_rounds(&mut manager, &mut machine);
     let (old, others) = first.split_first().expect("layers are placed");
     assert_eq!(old.born, Some(FIRST_BORN_MS));
     for order in others {
-        desk.order_ended(at, &order.life(), true);
+        manager.order_ended(at, &order.incarnation(), true);
         let held = InstanceChange::Holds {
-            life: order.life(),
+            life: order.incarnation(),
             layers: order.layers,
             in_memory: order.layers.len(),
         };
@@ -419,16 +419,16 @@
             ..again.clone()
         }),
     );
-    let (at, second) = run_rounds(&mut desk, &mut machine);
+    let (at, second) = run_rounds(&mut manager, &mut machine);
     let new = second.iter().find(|o| o.id == old.id);
     let new = new.expect("the new incarnation is given an order of its own");
     assert_eq!(
         (new.born, new.expected_layers),
         (born, LayerRange::default())
     );
-    desk.order_ended(at, &old.life(), true);
+    manager.order_ended(at, &old.incarnation(), true);
     assert!(
-        desk.is_order_in_flight(&new.life()),
+        manager.is_order_in_flight(&new.incarnation()),
         "the order to the new incarnation is still under way"
     );
 }
--- a/crates/deckwind-testkit/tests/testsuite/lives_at_routers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/lives_at_routers.rs
@@ -110,7 +110,7 @@
             state: InstanceState::Ready,
             ..instance.clone()
         });
-        let silent = InstanceChange::Silent(instance.life());
+        let silent = InstanceChange::Silent(instance.incarnation());
         let mut changes = vec![change];
         changes.extend((instance.state == InstanceState::Silent).then_some(silent));
         let body = CommandBody::Instances(changes);
--- a/crates/deckwind-testkit/tests/testsuite/notices.rs
+++ b/crates/deckwind-testkit/tests/testsuite/notices.rs
@@ -72,11 +72,11 @@
             notices.hear(
                 at(*when),
                 instance.address,
-                &instance.life(),
+                &instance.incarnation(),
                 &rest(*length),
             );
         }
-        let turns_away = notices.turns_away(at(ms), instance.address, &instance.life());
+        let turns_away = notices.turns_away(at(ms), instance.address, &instance.incarnation());
         assert_eq!(notices.rests_until(at(ms), &instance).is_some(), turns_away);
         turns_away
     };
@@ -96,11 +96,11 @@
     let (old, new) = (target(1, 7), target(1, 8));
     let mut notices = TargetNotices::default();
     if late {
-        notices.hear(START, new.address, &new.life(), &rest(1_000));
+        notices.hear(START, new.address, &new.incarnation(), &rest(1_000));
     }
-    notices.hear(at(10), old.address, &old.life(), &notice);
+    notices.hear(at(10), old.address, &old.incarnation(), &notice);
     let turns_away =
-        |n: &TargetNotices, i: &Instance, ms| n.turns_away(at(ms), i.address, &i.life());
+        |n: &TargetNotices, i: &Instance, ms| n.turns_away(at(ms), i.address, &i.incarnation());
     assert!(turns_away(&notices, &old, 1_500));
     assert!(!turns_away(&notices, &new, 1_500));
     assert_eq!(turns_away(&notices, &new, 500), late);
@@ -112,9 +112,9 @@
 fn a_notice_of_leaving_holds_as_long_as_its_incarnation() {
     let instance = target(1, 7);
     let mut notices = TargetNotices::default();
-    let heard = notices.hear(START, instance.address, &instance.life(), &leaves());
+    let heard = notices.hear(START, instance.address, &instance.incarnation(), &leaves());
     assert!(heard.leaves);
-    let again = notices.hear(at(5), instance.address, &instance.life(), &leaves());
+    let again = notices.hear(at(5), instance.address, &instance.incarnation(), &leaves());
     assert!(!again.leaves, "the notice is not new");
     notices.forget(at(30_000), |_| false);
     assert!(notices.leaves(&instance));
@@ -128,9 +128,14 @@
 fn a_rest_outlasts_that_its_target_is_not_known() {
     let instance = target(1, 7);
     let mut notices = TargetNotices::default();
-    notices.hear(START, instance.address, &instance.life(), &rest(3_000));
+    notices.hear(
+        START,
+        instance.address,
+        &instance.incarnation(),
+        &rest(3_000),
+    );
     notices.forget(at(2_000), |_| false);
-    assert!(notices.turns_away(at(2_999), instance.address, &instance.life()));
+    assert!(notices.turns_away(at(2_999), instance.address, &instance.incarnation()));
     notices.forget(at(3_000), |_| true);
     assert_eq!(notices.resting(at(2_000)), 0, "the rest period is over");
 }
@@ -144,13 +149,13 @@
         notices.hear(
             at(n.into()),
             instance.address,
-            &instance.life(),
+            &instance.incarnation(),
             &rest(300_000),
         );
     }
     assert_eq!(notices.resting(at(10_000)), 4_096);
     let last = target(9_999, 7);
-    assert!(notices.turns_away(at(10_000), last.address, &last.life()));
+    assert!(notices.turns_away(at(10_000), last.address, &last.incarnation()));
 }
 
 /// Compares random sequences of notices with a plain record of all of them.
@@ -175,7 +180,7 @@
                 }
                 _ => TargetNotice::default(),
             };
-            notices.hear(at(ms), instance.address, &instance.life(), &notice);
+            notices.hear(at(ms), instance.address, &instance.incarnation(), &notice);
             if let Some(rest) = notice.rest {
                 let until = rests.entry((n, born)).or_insert(START);
                 *until = (*until).max(at(ms) + rest);
@@ -185,7 +190,7 @@
             }
             let until = rests.get(&(n, born)).copied().unwrap_or(START);
             let expected = leaving.contains(&(n, born)) || until > at(ms);
-            let turns_away = notices.turns_away(at(ms), instance.address, &instance.life());
+            let turns_away = notices.turns_away(at(ms), instance.address, &instance.incarnation());
             assert_eq!(turns_away, expected, "seed {seed} at {ms} ms");
         }
     }
@@ -222,10 +227,10 @@
             TargetNotice::default()
         };
         book.notices
-            .hear(START, instance.address, &instance.life(), &notice);
+            .hear(START, instance.address, &instance.incarnation(), &notice);
     }
     for n in leaving {
-        let life = target(*n, 7).life();
+        let life = target(*n, 7).incarnation();
         book.notices.hear(START, address(*n), &life, &leaves());
     }
     match (choose(&book, &targets, sent_to), expected) {
@@ -282,7 +287,7 @@
     for (instance, notice) in used.iter().flat_map(|e| [(e, rest(500)), (e, leaves())]) {
         let mut book = TargetBook::default();
         book.notices
-            .hear(START, instance.address, &instance.life(), &notice);
+            .hear(START, instance.address, &instance.incarnation(), &notice);
         let chosen =
             path(&book, &engines, &HashSet::new()).expect("a path in the other data centre");
         let stages = chosen.path.expect("a path").stages;
@@ -298,13 +303,17 @@
     let mut book = TargetBook::default();
     for (instance, ms) in first.iter().zip([3_000, 2_000]) {
         book.notices
-            .hear(START, instance.address, &instance.life(), &rest(ms));
+            .hear(START, instance.address, &instance.incarnation(), &rest(ms));
     }
     // The rest periods of the last stages are longer than one of the first, and a path over
     // two data centres would need one of them too.
     for instance in engines.iter().filter(|e| e.layers.last == model().layers) {
-        book.notices
-            .hear(START, instance.address, &instance.life(), &rest(2_500));
+        book.notices.hear(
+            START,
+            instance.address,
+            &instance.incarnation(),
+            &rest(2_500),
+        );
     }
     let avoid: HashSet<SocketAddr> = engines.iter().map(|e| e.address).collect();
     for avoid in [HashSet::new(), avoid] {
@@ -330,7 +339,7 @@
     let mut book = TargetBook::default();
     for (instance, ms) in targets.iter().zip([1_000, 9_000]) {
         book.notices
-            .hear(START, instance.address, &instance.life(), &rest(ms));
+            .hear(START, instance.address, &instance.incarnation(), &rest(ms));
     }
     let error =
         choose(&book, &targets, &[]).expect_err("one target drains, one is in a rest period");
--- a/crates/deckwind-testkit/tests/testsuite/placement.rs
+++ b/crates/deckwind-testkit/tests/testsuite/placement.rs
@@ -209,7 +209,7 @@
 
 /// Drives a [`PlacementManager`] against a state machine, as a leader does.
 struct PlacementRig {
-    desk: PlacementManager,
+    manager: PlacementManager,
     machine: StateMachine,
     release: Release,
     now_ms: u64,
@@ -228,7 +228,7 @@
             ..Release::default()
         };
         let mut rig = Self {
-            desk: PlacementManager::default(),
+            manager: PlacementManager::default(),
             machine: StateMachine::default(),
             release,
             now_ms: 1_000,
@@ -263,7 +263,7 @@
         self.now_ms += 100;
         let now = Instant::from_millis(self.now_ms);
         let instances = self.machine.configuration().instances().clone();
-        let work = self.desk.next_step(now, &self.release, &instances);
+        let work = self.manager.next_step(now, &self.release, &instances);
         self.apply(work.changes);
         let interrupting = work.orders.iter().filter(|o| {
             let kept = common(o.expected_layers, o.layers) == o.expected_layers;
@@ -271,10 +271,10 @@
         });
         let counts = (work.orders.len(), interrupting.count());
         for order in work.orders {
-            self.desk.order_ended(now, &order.life(), true);
+            self.manager.order_ended(now, &order.incarnation(), true);
             let layers = order.layers;
             self.apply(vec![InstanceChange::Holds {
-                life: order.life(),
+                life: order.incarnation(),
                 layers,
                 in_memory: layers.len(),
             }]);
@@ -375,7 +375,7 @@
         rig.now_ms += 100;
         let instances = rig.instances().clone();
         let now = Instant::from_millis(rig.now_ms);
-        let work = rig.desk.next_step(now, &rig.release, &instances);
+        let work = rig.manager.next_step(now, &rig.release, &instances);
         rig.apply(work.changes);
         orders = work.orders;
     }
--- a/crates/deckwind-testkit/tests/testsuite/placement_at_size.rs
+++ b/crates/deckwind-testkit/tests/testsuite/placement_at_size.rs
@@ -16,7 +16,7 @@
 
 /// Drives a [`PlacementManager`] against a state machine, as a leader does.
 struct PlacementRig {
-    desk: PlacementManager,
+    manager: PlacementManager,
     machine: StateMachine,
     release: Release,
     now: Instant,
@@ -25,7 +25,7 @@
 impl PlacementRig {
     fn new(fleet: Vec<Instance>) -> Self {
         let mut rig = Self {
-            desk: PlacementManager::default(),
+            manager: PlacementManager::default(),
             machine: StateMachine::default(),
             release: engine_release(1, 1),
             now: Instant::from_millis(1_000),
@@ -47,12 +47,13 @@
     fn run_round(&mut self) -> PlacementStep {
         self.now = self.now + ROUND_INTERVAL;
         let instances = self.instances().clone();
-        let work = self.desk.next_step(self.now, &self.release, &instances);
+        let work = self.manager.next_step(self.now, &self.release, &instances);
         self.apply(work.changes.clone());
         for order in &work.orders {
-            self.desk.order_ended(self.now, &order.life(), true);
+            self.manager
+                .order_ended(self.now, &order.incarnation(), true);
             self.apply(vec![InstanceChange::Holds {
-                life: order.life(),
+                life: order.incarnation(),
                 layers: order.layers,
                 in_memory: order.layers.len(),
             }]);
@@ -68,9 +69,9 @@
 
     /// Runs one round and returns the number of engines that it scanned.
     fn run_round_counting_scans(&mut self) -> u64 {
-        let before = self.desk.rows_scanned();
+        let before = self.manager.rows_scanned();
         self.run_round();
-        self.desk.rows_scanned() - before
+        self.manager.rows_scanned() - before
     }
 }
 
@@ -88,7 +89,7 @@
     assert!(rig.run_rounds(40) > 0);
     assert_eq!(rig.run_round_counting_scans(), 0, "all layers are placed");
     let held = rig.instances().iter().find(|i| !i.layers.is_empty());
-    let lost = held.map(Instance::life).expect("one holds layers");
+    let lost = held.map(Instance::incarnation).expect("one holds layers");
     rig.apply(vec![InstanceChange::Left(lost)]);
     let max_scanned = engines as u64 / 3 + MAX_REPAIRED;
     let scanned: Vec<u64> = (0..10).map(|_| rig.run_round_counting_scans()).collect();
@@ -180,7 +181,7 @@
     assert_eq!(ids.len(), 300);
     for id in ids {
         assert!(
-            rig.desk.ordered_layers(&id).is_none(),
+            rig.manager.ordered_layers(&id).is_none(),
             "the order to {id} is still under way"
         );
     }
--- a/crates/deckwind-testkit/tests/testsuite/repeats.rs
+++ b/crates/deckwind-testkit/tests/testsuite/repeats.rs
@@ -75,7 +75,7 @@
     let leader = lab.run_until_led();
     let committed_entries = |lab: &Lab| {
         let node = lab.node(leader).expect("the replica runs");
-        node.core().state_machine().repeats().iter().count()
+        node.core().state_machine().retry_ledger().iter().count()
     };
     while committed_entries(&lab) == 0 {
         lab.step();
@@ -86,7 +86,7 @@
     lab.crash(leader, 0);
     let next = lab.run_until_led();
     let node = lab.node(next).expect("it leads");
-    assert!(node.core().state_machine().repeats().iter().count() > 0);
+    assert!(node.core().state_machine().retry_ledger().iter().count() > 0);
     lab.run_for(Duration::from_secs(2));
     let now = lab.now();
     let retries_left = lab.routers.iter_mut().map(|r| r.repeats_left(now));
--- a/crates/deckwind-testkit/tests/testsuite/tries.rs
+++ b/crates/deckwind-testkit/tests/testsuite/tries.rs
@@ -28,7 +28,10 @@
 ) {
     let target = Instance { state, ..target() };
     let index = index_after(&target, changes);
-    assert_eq!(index.has_ended(target.address, &target.life()), ended);
+    assert_eq!(
+        index.has_ended(target.address, &target.incarnation()),
+        ended
+    );
 }
 
 /// Guards against subtracting an ended engine once for each check: one end then gave a
@@ -40,15 +43,15 @@
     let running_index = index_after(&first, &[]);
     let ended_index = index_after(&first, &[announced_at_same_address("a-fast-0", Some(5))]);
     let mut attempts = Tries::new(ATTEMPTS);
-    attempts.sent(first.address, first.life());
+    attempts.sent(first.address, first.incarnation());
     assert!(attempts.left(&running_index), "one more attempt");
     for _ in 0..10 {
         assert!(attempts.left(&ended_index), "two more attempts");
     }
-    attempts.sent(other.address, other.life());
+    attempts.sent(other.address, other.incarnation());
     assert!(!attempts.left(&running_index), "both targets run");
     assert!(attempts.left(&ended_index), "one target has ended");
-    attempts.sent(third.address, third.life());
+    attempts.sent(third.address, third.incarnation());
     assert!(!attempts.left(&ended_index), "two targets run");
     assert_eq!((attempts.count(), attempts.ended(&ended_index)), (3, 1));
 }
@@ -58,10 +61,10 @@
     let first = target();
     let running_index = index_after(&first, &[]);
     let mut attempts = Tries::new(ATTEMPTS);
-    attempts.sent(first.address, first.life());
+    attempts.sent(first.address, first.incarnation());
     for _ in 0..3 {
         let refuses = another("b-fast-0");
-        attempts.sent(refuses.address, refuses.life());
+        attempts.sent(refuses.address, refuses.incarnation());
         attempts.not_run();
     }
     assert_eq!(attempts.count(), 1);
--- a/crates/deckwindd/src/control/calls.rs
+++ b/crates/deckwindd/src/control/calls.rs
@@ -264,7 +264,7 @@
         }
         ControlCall::Document => OperatorRequest::Document,
         ControlCall::Announce(instance) => OperatorRequest::Announce(instance),
-        ControlCall::Leave(life) => OperatorRequest::Leave(life),
+        ControlCall::Leave(incarnation) => OperatorRequest::Leave(incarnation),
     }
 }
 
--- a/crates/deckwindd/src/control/driver.rs
+++ b/crates/deckwindd/src/control/driver.rs
@@ -212,8 +212,11 @@
             }
             Input::OrdersDone(target, accepted) => ControlEvent::OrdersDone { target, accepted },
             Input::Heard(heard) => ControlEvent::AnnouncementReport(heard),
-            Input::Placed(life, held) => ControlEvent::PlacementDone { life, held },
-            Input::Checked(life, is_running) => ControlEvent::Checked { life, is_running },
+            Input::Placed(incarnation, held) => ControlEvent::PlacementDone { incarnation, held },
+            Input::Checked(incarnation, is_running) => ControlEvent::Checked {
+                incarnation,
+                is_running,
+            },
             Input::Pace(address, percent) => ControlEvent::Pace { address, percent },
             Input::Seeds(slots) => ControlEvent::Replica(Event::Seeds(slots.into_iter().collect())),
             Input::Answers(answers) => ControlEvent::Answered(answers.into_answers()),
@@ -226,10 +229,15 @@
             Effect::Send(message) => self.senders.send(message),
             Effect::ForwardRequests(slot, requests) => self.forward_requests(slot, requests),
             Effect::ReportAnnouncements(slot, heard) => self.senders.report_heard(slot, heard),
-            Effect::Check(life, address) => {
+            Effect::Check(incarnation, address) => {
                 let dialect = self.dialect.clone();
-                let checking =
-                    target_check::check(life, address, dialect, self.handle.clone(), self.clock);
+                let checking = target_check::check(
+                    incarnation,
+                    address,
+                    dialect,
+                    self.handle.clone(),
+                    self.clock,
+                );
                 self.runtime.spawn(checking);
             }
             Effect::LogIncarnationDecision(note) => log_incarnation_decision(&note),
@@ -322,13 +330,13 @@
 
 fn log_incarnation_decision(note: &IncarnationDecision) {
     match note {
-        IncarnationDecision::Ended { life, by } => {
+        IncarnationDecision::Ended { incarnation, by } => {
             metrics::counter!("deckwind_control_lives_ended_total").increment(1);
-            log::info!("event=life_ended life={life} by={by}");
+            log::info!("event=life_ended life={incarnation} by={by}");
         }
-        IncarnationDecision::Unconfirmed { life, over } => {
+        IncarnationDecision::Unconfirmed { incarnation, over } => {
             metrics::counter!("deckwind_control_lives_doubted_total").increment(1);
-            log::info!("event=life_doubted life={life} over={over}");
+            log::info!("event=life_doubted life={incarnation} over={over}");
         }
     }
 }
--- a/crates/deckwindd/src/control/node.rs
+++ b/crates/deckwindd/src/control/node.rs
@@ -192,7 +192,10 @@
                 effects.push(Effect::OperatorReply(token, reply));
             }
             ControlAction::Order(batch) => effects.push(Effect::Order(batch)),
-            ControlAction::Check { life, address } => effects.push(Effect::Check(life, address)),
+            ControlAction::Check {
+                incarnation,
+                address,
+            } => effects.push(Effect::Check(incarnation, address)),
             ControlAction::LogIncarnationDecision(note) => {
                 effects.push(Effect::LogIncarnationDecision(note))
             }
--- a/crates/deckwindd/src/control/placement_task.rs
+++ b/crates/deckwindd/src/control/placement_task.rs
@@ -47,7 +47,7 @@
         Some(Err(why)) => task.log_failure(&why),
         None => task.log_failure("timed out"),
     };
-    handle.send(Input::Placed(task.order.life(), held));
+    handle.send(Input::Placed(task.order.incarnation(), held));
 }
 
 /// Result of sending an order.
@@ -132,7 +132,7 @@
         log::info!(
             "event=target_asks_rest target={} life={} to=order rest_ms={}",
             self.order.address,
-            self.order.life(),
+            self.order.incarnation(),
             rest.as_millis()
         );
         // Waits for a minimum time, also if the engine asks for a rest period of 0.
--- a/crates/deckwindd/src/control/target_check.rs
+++ b/crates/deckwindd/src/control/target_check.rs
@@ -18,7 +18,7 @@
 /// means that this one has ended. Two requests are sent in parallel, because a packet of
 /// one may be lost.
 pub async fn check(
-    life: Incarnation,
+    incarnation: Incarnation,
     address: SocketAddr,
     dialect: Arc<dyn EngineDialect>,
     handle: ControlHandle,
@@ -30,7 +30,7 @@
         let calling = call_target(&connections, address, &call, CHECK_TIMEOUT);
         match tokio::time::timeout(CHECK_TIMEOUT, calling).await {
             Ok(Ok(reply)) => match dialect.read_report(&reply.body) {
-                Ok(report) if report.is_of_other_incarnation(life.born) => {
+                Ok(report) if report.is_of_other_incarnation(incarnation.born) => {
                     Err("the report is of another incarnation".to_string())
                 }
                 _ => Ok(()),
@@ -42,7 +42,7 @@
     let (first, second) = tokio::join!(request(), request());
     let is_running = first.is_ok() || second.is_ok();
     if let (Err(e), Err(_)) = (first, second) {
-        log::warn!("event=target_not_there life={life} address={address} error={e:?}");
+        log::warn!("event=target_not_there life={incarnation} address={address} error={e:?}");
     }
-    handle.send(Input::Checked(life, is_running));
+    handle.send(Input::Checked(incarnation, is_running));
 }
--- a/crates/deckwindd/src/router/routes/target_notices.rs
+++ b/crates/deckwindd/src/router/routes/target_notices.rs
@@ -56,7 +56,7 @@
     fn incarnation_at(&self, address: SocketAddr) -> Option<Incarnation> {
         let instances = self.instances();
         let instance = instances.iter().find(|i| i.address == address);
-        instance.map(Instance::life)
+        instance.map(Instance::incarnation)
     }
 
     /// Applies what a target's answer reports about the target, whatever the status of
