--- a/crates/deckwind-core/src/control/announcement_reports.rs
+++ b/crates/deckwind-core/src/control/announcement_reports.rs
@@ -5,7 +5,7 @@
 //! and reports them to the leader at intervals:
 //!
 //! ```text
-//!  targets ─► any replica ──► HeardTargets, one message for many ──► leader ─► one entry
+//!  targets ─► any replica ──► AnnouncementReport, one message for many ──► leader ─► one entry
 //! ```
 //!
 //! A ready target gets no guarantee, so it is answered at once; a lost message costs it one
--- a/crates/deckwind-core/src/control/control_core.rs
+++ b/crates/deckwind-core/src/control/control_core.rs
@@ -185,7 +185,7 @@
         let retry_allocator = leader_state.and_then(|l| l.retry_allocator.as_ref());
         ScanCounts {
             leases,
-            repeats: retry_allocator.map_or(0, RetryBudgetAllocator::rows_scanned),
+            retries: retry_allocator.map_or(0, RetryBudgetAllocator::rows_scanned),
             cards: leader_state.map_or(0, |l| l.placement.rows_scanned()),
             ..self.scan_counts
         }
@@ -262,7 +262,7 @@
     }
 
     fn step_replica(&mut self, now: Instant, event: Event, out: &mut Vec<ControlAction>) {
-        if matches!(event, Event::Compacted(_)) {
+        if matches!(event, Event::SnapshotSynced(_)) {
             self.is_compacting = false;
         }
         let mut actions = Vec::new();
--- a/crates/deckwind-core/src/control/event.rs
+++ b/crates/deckwind-core/src/control/event.rs
@@ -158,7 +158,7 @@
         reply: OperatorReply,
     },
     /// Write this snapshot and a log that starts after it, then report
-    /// [`Event::Compacted`].
+    /// [`Event::SnapshotSynced`].
     Compact {
         /// Position and members covered by the snapshot.
         meta: SnapshotMeta,
--- a/crates/deckwind-core/src/control/scan_counts.rs
+++ b/crates/deckwind-core/src/control/scan_counts.rs
@@ -13,7 +13,7 @@
     /// Targets in the replicated state.
     pub targets: u64,
     /// Rows of the retry budget: routers' reports and allowances.
-    pub repeats: u64,
+    pub retries: u64,
     /// Engines, for the placement of layers.
     pub cards: u64,
 }
--- a/crates/deckwind-core/src/control/target_limiter.rs
+++ b/crates/deckwind-core/src/control/target_limiter.rs
@@ -5,7 +5,7 @@
 //! without a permit isn't sent:
 //!
 //! ```text
-//!  router ── permits wanted, limit as received ──► LimitDesk (leader) ── paced by rate
+//!  router ── permits wanted, limit as received ──► TargetLimiter (leader) ── paced by rate
 //!         ◄─ permits, each with its start time ───
 //! ```
 //!
--- a/crates/deckwind-core/src/replication/replica.rs
+++ b/crates/deckwind-core/src/replication/replica.rs
@@ -138,10 +138,10 @@
             Event::Tick => self.tick(now, out),
             Event::Receive(message) => self.receive(now, message, out),
             Event::Propose { token, command } => self.propose(token, command, out),
-            Event::Seeds(slots) => self.set_seeds(slots),
+            Event::SeedsChanged(slots) => self.set_seeds(slots),
             Event::Change(change) => self.change_members(change, out),
             Event::Synced(at) => self.on_synced(at, out),
-            Event::Compacted(through) => self.on_compacted(through),
+            Event::SnapshotSynced(through) => self.on_compacted(through),
         }
         self.save_if_changed(out);
     }
--- a/crates/deckwind-core/src/replication/types.rs
+++ b/crates/deckwind-core/src/replication/types.rs
@@ -134,13 +134,13 @@
         command: Vec<u8>,
     },
     /// The settings have changed; these are the slots of the seeds now.
-    Seeds(BTreeSet<u32>),
+    SeedsChanged(BTreeSet<u32>),
     /// An operator requests a change of the members.
     Change(MemberChange),
     /// The log is synced up to this position.
     Synced(Position),
     /// The driver has synced a snapshot up to this index.
-    Compacted(Index),
+    SnapshotSynced(Index),
 }
 
 /// Rejection of a proposal. The command was not appended to any log.
--- a/crates/deckwind-testkit/tests/testsuite/growth.rs
+++ b/crates/deckwind-testkit/tests/testsuite/growth.rs
@@ -49,7 +49,7 @@
         renewals: after.renewals - before.renewals,
         leases: after.leases - before.leases,
         targets: after.targets - before.targets,
-        repeats: after.repeats - before.repeats,
+        retries: after.retries - before.retries,
         cards: after.cards - before.cards,
     };
     (rows_scanned, fan_out.take_carried())
@@ -106,7 +106,7 @@
 fn scans_of_retry_allowances_cost_the_same_with_any_number_of_routers() {
     let (few, _) = settled_cost(400, 150, 0);
     let (many, _) = settled_cost(800, 150, 0);
-    let grown = many.repeats as f64 / few.repeats as f64;
+    let grown = many.retries as f64 / few.retries as f64;
     assert!(grown < 1.3, "{grown}: {few:?} {many:?}");
 }
 
--- a/crates/deckwindd/src/control/driver.rs
+++ b/crates/deckwindd/src/control/driver.rs
@@ -218,7 +218,9 @@
                 is_running,
             },
             Input::Pace(address, percent) => ControlEvent::Pace { address, percent },
-            Input::Seeds(slots) => ControlEvent::Replica(Event::Seeds(slots.into_iter().collect())),
+            Input::Seeds(slots) => {
+                ControlEvent::Replica(Event::SeedsChanged(slots.into_iter().collect()))
+            }
             Input::Answers(answers) => ControlEvent::Answered(answers.into_answers()),
             Input::PassedOn(_) | Input::Stop => ControlEvent::Tick,
         }
--- a/crates/deckwindd/src/control/node.rs
+++ b/crates/deckwindd/src/control/node.rs
@@ -163,7 +163,11 @@
                     let through = meta.last.index;
                     self.store
                         .compact(meta, data, self.core.hard_state(), rest)?;
-                    self.step(now, ControlEvent::Replica(Event::Compacted(through)), out);
+                    self.step(
+                        now,
+                        ControlEvent::Replica(Event::SnapshotSynced(through)),
+                        out,
+                    );
                 }
                 ControlAction::Stop(why) => return Err(why.into()),
                 other => after_sync.push(other),
