--- a/crates/deckwind-core/src/control/looks.rs
+++ b/crates/deckwind-core/src/control/scan_counts.rs
@@ -5,7 +5,7 @@
 /// started, the others since it became the leader. The number of rows per event must not
 /// grow with the number of routers or targets.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Looks {
+pub struct ScanCounts {
     /// Renewals that wait for an answer.
     pub renewals: u64,
     /// Leases of routers.
@@ -13,7 +13,7 @@
     /// Targets in the replicated state.
     pub targets: u64,
     /// Rows of the retry budget: routers' reports and allowances.
-    pub repeats: u64,
+    pub retries: u64,
     /// Engines, for the placement of layers.
     pub cards: u64,
 }
--- a/crates/deckwind-core/src/state/instances.rs
+++ b/crates/deckwind-core/src/state/instances.rs
@@ -7,7 +7,7 @@
 //!     silent ──────────────────────────────────┘
 //! ```
 //!
-//! A target that restarts under its id is a new incarnation ([`Life`]): its first
+//! A target that restarts under its id is a new incarnation ([`Incarnation`]): its first
 //! announcement replaces all state of the previous one.
 //!
 //! Each change goes through the log, so that what was acknowledged to a target
@@ -15,8 +15,8 @@
 //! its lease.
 
 use super::configuration::Versioned;
+use super::incarnations::{EndedIncarnations, Incarnation, IncarnationStatus, may_be_older};
 use super::instance_index::InstanceIndex;
-use super::lives::{EndedLives, Life, Standing, may_be_older};
 use super::names::{DataCentre, Revision};
 use super::objects::LayerRange;
 use super::release::Release;
@@ -73,8 +73,8 @@
 
 impl Instance {
     /// Returns the incarnation that this record describes.
-    pub fn life(&self) -> Life {
-        Life {
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation {
             id: self.id.clone(),
             born: self.born,
         }
@@ -94,13 +94,13 @@
         keep_layers: bool,
         /// Incarnations found silent, which this one may replace although it reports
         /// an earlier start time.
-        over: Vec<Life>,
+        over: Vec<Incarnation>,
     },
     /// The instance holds these layers. Has no effect if another incarnation is
     /// known by now.
     Holds {
         /// The incarnation.
-        life: Life,
+        life: Incarnation,
         /// Layers available to requests.
         layers: LayerRange,
         /// Number of layers that occupy memory.
@@ -108,9 +108,9 @@
     },
     /// The instance has not announced itself to the leader for some time. Has no
     /// effect if another incarnation is known by now.
-    Silent(Life),
+    Silent(Incarnation),
     /// The instance has left. Has no effect if a newer incarnation is known by now.
-    Left(Life),
+    Left(Incarnation),
 }
 
 /// Maximum number of instances that have left and are still recorded, so that a late
@@ -128,7 +128,7 @@
     #[serde(skip)]
     index: Arc<InstanceIndex>,
     /// Ended incarnations by target id. Routers do not need them.
-    ended: BTreeMap<InstanceId, EndedLives>,
+    ended: BTreeMap<InstanceId, EndedIncarnations>,
     /// Engines of layered pools that have never held layers. They are not sent to
     /// routers, which cannot select them: of 3,000 engines 2,600 are spare. The set
     /// is not in snapshots; a replica that starts from a snapshot sends all engines,
@@ -141,7 +141,7 @@
 #[derive(Deserialize)]
 struct Written {
     all: BTreeMap<InstanceId, Versioned<Instance>>,
-    ended: BTreeMap<InstanceId, EndedLives>,
+    ended: BTreeMap<InstanceId, EndedIncarnations>,
 }
 
 impl From<Written> for Instances {
@@ -175,12 +175,12 @@
 
     /// Iterates over the ids of all instances written after `since`, including those
     /// that have left.
-    pub fn written_since(&self, since: Revision) -> impl Iterator<Item = &InstanceId> {
+    pub fn changed_since_ids(&self, since: Revision) -> impl Iterator<Item = &InstanceId> {
         self.index.written_after(since)
     }
 
     /// Returns the last revision that wrote an instance; zero if there is none.
-    pub fn written_upto(&self) -> Revision {
+    pub fn last_written(&self) -> Revision {
         self.index.last_revision()
     }
 
@@ -190,20 +190,21 @@
     }
 
     /// Compares an incarnation with the known one of the same target id.
-    pub fn standing(&self, life: &Life) -> Standing {
-        let known = self.get(&life.id).map(|i| i.born);
-        match self.ended.get(&life.id) {
-            Some(ended) => ended.standing(known, life.born),
-            None => EndedLives::default().standing(known, life.born),
+    pub fn incarnation_status(&self, incarnation: &Incarnation) -> IncarnationStatus {
+        let known = self.get(&incarnation.id).map(|i| i.born);
+        match self.ended.get(&incarnation.id) {
+            Some(ended) => ended.incarnation_status(known, incarnation.born),
+            None => EndedIncarnations::default().incarnation_status(known, incarnation.born),
         }
     }
 
     /// Returns the incarnations that may be newer than the announced one, and therefore
     /// must have ended before the announcement is accepted. `at_address` lists the
     /// incarnations at its address.
-    pub fn doubted_by(&self, instance: &Instance, at_address: &[Life]) -> Vec<Life> {
-        let known = self.get(&instance.id).map(Instance::life);
-        let is_unconfirmed = self.standing(&instance.life()) == Standing::Doubtful;
+    pub fn blocked_by(&self, instance: &Instance, at_address: &[Incarnation]) -> Vec<Incarnation> {
+        let known = self.get(&instance.id).map(Instance::incarnation);
+        let is_unconfirmed =
+            self.incarnation_status(&instance.incarnation()) == IncarnationStatus::Doubtful;
         let others = at_address.iter().filter(|l| l.id != instance.id);
         let newer = others.filter(|l| may_be_older(instance.born, l.born));
         let known = known.filter(|_| is_unconfirmed);
@@ -212,7 +213,7 @@
 
     /// Returns whether an announcement names a pool that the release does not have,
     /// and would modify or end a recorded instance.
-    pub fn is_misplaced(&self, instance: &Instance, release: Option<&Release>) -> bool {
+    pub fn names_unknown_pool(&self, instance: &Instance, release: Option<&Release>) -> bool {
         if release.is_none_or(|r| r.pool(&instance.pool).is_some()) {
             return false;
         }
@@ -223,18 +224,18 @@
 
     /// Returns the incarnations that these changes end because newer incarnations of
     /// the same targets announced themselves, as pairs of old and new.
-    pub fn ended_by(&self, changes: &[InstanceChange]) -> Vec<(Life, Life)> {
+    pub fn superseded_by(&self, changes: &[InstanceChange]) -> Vec<(Incarnation, Incarnation)> {
         let ended_by_change = |change: &InstanceChange| {
             let InstanceChange::Announced { instance, over, .. } = change else {
                 return None;
             };
-            let known = self.get(&instance.id)?.life();
-            let is_newer = match self.standing(&instance.life()) {
-                Standing::Newer => true,
-                Standing::Doubtful => over.contains(&known),
-                Standing::Known | Standing::Ended => false,
+            let known = self.get(&instance.id)?.incarnation();
+            let is_newer = match self.incarnation_status(&instance.incarnation()) {
+                IncarnationStatus::Newer => true,
+                IncarnationStatus::Doubtful => over.contains(&known),
+                IncarnationStatus::Known | IncarnationStatus::Ended => false,
             };
-            is_newer.then(|| (known, instance.life()))
+            is_newer.then(|| (known, instance.incarnation()))
         };
         changes.iter().filter_map(ended_by_change).collect()
     }
@@ -255,30 +256,30 @@
             InstanceChange::Announced { instance, .. } => Some(instance),
             _ => None,
         });
-        let mut lives = self.lives_at_addresses_of(announced);
+        let mut incarnations = self.incarnations_at_addresses_of(announced);
         for change in changes {
             match change {
-                InstanceChange::Left(life) => self.apply_departure(&life, revision),
+                InstanceChange::Left(incarnation) => self.apply_departure(&incarnation, revision),
                 InstanceChange::Announced {
                     instance,
                     keep_layers,
                     over,
                 } => {
-                    if self.is_misplaced(&instance, release) {
+                    if self.names_unknown_pool(&instance, release) {
                         continue;
                     }
-                    let at_address = lives.entry(instance.address).or_default();
-                    let mut blocking = self.doubted_by(&instance, at_address).into_iter();
-                    if blocking.any(|life| !over.contains(&life)) {
+                    let at_address = incarnations.entry(instance.address).or_default();
+                    let mut blocking = self.blocked_by(&instance, at_address).into_iter();
+                    if blocking.any(|incarnation| !over.contains(&incarnation)) {
                         continue;
                     }
-                    let (life, address) = (instance.life(), instance.address);
-                    if is_layered(&instance.pool) && !self.all.contains_key(&life.id) {
-                        self.unseen.insert(life.id.clone());
+                    let (incarnation, address) = (instance.incarnation(), instance.address);
+                    if is_layered(&instance.pool) && !self.all.contains_key(&incarnation.id) {
+                        self.unseen.insert(incarnation.id.clone());
                     }
                     if self.apply_announcement(instance, keep_layers, revision) {
-                        self.end_other_lives(at_address, &life.id, address, revision);
-                        at_address.push(life);
+                        self.end_other_incarnations(at_address, &incarnation.id, address, revision);
+                        at_address.push(incarnation);
                     }
                 }
                 InstanceChange::Holds {
@@ -289,11 +290,13 @@
                     i.layers = layers;
                     i.in_memory = in_memory;
                 }),
-                InstanceChange::Silent(life) => self.update_known(&life, revision, |i| {
-                    if i.state == InstanceState::Ready {
-                        i.state = InstanceState::Silent;
-                    }
-                }),
+                InstanceChange::Silent(incarnation) => {
+                    self.update_known(&incarnation, revision, |i| {
+                        if i.state == InstanceState::Ready {
+                            i.state = InstanceState::Silent;
+                        }
+                    })
+                }
             }
         }
         self.evict_oldest_departed();
@@ -302,22 +305,27 @@
     }
 
     /// Returns the incarnations at the addresses of these instances.
-    pub fn lives_at_addresses_of<'a>(
+    pub fn incarnations_at_addresses_of<'a>(
         &self,
         announced: impl Iterator<Item = &'a Instance>,
-    ) -> BTreeMap<SocketAddr, Vec<Life>> {
-        let lives_at = |i: &Instance| (i.address, self.at(i.address).map(Instance::life).collect());
-        announced.map(lives_at).collect()
+    ) -> BTreeMap<SocketAddr, Vec<Incarnation>> {
+        let incarnations_at = |i: &Instance| {
+            (
+                i.address,
+                self.at(i.address).map(Instance::incarnation).collect(),
+            )
+        };
+        announced.map(incarnations_at).collect()
     }
 
-    fn end_other_lives(
+    fn end_other_incarnations(
         &mut self,
-        lives: &mut Vec<Life>,
+        incarnations: &mut Vec<Incarnation>,
         id: &str,
         address: SocketAddr,
         revision: Revision,
     ) {
-        for other in lives.drain(..).filter(|other| other.id != id) {
+        for other in incarnations.drain(..).filter(|other| other.id != id) {
             let is_at_address = self.get(&other.id).is_some_and(|o| o.address == address);
             if is_at_address {
                 self.end_known(&other.id, revision);
@@ -326,7 +334,7 @@
     }
 
     /// Applies an announcement. Returns false if a newer one is known or its
-    /// incarnation has ended. [`Standing::Doubtful`] occurs here only if the known
+    /// incarnation has ended. [`IncarnationStatus::Doubtful`] occurs here only if the known
     /// incarnation was found silent.
     fn apply_announcement(
         &mut self,
@@ -334,10 +342,12 @@
         keep_layers: bool,
         revision: Revision,
     ) -> bool {
-        match self.standing(&instance.life()) {
-            Standing::Ended => return false,
-            Standing::Newer | Standing::Doubtful => self.end_known(&instance.id, revision),
-            Standing::Known => {}
+        match self.incarnation_status(&instance.incarnation()) {
+            IncarnationStatus::Ended => return false,
+            IncarnationStatus::Newer | IncarnationStatus::Doubtful => {
+                self.end_known(&instance.id, revision)
+            }
+            IncarnationStatus::Known => {}
         }
         if let Some(known) = self.get(&instance.id) {
             if known.announced > instance.announced {
@@ -357,13 +367,16 @@
 
     /// Records that an incarnation left: either the known one, or a newer one that
     /// never announced itself.
-    fn apply_departure(&mut self, life: &Life, revision: Revision) {
-        let standing = self.standing(life);
-        let ends_known = matches!(standing, Standing::Known | Standing::Newer);
-        if ends_known && self.get(&life.id).is_some() {
-            self.end_known(&life.id, revision);
-            let ended = self.ended.entry(life.id.clone()).or_default();
-            ended.record(life.born);
+    fn apply_departure(&mut self, incarnation: &Incarnation, revision: Revision) {
+        let incarnation_status = self.incarnation_status(incarnation);
+        let ends_known = matches!(
+            incarnation_status,
+            IncarnationStatus::Known | IncarnationStatus::Newer
+        );
+        if ends_known && self.get(&incarnation.id).is_some() {
+            self.end_known(&incarnation.id, revision);
+            let ended = self.ended.entry(incarnation.id.clone()).or_default();
+            ended.record(incarnation.born);
         }
     }
 
@@ -378,14 +391,16 @@
 
     fn update_known(
         &mut self,
-        life: &Life,
+        incarnation: &Incarnation,
         revision: Revision,
         change: impl FnOnce(&mut Instance),
     ) {
-        let known = self.get(&life.id).filter(|i| i.born == life.born);
+        let known = self
+            .get(&incarnation.id)
+            .filter(|i| i.born == incarnation.born);
         if let Some(mut instance) = known.cloned() {
             change(&mut instance);
-            self.write(life.id.clone(), Some(instance), revision);
+            self.write(incarnation.id.clone(), Some(instance), revision);
         }
     }
 
@@ -436,7 +451,7 @@
 
     /// Returns the instances that changed after `since` and are sent to routers.
     pub fn since(&self, since: Revision) -> Vec<(InstanceId, Versioned<Instance>)> {
-        let changed = self.written_since(since);
+        let changed = self.changed_since_ids(since);
         let changed = changed.filter(|id| !self.unseen.contains(*id));
         let with_value = |id: &InstanceId| Some((id.clone(), self.all.get(id)?.clone()));
         changed.filter_map(with_value).collect()
