--- a/crates/deckwind-core/benches/decisions.rs
+++ b/crates/deckwind-core/benches/decisions.rs
@@ -5,7 +5,9 @@
 use deckwind_core::control::{LimitKey, PermitRequest, ReceivedLimit, TargetLimiter};
 use deckwind_core::rate::Rate;
 use deckwind_core::replication::Term;
-use deckwind_core::routing::{ChainNeed, Estimated, Fleet, GroupKey, Policy, prefix_hashes};
+use deckwind_core::routing::{
+    ChainRequirements, EstimatedTimePolicy, Fleet, GroupKey, Policy, prefix_hashes,
+};
 use deckwind_core::state::{
     ApplyRequest, Change, Command, CommandBody, Incarnation, LayerRange, Parameters, Priority,
     StateMachine, Target, TargetKind, TargetStatus, Template, Workload,
@@ -58,9 +60,9 @@
     machine
 }
 
-fn need() -> ChainNeed {
+fn need() -> ChainRequirements {
     let blocks: [&[u8]; 4] = [b"system", b"account", b"talk", b"last"];
-    ChainNeed {
+    ChainRequirements {
         group: GroupKey {
             model: "m".to_string(),
             version: "1".to_string(),
@@ -80,13 +82,13 @@
     for runners in FLEET_SIZES {
         let mut fleet = Fleet::new(BTreeMap::new(), BTreeMap::new());
         fleet.apply(machine(runners).configuration());
-        let mut policy = Estimated::new(1);
+        let mut policy = EstimatedTimePolicy::new(1);
         let need = need();
         let now = Instant::from_millis(1_000);
         group.bench_with_input(BenchmarkId::from_parameter(runners), &runners, |b, _| {
             b.iter(|| {
                 let stages = policy.choose(&fleet, now, &need).expect("a chain");
-                policy.dispatched(&need, &stages);
+                policy.record_dispatch(&need, &stages);
                 black_box(stages)
             });
         });
@@ -109,7 +111,7 @@
             cost: 1.0,
         };
         (0..waiting).for_each(|i| assert_ne!(pool.offer(now, ticket(i)), Offer::Start));
-        pool.set_places(1);
+        pool.set_slots(1);
         let mut next = waiting;
         group.bench_with_input(BenchmarkId::from_parameter(waiting), &waiting, |b, _| {
             b.iter(|| {
--- a/crates/deckwind-core/examples/policies/run.rs
+++ b/crates/deckwind-core/examples/policies/run.rs
@@ -12,10 +12,10 @@
 use deckwind_core::admission::{AdmissionConfig, TicketId};
 use deckwind_core::membership::{AccountShare, LeaseGrant, LeaseTiming, account_share};
 use deckwind_core::replication::Term;
-use deckwind_core::router::{Admitted, Entered, Placed, RouterConfig, RouterCore};
+use deckwind_core::router::{CheckedRequest, QueueOutcome, RouterConfig, RouterCore, SlotOutcome};
 use deckwind_core::routing::{
-    Estimated, FleetGate, LeastLoaded, LoadReport, PREFILL_COST, PlannedStage, Policy, PrefixHash,
-    RoundRobin, TargetKey,
+    EstimatedTimePolicy, LeastLoaded, LoadGatePolicy, LoadReport, PREFILL_COST, PlannedStage,
+    Policy, PrefixHash, RoundRobin, TargetKey,
 };
 use deckwind_core::session::{Session, StageKey};
 use deckwind_core::state::{
@@ -32,18 +32,18 @@
 /// Policies that are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyName {
-    Estimated,
+    EstimatedTimePolicy,
     RoundRobin,
     LeastLoaded,
-    FleetGate,
+    LoadGatePolicy,
 }
 
 impl PolicyName {
     pub const ALL: [PolicyName; 4] = [
-        PolicyName::Estimated,
+        PolicyName::EstimatedTimePolicy,
         PolicyName::RoundRobin,
         PolicyName::LeastLoaded,
-        PolicyName::FleetGate,
+        PolicyName::LoadGatePolicy,
     ];
 
     pub fn name(self) -> &'static str {
@@ -52,10 +52,10 @@
 
     fn build(self, seed: u64) -> Box<dyn Policy> {
         match self {
-            PolicyName::Estimated => Box::new(Estimated::new(seed)),
+            PolicyName::EstimatedTimePolicy => Box::new(EstimatedTimePolicy::new(seed)),
             PolicyName::RoundRobin => Box::new(RoundRobin::new(seed)),
             PolicyName::LeastLoaded => Box::new(LeastLoaded::new(seed)),
-            PolicyName::FleetGate => Box::new(FleetGate::new(seed)),
+            PolicyName::LoadGatePolicy => Box::new(LoadGatePolicy::new(seed)),
         }
     }
 }
@@ -99,7 +99,7 @@
 struct RunningSession {
     class: usize,
     router: usize,
-    entered: Entered,
+    entered: CheckedRequest,
     session: Session,
     stages: BTreeMap<StageKey, OpenStage>,
     planned: Vec<PlannedStage>,
@@ -117,7 +117,7 @@
 struct QueuedRequest {
     class: usize,
     router: usize,
-    entered: Entered,
+    entered: CheckedRequest,
     conversation: u32,
 }
 
@@ -279,8 +279,8 @@
         let link = |i: usize| if i == home { INTRA_DC_US } else { INTER_DC_US };
         let cfg = RouterConfig {
             lease: LeaseTiming::default(),
-            costs: layer_costs(),
-            links: links.map(|(i, dc)| ((*dc).into(), link(i))).collect(),
+            layer_costs_us: layer_costs(),
+            link_latencies_us: links.map(|(i, dc)| ((*dc).into(), link(i))).collect(),
             admission: AdmissionConfig::default(),
             seed,
         };
@@ -380,7 +380,7 @@
         let c = self.class(class);
         let now = self.now;
         let core = &mut self.routers[router];
-        let entered = core.enter(now, &c.account.into(), &c.template.into());
+        let entered = core.check_request(now, &c.account.into(), &c.template.into());
         let Ok(entered) = entered else {
             self.refuse(class, now);
             return;
@@ -391,9 +391,9 @@
             entered,
             conversation,
         };
-        match core.place(now, &request.entered) {
-            Ok(Placed::Start) => self.start(request),
-            Ok(Placed::Wait) => {
+        match core.request_slot(now, &request.entered) {
+            Ok(SlotOutcome::Start) => self.start(request),
+            Ok(SlotOutcome::Wait) => {
                 let key = (router, request.entered.id);
                 self.queued.insert(key, request);
             }
@@ -408,15 +408,15 @@
         r.refusal_max_ms = r.refusal_max_ms.max(waited);
     }
 
-    fn handle_admitted(&mut self, router: usize, admitted: Vec<Admitted>) {
+    fn handle_admitted(&mut self, router: usize, admitted: Vec<QueueOutcome>) {
         for outcome in admitted {
             match outcome {
-                Admitted::Start(id) => {
+                QueueOutcome::Start(id) => {
                     if let Some(request) = self.queued.remove(&(router, id)) {
                         self.start(request);
                     }
                 }
-                Admitted::Denied(id, _) => {
+                QueueOutcome::Denied(id, _) => {
                     if let Some(w) = self.queued.remove(&(router, id)) {
                         self.refuse(w.class, w.entered.arrived);
                     }
@@ -454,7 +454,7 @@
                     Some((name, share))
                 })
                 .collect();
-            router.granted(LeaseGrant::new(now, Term(1)), now, delta, shares, routers);
+            router.apply_grant(LeaseGrant::new(now, Term(1)), now, delta, shares, routers);
         }
     }
 
--- a/crates/deckwind-core/examples/policies/run/sessions.rs
+++ b/crates/deckwind-core/examples/policies/run/sessions.rs
@@ -6,7 +6,9 @@
 };
 use crate::fleet::LAYERS;
 use deckwind_core::router::Work;
-use deckwind_core::routing::{ChainNeed, LoadReport, PREFILL_COST, plan_names, prefix_hashes};
+use deckwind_core::routing::{
+    ChainRequirements, LoadReport, PREFILL_COST, prefix_hashes, resolve_stages,
+};
 use deckwind_core::session::{
     Activation, Chain, EndReason, Session, SessionAction, SessionEvent, SessionLimits, Stage,
     StageFault, StageKey, StepOrder, StepOutput, Token,
@@ -73,7 +75,7 @@
                     }
                     self.replan(id);
                 }
-                SessionAction::Open { key, with } => self.open(id, key, &with),
+                SessionAction::Open { key, stage: with } => self.open(id, key, &with),
                 SessionAction::Step { key, order } => self.send_order(id, key, &order),
                 SessionAction::Deliver { .. } => self.deliver(id),
                 SessionAction::Close { key } => self.close(id, key),
@@ -133,7 +135,7 @@
         let Work::Chat(work) = &running.entered.work else {
             return None;
         };
-        let need = ChainNeed {
+        let need = ChainRequirements {
             group: work.group.clone(),
             adapter: None,
             layers,
@@ -154,7 +156,9 @@
         });
         stages.extend(new);
         stages.sort_by_key(|s| s.layers.first);
-        debug_assert!(layers.len() < LAYERS || plan_names(core.fleet(), &planned, LAYERS).is_ok());
+        debug_assert!(
+            layers.len() < LAYERS || resolve_stages(core.fleet(), &planned, LAYERS).is_ok()
+        );
         running.planned = planned;
         Chain::new(stages, LAYERS).ok()
     }
@@ -208,7 +212,7 @@
         }
         let done = target.step(now, stage.layers.len(), f64::from(positions));
         let core = &self.routers[running.router];
-        let limit = core.step_limit(now, stage.target, stage.layers, order.inputs.len());
+        let limit = core.step_timeout(now, stage.target, stage.layers, order.inputs.len());
         let dead = target.dead;
         match done {
             Some(at) => {
@@ -348,7 +352,7 @@
             EndReason::Complete => result.finished += 1,
             _ => result.failed += 1,
         }
-        let admitted = core.leave(self.now, running.entered.id);
+        let admitted = core.release_slot(self.now, running.entered.id);
         self.handle_admitted(running.router, admitted);
     }
 }
--- a/crates/deckwind-core/src/admission/limiter.rs
+++ b/crates/deckwind-core/src/admission/limiter.rs
@@ -93,7 +93,7 @@
 
     /// Clears the reported demand after a change of leader, since the new leader has no
     /// reports.
-    pub fn forget_told(&mut self) {
+    pub fn reset_reported(&mut self) {
         for rate in self.accounts.values_mut() {
             rate.reported_per_s = 0.0;
         }
@@ -102,7 +102,7 @@
     /// Returns the demand of at most `max` accounts for the report to the leader: first
     /// those for which the leader's value is wrong, then those reported longest ago. An
     /// account without demand is reported once, as zero.
-    pub fn demand(&mut self, now: Instant, max: usize) -> Vec<(AccountName, AccountDemand)> {
+    pub fn report_demand(&mut self, now: Instant, max: usize) -> Vec<(AccountName, AccountDemand)> {
         let mut due: Vec<(&AccountName, &mut AccountRate)> = Vec::new();
         for (account, rate) in &mut self.accounts {
             rate.update_demand(now);
--- a/crates/deckwind-core/src/admission/mod.rs
+++ b/crates/deckwind-core/src/admission/mod.rs
@@ -17,5 +17,5 @@
 mod retry_budget;
 
 pub use limiter::AccountLimiter;
-pub use queue::{Admission, AdmissionConfig, Offer, Refused, RefusedWhy, Ticket, TicketId};
+pub use queue::{Admission, AdmissionConfig, AdmissionRefusal, Offer, Refused, Ticket, TicketId};
 pub use retry_budget::{RetryBudget, RetryPolicy};
--- a/crates/deckwind-core/src/admission/queue.rs
+++ b/crates/deckwind-core/src/admission/queue.rs
@@ -29,7 +29,7 @@
 
 /// The reason why a request was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RefusedWhy {
+pub enum AdmissionRefusal {
     /// The request could not start before its deadline.
     Deadline,
     /// The queue is full.
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refused {
     /// Reason for the refusal.
-    pub why: RefusedWhy,
+    pub reason: AdmissionRefusal,
     /// Time after which a retry can succeed.
     pub retry_after: Duration,
 }
@@ -212,7 +212,7 @@
     }
 
     /// Changes the number of slots.
-    pub fn set_places(&mut self, slots: u32) {
+    pub fn set_slots(&mut self, slots: u32) {
         self.slots = slots;
     }
 
@@ -271,21 +271,37 @@
         }
         let wait = self.wait(now, p, self.work_ahead_of(&ticket));
         if wait.mul_f64(ENTRY_MARGIN) > ticket.start_by.since(now) {
-            return Offer::Refused(self.refusal(RefusedWhy::Deadline, now, wait, ticket.start_by));
+            return Offer::Refused(self.refusal(
+                AdmissionRefusal::Deadline,
+                now,
+                wait,
+                ticket.start_by,
+            ));
         }
         if self.queued() >= self.cfg.max_queued {
-            return Offer::Refused(self.refusal(RefusedWhy::QueueFull, now, wait, ticket.start_by));
+            return Offer::Refused(self.refusal(
+                AdmissionRefusal::QueueFull,
+                now,
+                wait,
+                ticket.start_by,
+            ));
         }
         self.arrivals += 1;
         self.queues[p].push(self.arrivals, ticket);
         Offer::Queued
     }
 
-    fn refusal(&self, why: RefusedWhy, now: Instant, wait: Duration, start_by: Instant) -> Refused {
+    fn refusal(
+        &self,
+        why: AdmissionRefusal,
+        now: Instant,
+        wait: Duration,
+        start_by: Instant,
+    ) -> Refused {
         let budget = start_by.since(now);
         let retry_after = wait.saturating_sub(budget);
         Refused {
-            why,
+            reason: why,
             retry_after: retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
         }
     }
@@ -332,7 +348,12 @@
     pub fn expire(&mut self, now: Instant) -> Vec<(Ticket, Refused)> {
         let mut out = Vec::new();
         for ticket in std::mem::take(&mut self.expired) {
-            let refused = self.refusal(RefusedWhy::Deadline, now, MIN_RETRY_AFTER, ticket.start_by);
+            let refused = self.refusal(
+                AdmissionRefusal::Deadline,
+                now,
+                MIN_RETRY_AFTER,
+                ticket.start_by,
+            );
             out.push((ticket, refused));
         }
         let mut ahead_s = 0.0;
@@ -345,7 +366,7 @@
                     ahead_s += self.hold_s[p];
                     continue;
                 }
-                let refused = self.refusal(RefusedWhy::Deadline, now, wait, start_by);
+                let refused = self.refusal(AdmissionRefusal::Deadline, now, wait, start_by);
                 if let Some(ticket) = self.queues[p].remove(&rank) {
                     out.push((ticket, refused));
                 }
--- a/crates/deckwind-core/src/admission/retry_budget.rs
+++ b/crates/deckwind-core/src/admission/retry_budget.rs
@@ -30,7 +30,7 @@
     }
 
     /// Records the success of a first attempt.
-    pub fn succeeded(&mut self) {
+    pub fn record_success(&mut self) {
         self.add(SHARE_MILLI);
     }
 
--- a/crates/deckwind-core/src/burn/meter.rs
+++ b/crates/deckwind-core/src/burn/meter.rs
@@ -148,7 +148,7 @@
 
 impl BurnMeter {
     /// Counts one answer.
-    pub fn answered(
+    pub fn record(
         &mut self,
         now: Instant,
         template: &TemplateName,
--- a/crates/deckwind-core/src/burn/report.rs
+++ b/crates/deckwind-core/src/burn/report.rs
@@ -85,7 +85,7 @@
         1.0 - self.since_start.burn(self.objective.share)
     }
 
-    fn absorb(&mut self, other: &BurnRow) {
+    fn merge(&mut self, other: &BurnRow) {
         self.since_start = self.since_start.plus(other.since_start);
         for (mine, theirs) in self.windows.iter_mut().zip(&other.windows) {
             let counts = mine.counts.plus(theirs.counts);
@@ -103,11 +103,11 @@
 
 impl BurnReport {
     /// Merges another router's rows into this report.
-    pub fn absorb(&mut self, other: BurnReport) {
+    pub fn merge(&mut self, other: BurnReport) {
         for row in other.rows {
             let same = |r: &&mut BurnRow| r.template == row.template && r.account == row.account;
             match self.rows.iter_mut().find(same) {
-                Some(mine) => mine.absorb(&row),
+                Some(mine) => mine.merge(&row),
                 None => self.rows.push(row),
             }
         }
--- a/crates/deckwind-core/src/control/engine_load.rs
+++ b/crates/deckwind-core/src/control/engine_load.rs
@@ -12,7 +12,7 @@
 
 use super::messages::{EngineLoadUpdate, EngineLoadVersion, EngineStreamLoad};
 use crate::replication::Term;
-use crate::routing::paths::Held;
+use crate::routing::paths::StreamLoad;
 use crate::state::{DataCentre, VmName};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -43,14 +43,14 @@
 /// A total as last published, with its sequence number.
 #[derive(Clone, Copy, Debug, Default)]
 struct Published {
-    held: Held,
+    held: StreamLoad,
     sequence: u64,
 }
 
 /// Load on one engine, as it is now and as published at each step size.
 #[derive(Clone, Debug)]
 struct EngineTotal {
-    total: Held,
+    total: StreamLoad,
     room: EngineCapacity,
     fine: Published,
     coarse: Published,
@@ -111,7 +111,7 @@
             }
         } else {
             let entry = EngineTotal {
-                total: Held::default(),
+                total: StreamLoad::default(),
                 room: room?,
                 fine: Published::default(),
                 coarse: Published::default(),
@@ -140,7 +140,7 @@
                 continue;
             };
             let step = |of: u64| of * routers / (FULL_STEP_ROUTERS * FINE_STEPS_PER_CAPACITY);
-            let steps = Held {
+            let steps = StreamLoad {
                 layer_tokens: step(entry.room.token_capacity),
                 begun: step(u64::from(entry.room.slots)) as u32,
             };
@@ -154,7 +154,7 @@
                     sequence: self.sequence,
                 };
             }
-            let steps = Held {
+            let steps = StreamLoad {
                 layer_tokens: steps.layer_tokens * FINE_STEPS_PER_COARSE,
                 begun: steps.begun * FINE_STEPS_PER_COARSE as u32,
             };
@@ -235,13 +235,13 @@
 }
 
 /// Returns whether a total differs from the published one by more than these steps.
-fn exceeds_step(total: Held, published: Held, steps: Held) -> bool {
+fn exceeds_step(total: StreamLoad, published: StreamLoad, steps: StreamLoad) -> bool {
     total.layer_tokens.abs_diff(published.layer_tokens) > steps.layer_tokens
         || total.begun.abs_diff(published.begun) > steps.begun
 }
 
-fn subtract(total: Held, part: Held) -> Held {
-    Held {
+fn subtract(total: StreamLoad, part: StreamLoad) -> StreamLoad {
+    StreamLoad {
         layer_tokens: total.layer_tokens.saturating_sub(part.layer_tokens),
         begun: total.begun.saturating_sub(part.begun),
     }
--- a/crates/deckwind-core/src/control/messages.rs
+++ b/crates/deckwind-core/src/control/messages.rs
@@ -6,7 +6,7 @@
 use super::retry_messages::{RetryGrant, RetryReport};
 use crate::membership::{AccountDemand, AccountShare, LeaseGrant};
 use crate::replication::{Message, Term};
-use crate::routing::paths::Held;
+use crate::routing::paths::StreamLoad;
 use crate::state::{
     AccountName, ClaimRequest, ClaimVerdict, DataCentre, Delta, FinishRequest, PackedDelta,
     Revision, RouterProcess, SuspectChange, UnpackError,
@@ -58,7 +58,7 @@
 
 impl EngineStreamLoad {
     /// Creates the message for the load at an engine.
-    pub fn new(address: SocketAddr, held: Held) -> Self {
+    pub fn new(address: SocketAddr, held: StreamLoad) -> Self {
         Self {
             address,
             layer_tokens: held.layer_tokens,
@@ -67,8 +67,8 @@
     }
 
     /// Returns the load.
-    pub fn held(&self) -> Held {
-        Held {
+    pub fn held(&self) -> StreamLoad {
+        StreamLoad {
             layer_tokens: self.layer_tokens,
             begun: self.begun,
         }
--- a/crates/deckwind-core/src/control/placement_groups.rs
+++ b/crates/deckwind-core/src/control/placement_groups.rs
@@ -3,8 +3,8 @@
 //! The groups are updated incrementally from changes of the replicated state. Each group
 //! knows when it is to be checked next.
 
-use crate::routing::chains::{chains_within, holds_chain};
-use crate::routing::placement::{Card, common};
+use crate::routing::chains::{can_hold_chain, chain_groups_within};
+use crate::routing::placement::{EngineCard, overlap};
 use crate::state::{
     DataCentre, EngineModel, Incarnation, Instance, InstanceId, InstanceState, Instances,
     LayerRange, Release, Revision,
@@ -38,7 +38,7 @@
 pub(super) struct Engine {
     pub address: SocketAddr,
     born: Option<u64>,
-    card: Card,
+    card: EngineCard,
 }
 
 impl Engine {
@@ -57,7 +57,7 @@
 pub(super) struct PlacementGroup {
     engines: BTreeMap<InstanceId, Engine>,
     /// Chains that the engines form, cached until something changes.
-    chains: Option<Vec<Vec<Card>>>,
+    chains: Option<Vec<Vec<EngineCard>>>,
     /// Time since when each chain has been complete, by number of the chain.
     complete_since: BTreeMap<usize, Instant>,
     /// Whether the group holds the engines of all data centres, which form one chain.
@@ -79,15 +79,15 @@
     }
 
     /// Returns the chains that the engines form.
-    pub fn chains(&mut self, model: &EngineModel) -> Vec<Vec<Card>> {
+    pub fn chains(&mut self, model: &EngineModel) -> Vec<Vec<EngineCard>> {
         if let Some(chains) = &self.chains {
             return chains.clone();
         }
-        let cards: Vec<Card> = self.engines.values().map(|e| e.card.clone()).collect();
+        let cards: Vec<EngineCard> = self.engines.values().map(|e| e.card.clone()).collect();
         let chains = match self.spans_data_centres {
             true if cards.is_empty() => Vec::new(),
             true => vec![cards],
-            false => chains_within(model, cards),
+            false => chain_groups_within(model, cards),
         };
         self.chains = Some(chains.clone());
         chains
@@ -253,12 +253,12 @@
         is_ready.then(|| Engine {
             address: instance.address,
             born: instance.born,
-            card: Card {
+            card: EngineCard {
                 id: instance.id.clone(),
                 data_centre: instance.data_centre.clone(),
                 memory_mb: kind.memory_mb,
                 step_factor: kind.step_factor,
-                held: common(instance.layers, LayerRange::new(0, model.layers)),
+                held: overlap(instance.layers, LayerRange::new(0, model.layers)),
             },
         })
     }
@@ -313,8 +313,8 @@
         }
         let model = &self.models[pool];
         let holds = |group: &PlacementGroup| {
-            let cards: Vec<&Card> = group.engines.values().map(|e| &e.card).collect();
-            holds_chain(model, &cards)
+            let cards: Vec<&EngineCard> = group.engines.values().map(|e| &e.card).collect();
+            can_hold_chain(model, &cards)
         };
         let data_centres = self.groups.iter().filter(|(key, _)| of_pool(key));
         let key = (pool.to_string(), None);
--- a/crates/deckwind-core/src/control/placement_manager.rs
+++ b/crates/deckwind-core/src/control/placement_manager.rs
@@ -10,7 +10,7 @@
 
 use super::placement_groups::{PlacementGroup, PlacementGroups};
 use crate::routing::placement::{
-    Card, Mend, common, is_whole, plan_chain, together, tokens_beside,
+    EngineCard, RepairMode, covers_model, merged_range, overlap, plan_chain, token_capacity,
 };
 use crate::state::{
     EngineModel, Incarnation, InstanceChange, InstanceId, Instances, LayerRange, Release,
@@ -124,7 +124,7 @@
         in_flight.is_some_and(|order| order.born == incarnation.born)
     }
 
-    fn effect_on(&self, card: &Card) -> Option<OrderEffect> {
+    fn effect_on(&self, card: &EngineCard) -> Option<OrderEffect> {
         self.in_flight.get(&card.id).map(|order| order.effect)
     }
 
@@ -142,7 +142,7 @@
         &mut self,
         now: Instant,
         group: &PlacementGroup,
-        steps: impl IntoIterator<Item = (Card, LayerRange)>,
+        steps: impl IntoIterator<Item = (EngineCard, LayerRange)>,
         unload_mode: UnloadMode,
         work: &mut PlacementStep,
     ) -> bool {
@@ -159,7 +159,7 @@
             if failed || self.is_in_flight(&life) {
                 continue;
             }
-            let kept = common(card.held, want);
+            let kept = overlap(card.held, want);
             let effect = match kept == want {
                 true => OrderEffect::Unloading,
                 false => OrderEffect::Loading,
@@ -255,15 +255,16 @@
         work: &mut PlacementStep,
     ) {
         let chains = group.chains(model);
-        let complete = |chain: &[Card]| is_whole(model.layers, chain.iter().map(|c| c.held));
+        let complete =
+            |chain: &[EngineCard]| covers_model(model.layers, chain.iter().map(|c| c.held));
         let complete_count = chains.iter().filter(|chain| complete(chain)).count();
         let (mut any_unfinished, mut any_ordered) = (false, false);
         for (index, chain) in chains.iter().enumerate() {
             let is_complete = complete(chain);
             let other_complete = complete_count - usize::from(is_complete);
             let mend = match other_complete {
-                0 => Mend::Soon,
-                _ => Mend::Well,
+                0 => RepairMode::Fast,
+                _ => RepairMode::ForCapacity,
             };
             let improve_at = group.complete_since(now, index, is_complete) + MIN_COMPLETE_TIME;
             let scarce = chain.iter().any(|c| is_scarce(model, c));
@@ -271,7 +272,7 @@
                 group.schedule_check(improve_at);
             }
             let is_done = is_complete && (now < improve_at || !scarce);
-            let effect = |c: &Card| self.orders.effect_on(c);
+            let effect = |c: &EngineCard| self.orders.effect_on(c);
             let blocked = match is_complete {
                 true => chain.iter().any(|c| effect(c).is_some()),
                 false => chain
@@ -289,13 +290,15 @@
             let Some(plan) = plan_chain(model, chain, mend) else {
                 continue;
             };
-            let steps: Vec<(Card, LayerRange)> = chain.iter().cloned().zip(plan).collect();
+            let steps: Vec<(EngineCard, LayerRange)> = chain.iter().cloned().zip(plan).collect();
             let (steps, unload_mode) = match (is_complete, mend) {
                 (true, _) => (improvement_steps(model, steps), UnloadMode::WhenUnused),
                 // The other chains and the layers that this chain's engines already hold
                 // serve requests, so none of these layers are unloaded at once.
-                (false, Mend::Well) => (addition_steps(model, steps), UnloadMode::WhenUnused),
-                (false, Mend::Soon) => (keep_held_layers(model, steps), UnloadMode::AtOnce),
+                (false, RepairMode::ForCapacity) => {
+                    (addition_steps(model, steps), UnloadMode::WhenUnused)
+                }
+                (false, RepairMode::Fast) => (keep_held_layers(model, steps), UnloadMode::AtOnce),
             };
             any_ordered |= self.orders.issue(now, group, steps, unload_mode, work);
         }
@@ -312,7 +315,7 @@
 /// Returns the number of layers that take memory on an engine while it changes from one
 /// range to another.
 fn layers_in_memory(held: LayerRange, want: LayerRange, unload_mode: UnloadMode) -> u32 {
-    let both = held.len() + want.len() - common(held, want).len();
+    let both = held.len() + want.len() - overlap(held, want).len();
     match unload_mode {
         UnloadMode::AtOnce => want.len(),
         UnloadMode::WhenUnused => both,
@@ -320,8 +323,8 @@
 }
 
 /// Returns whether an engine has memory for too few tokens beside its layers.
-fn is_scarce(model: &EngineModel, card: &Card) -> bool {
-    let free_tokens = tokens_beside(model, card.memory_mb, card.held.len());
+fn is_scarce(model: &EngineModel, card: &EngineCard) -> bool {
+    let free_tokens = token_capacity(model, card.memory_mb, card.held.len());
     !card.held.is_empty() && free_tokens < SCARCE_TOKENS_FRACTION * model.max_tokens as f64
 }
 
@@ -330,19 +333,19 @@
 /// layers on engines with little.
 fn improvement_steps(
     model: &EngineModel,
-    plan: Vec<(Card, LayerRange)>,
-) -> Vec<(Card, LayerRange)> {
-    let loads = |(card, want): &(Card, LayerRange)| common(card.held, *want) != *want;
+    plan: Vec<(EngineCard, LayerRange)>,
+) -> Vec<(EngineCard, LayerRange)> {
+    let loads = |(card, want): &(EngineCard, LayerRange)| overlap(card.held, *want) != *want;
     if !plan.iter().any(loads) {
         return plan
             .into_iter()
             .filter(|(c, _)| is_scarce(model, c))
             .collect();
     }
-    let loading_step = |(card, want): (Card, LayerRange)| {
+    let loading_step = |(card, want): (EngineCard, LayerRange)| {
         let step = match card.held.is_empty() {
             true => want,
-            false => together(model, &card, want)?,
+            false => merged_range(model, &card, want)?,
         };
         Some((card, step))
     };
@@ -351,9 +354,12 @@
 
 /// Returns the plan with each engine's current layers added to its new ones where there
 /// is memory for both.
-fn keep_held_layers(model: &EngineModel, plan: Vec<(Card, LayerRange)>) -> Vec<(Card, LayerRange)> {
-    let step = |(card, want): (Card, LayerRange)| {
-        let step = together(model, &card, want).unwrap_or(want);
+fn keep_held_layers(
+    model: &EngineModel,
+    plan: Vec<(EngineCard, LayerRange)>,
+) -> Vec<(EngineCard, LayerRange)> {
+    let step = |(card, want): (EngineCard, LayerRange)| {
+        let step = merged_range(model, &card, want).unwrap_or(want);
         (card, step)
     };
     plan.into_iter().map(step).collect()
@@ -362,15 +368,18 @@
 /// Returns the steps of those engines that can hold their new layers beside the current
 /// ones. If there are none, returns the steps of all engines, which unload layers once
 /// they are unused.
-fn addition_steps(model: &EngineModel, plan: Vec<(Card, LayerRange)>) -> Vec<(Card, LayerRange)> {
-    let adds = |(card, want): &(Card, LayerRange)| {
+fn addition_steps(
+    model: &EngineModel,
+    plan: Vec<(EngineCard, LayerRange)>,
+) -> Vec<(EngineCard, LayerRange)> {
+    let adds = |(card, want): &(EngineCard, LayerRange)| {
         let step = match card.held.is_empty() {
             true => *want,
-            false => together(model, card, *want)?,
+            false => merged_range(model, card, *want)?,
         };
         (step != card.held).then(|| (card.clone(), step))
     };
-    let added: Vec<(Card, LayerRange)> = plan.iter().filter_map(adds).collect();
+    let added: Vec<(EngineCard, LayerRange)> = plan.iter().filter_map(adds).collect();
     match added.is_empty() {
         true => keep_held_layers(model, plan),
         false => added,
--- a/crates/deckwind-core/src/control/requests.rs
+++ b/crates/deckwind-core/src/control/requests.rs
@@ -10,7 +10,7 @@
 use super::pending::Requester;
 use super::relay_messages::RelayedRequest;
 use super::reply_schedule::Urgency;
-use crate::routing::paths::keeps;
+use crate::routing::paths::stream_capacity;
 use crate::state::{CommandBody, Configuration, RouterProcess, SuspectChange};
 use crate::time::Instant;
 use std::net::SocketAddr;
@@ -364,7 +364,7 @@
     let pool = cfg.release()?.pool(&instance.pool)?;
     Some(EngineCapacity {
         data_centre: instance.data_centre.clone(),
-        token_capacity: keeps(pool.engine.as_ref()?, instance) as u64,
+        token_capacity: stream_capacity(pool.engine.as_ref()?, instance) as u64,
         slots: instance.slots,
     })
 }
--- a/crates/deckwind-core/src/membership/replica_choice.rs
+++ b/crates/deckwind-core/src/membership/replica_choice.rs
@@ -47,14 +47,14 @@
     }
 
     /// Replaces the members by those that the leader reported.
-    pub fn members_are(&mut self, slots: &[u32]) {
+    pub fn set_members(&mut self, slots: &[u32]) {
         if self.members != slots {
             self.members = slots.to_vec();
         }
     }
 
     /// Replaces the seeds after a change of the settings.
-    pub fn seeds_are(&mut self, slots: Vec<u32>) {
+    pub fn set_seeds(&mut self, slots: Vec<u32>) {
         self.seeds = slots;
     }
 
@@ -90,23 +90,23 @@
     }
 
     /// Records a successful answer, after which the replica is no longer avoided.
-    pub fn answered(&mut self, slot: u32) {
+    pub fn record_success(&mut self, slot: u32) {
         self.avoided_until.remove(&slot);
     }
 
     /// Records that a request failed or was not answered in time.
-    pub fn failed(&mut self, now: Instant, slot: u32) {
+    pub fn record_failure(&mut self, now: Instant, slot: u32) {
         self.avoided_until.insert(slot, now + FAILURE_BACKOFF);
     }
 
     /// Records that a replica missed a timeout so short that a busy one may miss it too.
-    pub fn was_slow(&mut self, now: Instant, slot: u32) {
+    pub fn record_slow(&mut self, now: Instant, slot: u32) {
         self.avoided_until.insert(slot, now + SLOW_BACKOFF);
     }
 
     /// Records that a replica could not forward a request to the leader. If it named the
     /// leader, the next request goes there.
-    pub fn not_passed_on(&mut self, now: Instant, slot: u32, leader: Option<u32>) {
+    pub fn record_not_forwarded(&mut self, now: Instant, slot: u32, leader: Option<u32>) {
         self.avoided_until.insert(slot, now + FAILURE_BACKOFF);
         self.redirect = leader.filter(|leader| *leader != slot);
     }
--- a/crates/deckwind-core/src/router/denied.rs
+++ b/crates/deckwind-core/src/router/denied.rs
@@ -52,7 +52,7 @@
 
 impl Denied {
     /// Creates a refusal that no retry can change.
-    pub fn for_good(code: DeniedCode) -> Self {
+    pub fn permanent(code: DeniedCode) -> Self {
         Self {
             code,
             retry_after: None,
@@ -60,7 +60,7 @@
     }
 
     /// Creates a refusal that a retry after `retry_after` may change.
-    pub fn for_now(code: DeniedCode, retry_after: Duration) -> Self {
+    pub fn retryable(code: DeniedCode, retry_after: Duration) -> Self {
         Self {
             code,
             retry_after: Some(retry_after),
--- a/crates/deckwind-core/src/router/mod.rs
+++ b/crates/deckwind-core/src/router/mod.rs
@@ -14,4 +14,4 @@
 
 pub use denied::{Denied, DeniedCode};
 pub use router_core::{RouterConfig, RouterCore};
-pub use work::{Admitted, ChatWork, Entered, Placed, ServiceWork, Work};
+pub use work::{ChatWork, CheckedRequest, QueueOutcome, ServiceWork, SlotOutcome, Work};
--- a/crates/deckwind-core/src/router/pools.rs
+++ b/crates/deckwind-core/src/router/pools.rs
@@ -2,8 +2,8 @@
 
 use super::denied::{Denied, DeniedCode};
 use super::router_core::{RETRY_ELSEWHERE_AFTER, RouterCore};
-use super::work::{Admitted, Entered, Placed, Work};
-use crate::admission::{Admission, Offer, Refused, RefusedWhy, Ticket, TicketId};
+use super::work::{CheckedRequest, QueueOutcome, SlotOutcome, Work};
+use crate::admission::{Admission, AdmissionRefusal, Offer, Refused, Ticket, TicketId};
 use crate::routing::GroupKey;
 use crate::state::{Priority, TemplateName, Workload};
 use crate::time::Instant;
@@ -52,7 +52,7 @@
             self.pools
                 .entry(pool)
                 .or_insert_with(|| Admission::new(admission, own_share))
-                .set_places(own_share);
+                .set_slots(own_share);
         }
     }
 
@@ -75,7 +75,11 @@
     ///
     /// Returns [`DeniedCode::NoTargets`] if the pool does not exist, and the refusal of
     /// admission control if the request can't be queued.
-    pub fn place(&mut self, now: Instant, entered: &Entered) -> Result<Placed, Denied> {
+    pub fn request_slot(
+        &mut self,
+        now: Instant,
+        entered: &CheckedRequest,
+    ) -> Result<SlotOutcome, Denied> {
         let pool = match &entered.work {
             Work::Chat(chat) => PoolKey::Chat(chat.group.clone()),
             Work::Service(_) => PoolKey::Service(entered.template.clone()),
@@ -90,7 +94,7 @@
             cost: 1.0,
         };
         let Some(admission) = self.pools.get_mut(&pool) else {
-            return Err(Denied::for_now(
+            return Err(Denied::retryable(
                 DeniedCode::NoTargets,
                 RETRY_ELSEWHERE_AFTER,
             ));
@@ -105,14 +109,18 @@
                 };
                 self.tickets.insert(entered.id, state);
                 let start = offer == Offer::Start;
-                Ok(if start { Placed::Start } else { Placed::Wait })
+                Ok(if start {
+                    SlotOutcome::Start
+                } else {
+                    SlotOutcome::Wait
+                })
             }
         }
     }
 
     /// Releases the slot or the queue position of a request. Returns the requests that
     /// can start now.
-    pub fn leave(&mut self, now: Instant, id: TicketId) -> Vec<Admitted> {
+    pub fn release_slot(&mut self, now: Instant, id: TicketId) -> Vec<QueueOutcome> {
         let Some(state) = self.tickets.remove(&id) else {
             return Vec::new();
         };
@@ -127,9 +135,9 @@
     }
 
     /// Restarts the slot time of the requests that have just started.
-    fn record_started(&mut self, now: Instant, admitted: Vec<Admitted>) -> Vec<Admitted> {
+    fn record_started(&mut self, now: Instant, admitted: Vec<QueueOutcome>) -> Vec<QueueOutcome> {
         for one in &admitted {
-            if let Admitted::Start(id) = one
+            if let QueueOutcome::Start(id) = one
                 && let Some(state) = self.tickets.get_mut(id)
             {
                 state.since = now;
@@ -140,7 +148,7 @@
 
     /// Starts queued requests that have a slot and refuses those that can no longer
     /// start before their deadline. To be called ten times a second.
-    pub fn tick(&mut self, now: Instant) -> Vec<Admitted> {
+    pub fn tick(&mut self, now: Instant) -> Vec<QueueOutcome> {
         if now.since(self.pools_resized_at) >= RESIZE_INTERVAL {
             self.resize_pools(now);
         }
@@ -149,7 +157,7 @@
             out.extend(start_waiting(admission, now));
             for (ticket, refused) in admission.expire(now) {
                 self.tickets.remove(&ticket.id);
-                out.push(Admitted::Denied(ticket.id, denied(refused)));
+                out.push(QueueOutcome::Denied(ticket.id, denied(refused)));
             }
         }
         self.record_started(now, out)
@@ -157,17 +165,17 @@
 }
 
 fn denied(refused: Refused) -> Denied {
-    let code = match refused.why {
-        RefusedWhy::Deadline => DeniedCode::Deadline,
-        RefusedWhy::QueueFull => DeniedCode::QueueFull,
+    let code = match refused.reason {
+        AdmissionRefusal::Deadline => DeniedCode::Deadline,
+        AdmissionRefusal::QueueFull => DeniedCode::QueueFull,
     };
-    Denied::for_now(code, refused.retry_after)
+    Denied::retryable(code, refused.retry_after)
 }
 
-fn start_waiting(admission: &mut Admission, now: Instant) -> Vec<Admitted> {
+fn start_waiting(admission: &mut Admission, now: Instant) -> Vec<QueueOutcome> {
     let mut out = Vec::new();
     while let Some(ticket) = admission.next(now) {
-        out.push(Admitted::Start(ticket.id));
+        out.push(QueueOutcome::Start(ticket.id));
     }
     out
 }
--- a/crates/deckwind-core/src/router/router_core.rs
+++ b/crates/deckwind-core/src/router/router_core.rs
@@ -2,7 +2,7 @@
 
 use super::denied::{Denied, DeniedCode};
 use super::pools::{PoolKey, TicketState};
-use super::work::{ChatWork, Entered, ServiceWork, Work};
+use super::work::{ChatWork, CheckedRequest, ServiceWork, Work};
 use crate::admission::{AccountLimiter, Admission, AdmissionConfig, RetryBudget, TicketId};
 use crate::burn::{BurnMeter, BurnReport};
 use crate::membership::{
@@ -10,8 +10,8 @@
     RouterLeaseState, ServeDecision,
 };
 use crate::routing::{
-    ChainNeed, Estimated, Fleet, GroupKey, LoadReport, PlannedStage, Policy, TargetKey,
-    choose_service,
+    ChainRequirements, EstimatedTimePolicy, Fleet, GroupKey, LoadReport, PlannedStage, Policy,
+    TargetKey, choose_service,
 };
 use crate::state::{
     AccountName, Configuration, DataCentre, Delta, LayerRange, TargetName, Template, TemplateName,
@@ -30,9 +30,9 @@
     /// Timing of the lease.
     pub lease: LeaseTiming,
     /// Time per layer by accelerator kind, in microseconds.
-    pub costs: BTreeMap<String, f64>,
+    pub layer_costs_us: BTreeMap<String, f64>,
     /// One-way latency by data centre, in microseconds.
-    pub links: BTreeMap<DataCentre, f64>,
+    pub link_latencies_us: BTreeMap<DataCentre, f64>,
     /// Limits of each pool.
     pub admission: AdmissionConfig,
     /// Seed for random sampling.
@@ -91,7 +91,7 @@
 impl RouterCore {
     /// Creates a router without a lease or a configuration.
     pub fn new(cfg: RouterConfig, now: Instant) -> Self {
-        let policy = Box::new(Estimated::new(cfg.seed));
+        let policy = Box::new(EstimatedTimePolicy::new(cfg.seed));
         Self::with_policy(cfg, policy, now)
     }
 
@@ -103,7 +103,7 @@
             limiter: AccountLimiter::default(),
             shares: BTreeMap::new(),
             routers: 1,
-            fleet: Fleet::new(cfg.costs.clone(), cfg.links.clone()),
+            fleet: Fleet::new(cfg.layer_costs_us.clone(), cfg.link_latencies_us.clone()),
             platform: PlatformView::default(),
             policy,
             pools: BTreeMap::new(),
@@ -135,7 +135,7 @@
 
     /// Applies a lease grant from the leader, with the configuration changes, rate
     /// shares and number of routers that come with it.
-    pub fn granted(
+    pub fn apply_grant(
         &mut self,
         grant: LeaseGrant,
         now: Instant,
@@ -153,7 +153,7 @@
             return;
         }
         if new_leader {
-            self.limiter.forget_told();
+            self.limiter.reset_reported();
         }
         let router_count_changed = self.routers != routers.max(1);
         self.routers = routers.max(1);
@@ -220,10 +220,13 @@
     /// [`DeniedCode::UnknownKey`] if none has this key.
     pub fn authenticate(&self, key_sha256: &str) -> Result<AccountName, Denied> {
         if self.accounts.is_empty() {
-            return Err(Denied::for_now(DeniedCode::NoLease, RETRY_ELSEWHERE_AFTER));
+            return Err(Denied::retryable(
+                DeniedCode::NoLease,
+                RETRY_ELSEWHERE_AFTER,
+            ));
         }
         let account = self.accounts.get(key_sha256).cloned();
-        account.ok_or(Denied::for_good(DeniedCode::UnknownKey))
+        account.ok_or(Denied::permanent(DeniedCode::UnknownKey))
     }
 
     /// Stops accepting new requests.
@@ -242,24 +245,30 @@
     ///
     /// Returns a refusal if the router is draining, the template or account is unknown,
     /// the lease does not allow serving, or the account is over its rate limit.
-    pub fn enter(
+    pub fn check_request(
         &mut self,
         now: Instant,
         account: &AccountName,
         template: &TemplateName,
-    ) -> Result<Entered, Denied> {
+    ) -> Result<CheckedRequest, Denied> {
         if self.draining {
-            return Err(Denied::for_now(DeniedCode::Draining, RETRY_ELSEWHERE_AFTER));
+            return Err(Denied::retryable(
+                DeniedCode::Draining,
+                RETRY_ELSEWHERE_AFTER,
+            ));
         }
         let cfg = self.lease.configuration();
         let known = cfg.template(template);
-        let found = known.ok_or(Denied::for_good(DeniedCode::UnknownTemplate))?;
+        let found = known.ok_or(Denied::permanent(DeniedCode::UnknownTemplate))?;
         if self.lease.serve_decision(now, found) == ServeDecision::Refuse {
-            return Err(Denied::for_now(DeniedCode::NoLease, RETRY_ELSEWHERE_AFTER));
+            return Err(Denied::retryable(
+                DeniedCode::NoLease,
+                RETRY_ELSEWHERE_AFTER,
+            ));
         }
         let entered = self.resolve(now, account, found)?;
         if let Err(wait) = self.limiter.take(now, account) {
-            return Err(Denied::for_now(DeniedCode::OverLimit, wait));
+            return Err(Denied::retryable(DeniedCode::OverLimit, wait));
         }
         self.next_ticket += 1;
         Ok(entered)
@@ -270,9 +279,9 @@
         now: Instant,
         account: &AccountName,
         template: &Template,
-    ) -> Result<Entered, Denied> {
+    ) -> Result<CheckedRequest, Denied> {
         let known = self.configuration().account(account);
-        let account_config = known.ok_or(Denied::for_good(DeniedCode::UnknownKey))?;
+        let account_config = known.ok_or(Denied::permanent(DeniedCode::UnknownKey))?;
         let parameters = template
             .parameters
             .overridden_by(account_config.parameters.get(&template.name));
@@ -289,7 +298,7 @@
                 layers: *layers,
             }),
         };
-        Ok(Entered {
+        Ok(CheckedRequest {
             id: TicketId(self.next_ticket),
             template: template.name.clone(),
             account: account.clone(),
@@ -309,25 +318,26 @@
     pub fn plan_chain(
         &mut self,
         now: Instant,
-        need: &ChainNeed,
+        need: &ChainRequirements,
     ) -> Result<Vec<PlannedStage>, Denied> {
         let stages = self
             .policy
             .choose(&self.fleet, now, need)
-            .ok_or(Denied::for_now(
+            .ok_or(Denied::retryable(
                 DeniedCode::NoTargets,
                 RETRY_ELSEWHERE_AFTER,
             ))?;
-        self.policy.dispatched(need, &stages);
+        self.policy.record_dispatch(need, &stages);
         for stage in &stages {
-            self.fleet.dispatched(now, stage.target, stage.layers.len());
+            self.fleet
+                .record_dispatch(now, stage.target, stage.layers.len());
         }
         Ok(stages)
     }
 
     /// Records the end of a stage.
     pub fn stage_ended(&mut self, now: Instant, key: TargetKey, layers: LayerRange) {
-        self.fleet.finished(now, key, layers.len());
+        self.fleet.record_finish(now, key, layers.len());
     }
 
     /// Records a finished step of `positions` positions.
@@ -340,13 +350,13 @@
         positions: usize,
     ) {
         self.fleet
-            .progressed(now, key, took, layers.len(), positions);
+            .record_step_time(now, key, took, layers.len(), positions);
     }
 
     /// Returns the time after which a step counts as late: the larger of a multiple of
     /// its expected time and a multiple of the target's usual step times, within fixed
     /// limits.
-    pub fn step_limit(
+    pub fn step_timeout(
         &self,
         now: Instant,
         key: TargetKey,
@@ -366,22 +376,22 @@
 
     /// Records a failure of a target.
     pub fn target_failed(&mut self, now: Instant, key: TargetKey) {
-        self.fleet.failed(now, key);
+        self.fleet.record_failure(now, key);
     }
 
     /// Records the end of a call to a plain service: `ok` holds its duration if it
     /// succeeded.
     pub fn service_ended(&mut self, now: Instant, key: TargetKey, ok: Option<Duration>) {
         match ok {
-            Some(took) => self.fleet.progressed(now, key, took, 1, 1),
-            None => self.fleet.failed(now, key),
+            Some(took) => self.fleet.record_step_time(now, key, took, 1, 1),
+            None => self.fleet.record_failure(now, key),
         }
-        self.fleet.finished(now, key, 1);
+        self.fleet.record_finish(now, key, 1);
     }
 
     /// Starts a rest period of length `rest` that a target has asked for.
-    pub fn target_rests(&mut self, now: Instant, key: TargetKey, rest: Duration) {
-        self.fleet.rests(now, key, rest);
+    pub fn set_target_rest_period(&mut self, now: Instant, key: TargetKey, rest: Duration) {
+        self.fleet.set_rest_period(now, key, rest);
     }
 
     /// Selects the target for a call to a plain service and counts the call there.
@@ -399,15 +409,15 @@
         let chosen = choose_service(&self.fleet, now, template, avoid, &mut self.rng);
         let key = chosen.ok_or_else(|| {
             let left = self.fleet.service_rest_left(now, template);
-            Denied::for_now(DeniedCode::NoTargets, left.unwrap_or(RETRY_ELSEWHERE_AFTER))
+            Denied::retryable(DeniedCode::NoTargets, left.unwrap_or(RETRY_ELSEWHERE_AFTER))
         })?;
-        self.fleet.dispatched(now, key, 1);
+        self.fleet.record_dispatch(now, key, 1);
         Ok(key)
     }
 
     /// Records a load report.
     pub fn load_reported(&mut self, now: Instant, key: TargetKey, report: LoadReport) {
-        self.fleet.reported(now, key, report);
+        self.fleet.record_load_report(now, key, report);
     }
 
     /// Returns the policy, to which cache events are applied.
@@ -422,13 +432,13 @@
 
     /// Counts an answer towards the service level objectives. `took` is `None` if the
     /// request failed.
-    pub fn answered(&mut self, now: Instant, entered: &Entered, took: Option<Duration>) {
+    pub fn answered(&mut self, now: Instant, entered: &CheckedRequest, took: Option<Duration>) {
         let template = self.configuration().template(&entered.template);
         let objective = template.map(|t| t.objective).unwrap_or_default();
         let within = Duration::from_millis(objective.within_ms);
         let good = took.is_some_and(|t| t <= within);
         self.burn
-            .answered(now, &entered.template, &entered.account, good);
+            .record(now, &entered.template, &entered.account, good);
     }
 
     /// Returns the report on service levels.
@@ -438,7 +448,7 @@
 
     /// Returns the demand of accounts to report with the next lease renewal.
     pub fn demand(&mut self, now: Instant) -> Vec<(AccountName, AccountDemand)> {
-        self.limiter.demand(now, MAX_REPORTED_DEMANDS)
+        self.limiter.report_demand(now, MAX_REPORTED_DEMANDS)
     }
 
     /// Returns the number of requests that hold a ticket.
--- a/crates/deckwind-core/src/router/work.rs
+++ b/crates/deckwind-core/src/router/work.rs
@@ -36,7 +36,7 @@
 
 /// A request that passed authentication, template and rate limit checks.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entered {
+pub struct CheckedRequest {
     /// Ticket ID of the request until it is finished.
     pub id: TicketId,
     /// Template of the request.
@@ -57,7 +57,7 @@
 
 /// The result of requesting a slot.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Placed {
+pub enum SlotOutcome {
     /// The request starts now.
     Start,
     /// The request is queued until a slot is free.
@@ -66,7 +66,7 @@
 
 /// The result for a queued request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Admitted {
+pub enum QueueOutcome {
     /// The request starts now.
     Start(TicketId),
     /// The request is refused and was not run.
--- a/crates/deckwind-core/src/routes/attempt_result.rs
+++ b/crates/deckwind-core/src/routes/attempt_result.rs
@@ -8,21 +8,21 @@
 
 /// Outcome of sending a request to a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Came {
+pub enum AttemptOutcome {
     /// Nothing was sent: there was no connection, or it broke before the first byte.
     NotSent,
     /// The target states, with this status, that it did not run the request.
     NotRun(u16),
     /// The target's complete answer (for a stream: the head) with this status.
-    Own(u16),
+    Answered(u16),
     /// No answer in time, an incomplete one, or one for another request. The request may
     /// have run.
-    Nothing,
+    Unanswered,
 }
 
 /// Consequence of the outcome for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum AttemptResult {
     /// The target's answer is passed on unchanged.
     PassOn,
     /// The attempt has not run. Another target may be tried for any kind of request.
@@ -36,19 +36,21 @@
 const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
 /// Whether an answer with this status guarantees that the request has not run.
-pub fn is_promise(status: u16) -> bool {
+pub fn guarantees_not_run(status: u16) -> bool {
     NOT_RUN_STATUSES.contains(&status)
 }
 
 /// Returns the consequence of one attempt.
-pub fn told(kind: RouteKind, came: Came) -> Told {
+pub fn attempt_result(kind: RouteKind, came: AttemptOutcome) -> AttemptResult {
     match came {
-        Came::NotSent => Told::NotRun,
+        AttemptOutcome::NotSent => AttemptResult::NotRun,
         // A "not run" marker on a success status is contradictory.
-        Came::NotRun(status) if (200..300).contains(&status) => Told::MayHaveRun,
-        Came::NotRun(_) => Told::NotRun,
-        Came::Own(status) if is_promise(status) && !kind.is_retryable() => Told::MayHaveRun,
-        Came::Own(_) => Told::PassOn,
-        Came::Nothing => Told::MayHaveRun,
+        AttemptOutcome::NotRun(status) if (200..300).contains(&status) => AttemptResult::MayHaveRun,
+        AttemptOutcome::NotRun(_) => AttemptResult::NotRun,
+        AttemptOutcome::Answered(status) if guarantees_not_run(status) && !kind.is_retryable() => {
+            AttemptResult::MayHaveRun
+        }
+        AttemptOutcome::Answered(_) => AttemptResult::PassOn,
+        AttemptOutcome::Unanswered => AttemptResult::MayHaveRun,
     }
 }
--- a/crates/deckwind-core/src/routes/attempts.rs
+++ b/crates/deckwind-core/src/routes/attempts.rs
@@ -9,12 +9,12 @@
 
 /// Targets to which a request was sent and that may have run it.
 #[derive(Clone, Debug)]
-pub struct Tries {
+pub struct AttemptedTargets {
     max: u32,
     sent: Vec<(SocketAddr, Incarnation)>,
 }
 
-impl Tries {
+impl AttemptedTargets {
     /// Creates an empty list with a limit on the targets that may run the request.
     pub fn new(max: u32) -> Self {
         Self {
@@ -24,12 +24,12 @@
     }
 
     /// Records that the request is sent to this incarnation of a target.
-    pub fn sent(&mut self, address: SocketAddr, life: Incarnation) {
+    pub fn record_sent(&mut self, address: SocketAddr, life: Incarnation) {
         self.sent.push((address, life));
     }
 
     /// Removes the last target, which has not run the request.
-    pub fn not_run(&mut self) {
+    pub fn remove_last(&mut self) {
         self.sent.pop();
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// Whether the request may be sent to one more target.
-    pub fn left(&self, instances: &InstanceIndex) -> bool {
+    pub fn may_send(&self, instances: &InstanceIndex) -> bool {
         self.count() - self.ended(instances) < self.max
     }
 }
--- a/crates/deckwind-core/src/routes/choice.rs
+++ b/crates/deckwind-core/src/routes/choice.rs
@@ -1,9 +1,11 @@
 //! Choice of the target, or of the path through engines, that a request takes.
 
-use super::book::TargetBook;
+use super::target_records::TargetRecords;
 use crate::control::LimitKey;
-use crate::routing::draws::Draws;
-use crate::routing::paths::{EnginePath, Fullest, Need, NoPath, has_chain, paths};
+use crate::routing::paths::{
+    Bottleneck, EnginePath, PathError, PathRequirements, find_paths, has_chain,
+};
+use crate::routing::seeded_rng::SeededRng;
 use crate::state::{DataCentre, EngineModel, Incarnation, Instance, InstanceState};
 use crate::time::Instant;
 use std::collections::HashSet;
@@ -35,7 +37,7 @@
 
 /// Priority of a request for the capacity that is left.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Claim {
+pub enum RequestClass {
     /// The request begins and can still be on time.
     New,
     /// The request begins and is already late.
@@ -44,42 +46,42 @@
     Begun,
 }
 
-impl Claim {
+impl RequestClass {
     /// Maximum load of an engine with this request, as a fraction of its capacity.
     fn max_load(self) -> f64 {
         match self {
-            Claim::New => MAX_LOAD_NEW,
-            Claim::Late => MAX_LOAD_LATE,
-            Claim::Begun => MAX_LOAD_BEGUN,
+            RequestClass::New => MAX_LOAD_NEW,
+            RequestClass::Late => MAX_LOAD_LATE,
+            RequestClass::Begun => MAX_LOAD_BEGUN,
         }
     }
 }
 
 /// Capacity that a request takes of the engines on its path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct CapacityDemand {
     /// Number of tokens that the request will hold.
     pub tokens: u64,
     /// Priority for the capacity that is left.
-    pub claim: Claim,
+    pub claim: RequestClass,
     /// Random number that spreads requests over equivalent engines.
     pub draw: u64,
 }
 
-impl Room {
+impl CapacityDemand {
     /// Returns the demand on each engine of the path.
-    pub fn need(&self) -> Need {
-        Need {
+    pub fn need(&self) -> PathRequirements {
+        PathRequirements {
             tokens: self.tokens,
-            most: self.claim.max_load(),
-            draw: self.draw,
+            max_utilization: self.claim.max_load(),
+            path_seed: self.draw,
         }
     }
 }
 
 /// The chosen target, with the path if engines hold layers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Choice {
+pub struct TargetChoice {
     /// Address to which the request is sent.
     pub address: SocketAddr,
     /// Id of the target. A target with another id must not run the request.
@@ -90,7 +92,7 @@
     pub born: Option<u64>,
 }
 
-impl Choice {
+impl TargetChoice {
     /// Returns the chosen incarnation. The id alone does not distinguish it from a later
     /// incarnation of the same target.
     pub fn life(&self) -> Incarnation {
@@ -111,11 +113,11 @@
 
 /// The reason why no target was chosen.
 #[derive(Clone, Debug, PartialEq)]
-pub enum NoChoice {
+pub enum ChoiceError {
     /// There is no target, or no complete chain of engines.
     NoTarget,
     /// Every path has an engine at its maximum load. Holds the least full of these engines.
-    Full(Fullest),
+    Full(Bottleneck),
     /// The available targets asked for a rest period or already get as many requests as
     /// they accept. Holds the time until enough of them accept requests again.
     Resting(Duration),
@@ -131,43 +133,43 @@
 ///
 /// # Errors
 ///
-/// Returns [`NoChoice`] if there is no chain, if all paths are full, or if the engines
+/// Returns [`ChoiceError`] if there is no chain, if all paths are full, or if the engines
 /// needed for a chain are resting.
 pub fn choose_path(
     model: &EngineModel,
     instances: &[Instance],
-    book: &TargetBook,
+    book: &TargetRecords,
     own: &DataCentre,
-    room: Room,
+    room: CapacityDemand,
     avoid: &HashSet<SocketAddr>,
     now: Instant,
-) -> Result<Choice, NoChoice> {
+) -> Result<TargetChoice, ChoiceError> {
     let need = room.need();
     let find = |avoid: &HashSet<SocketAddr>| {
         let view = book.at(now, avoid);
-        paths(model, instances.iter(), &view, &need)
+        find_paths(model, instances.iter(), &view, &need)
     };
     let find_any = |avoid: &HashSet<SocketAddr>| {
         let view = book.with_faulty_at(now, avoid);
-        paths(model, instances.iter(), &view, &need)
+        find_paths(model, instances.iter(), &view, &need)
     };
     let mut found = find(avoid);
     if found.is_err() {
         found = find_any(avoid);
     }
-    if found == Err(NoPath::Broken) {
+    if found == Err(PathError::Broken) {
         found = find_any(&HashSet::new());
     }
     let found = found.map_err(|none| match none {
-        NoPath::Broken => match time_until_chain(model, instances, book, now) {
-            Some(rest) => NoChoice::Resting(rest),
-            None => NoChoice::NoTarget,
+        PathError::Broken => match time_until_chain(model, instances, book, now) {
+            Some(rest) => ChoiceError::Resting(rest),
+            None => ChoiceError::NoTarget,
         },
-        NoPath::Full(fullest) => NoChoice::Full(fullest),
+        PathError::Full(fullest) => ChoiceError::Full(fullest),
     })?;
-    let path = draw_data_centre(found, own, room.draw).ok_or(NoChoice::NoTarget)?;
+    let path = draw_data_centre(found, own, room.draw).ok_or(ChoiceError::NoTarget)?;
     let first = instances.iter().find(|i| i.id == path.first_id);
-    Ok(Choice {
+    Ok(TargetChoice {
         address: path.stages[0].address,
         instance: path.first_id.clone(),
         born: first.and_then(|i| i.born),
@@ -180,7 +182,7 @@
 fn time_until_chain(
     model: &EngineModel,
     instances: &[Instance],
-    book: &TargetBook,
+    book: &TargetRecords,
     now: Instant,
 ) -> Option<Duration> {
     let mut ends = rest_ends(instances, book, now);
@@ -195,15 +197,15 @@
 }
 
 /// Returns the ends of the rest periods of these targets.
-fn rest_ends(instances: &[Instance], book: &TargetBook, now: Instant) -> Vec<Instant> {
+fn rest_ends(instances: &[Instance], book: &TargetRecords, now: Instant) -> Vec<Instant> {
     let accepts_work = |i: &&Instance| accepts_work(i, book);
     let accepts_work = instances.iter().filter(accepts_work);
-    let ends = accepts_work.filter_map(|i| book.rests_until(now, i));
+    let ends = accepts_work.filter_map(|i| book.rest_ends_at(now, i));
     ends.collect()
 }
 
 /// Whether a target accepts new work, as far as is known. It may still be in a rest period.
-fn accepts_work(instance: &Instance, book: &TargetBook) -> bool {
+fn accepts_work(instance: &Instance, book: &TargetRecords) -> bool {
     instance.state != InstanceState::Draining && !book.notices.leaves(instance)
 }
 
@@ -212,12 +214,12 @@
 /// all routers picked the emptiest data centre, its load would rise before their load
 /// reports were updated.
 fn draw_data_centre(mut found: Vec<EnginePath>, own: &DataCentre, draw: u64) -> Option<EnginePath> {
-    let local = |p: &EnginePath| p.data_centre == *own && p.fullest.used < MAX_LOCAL_LOAD;
+    let local = |p: &EnginePath| p.data_centre == *own && p.bottleneck.used < MAX_LOCAL_LOAD;
     let drawn = match found.iter().position(local) {
         Some(local) => local,
         None => {
-            let weight = |p: &EnginePath| (1.0 - p.fullest.used).max(MIN_FREE_CAPACITY).powi(2);
-            Draws::new(draw, DATA_CENTRE_DRAW).in_proportion(found.iter().map(weight))?
+            let weight = |p: &EnginePath| (1.0 - p.bottleneck.used).max(MIN_FREE_CAPACITY).powi(2);
+            SeededRng::new(draw, DATA_CENTRE_DRAW).weighted_index(found.iter().map(weight))?
         }
     };
     Some(found.swap_remove(drawn))
@@ -228,35 +230,37 @@
 ///
 /// # Errors
 ///
-/// Returns [`NoChoice`] if there is no target or all targets are resting.
-pub fn choose_plain(
+/// Returns [`ChoiceError`] if there is no target or all targets are resting.
+pub fn choose_target(
     instances: &[Instance],
-    book: &TargetBook,
+    book: &TargetRecords,
     own: &DataCentre,
     avoid: &HashSet<SocketAddr>,
     draw: f64,
     now: Instant,
-) -> Result<Choice, NoChoice> {
+) -> Result<TargetChoice, ChoiceError> {
     let accepts_work = |i: &&Instance| accepts_work(i, book);
-    let rests = |i: &Instance| book.rests_until(now, i).is_some();
+    let rests = |i: &Instance| book.rest_ends_at(now, i).is_some();
     let ready = instances.iter().filter(accepts_work).filter(|i| !rests(i));
     let ready: Vec<&Instance> = ready.collect();
     if ready.is_empty()
         && let Some(end) = rest_ends(instances, book, now).into_iter().min()
     {
-        return Err(NoChoice::Resting(end.since(now)));
+        return Err(ChoiceError::Resting(end.since(now)));
     }
     let usable = ready.into_iter().filter(|i| !avoid.contains(&i.address));
     let usable: Vec<&Instance> = usable.collect();
     let start = (draw * usable.len() as f64) as usize;
     let rotated = usable.iter().cycle().skip(start).take(usable.len());
     let cost = |i: &Instance| {
-        let is_unconfirmed = i.state == InstanceState::Silent || book.avoids(now, i.address);
+        let is_unconfirmed = i.state == InstanceState::Silent || book.is_in_backoff(now, i.address);
         let load = book.in_flight(i.address) * 1_000 / i.slots.max(1);
         (is_unconfirmed, load, i.data_centre != *own)
     };
-    let best = rotated.min_by_key(|i| cost(i)).ok_or(NoChoice::NoTarget)?;
-    Ok(Choice {
+    let best = rotated
+        .min_by_key(|i| cost(i))
+        .ok_or(ChoiceError::NoTarget)?;
+    Ok(TargetChoice {
         address: best.address,
         instance: best.id.clone(),
         path: None,
--- a/crates/deckwind-core/src/routes/events.rs
+++ b/crates/deckwind-core/src/routes/events.rs
@@ -9,7 +9,7 @@
 
 /// Splits a stream into complete events.
 #[derive(Clone, Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     buf: Vec<u8>,
 }
 
@@ -24,7 +24,7 @@
     pub count: u32,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// Adds received data and returns the complete events so far whose id is greater than
     /// `after`. Events without an id are always returned.
     pub fn take(&mut self, data: &[u8], after: Option<u64>) -> Option<Events> {
@@ -54,7 +54,7 @@
     }
 
     /// Returns the remaining bytes once the stream has ended normally.
-    pub fn rest(self) -> Vec<u8> {
+    pub fn into_remaining(self) -> Vec<u8> {
         self.buf
     }
 }
--- a/crates/deckwind-core/src/routes/granted_retries.rs
+++ b/crates/deckwind-core/src/routes/granted_retries.rs
@@ -9,7 +9,7 @@
 //! back to an older one: otherwise a late answer could restore an allowance that was
 //! already spent.
 
-use super::choice::Claim;
+use super::choice::RequestClass;
 use crate::control::{PoolRetryReport, RetryGrant};
 use crate::state::RetryAllowanceId;
 use crate::time::Instant;
@@ -34,11 +34,11 @@
 /// Whether a stream may use a retry when `left` are available and the leader can still
 /// issue `free_percent` of the bound. The last retries are reserved for streams that have
 /// begun, then for those that can still be on time.
-pub fn may_take(left: u64, free_percent: u64, claim: Claim) -> bool {
+pub fn may_use_retry(left: u64, free_percent: u64, claim: RequestClass) -> bool {
     let min_free = match claim {
-        Claim::Begun => 0,
-        Claim::New => MIN_FREE_PERCENT_NEW,
-        Claim::Late => MIN_FREE_PERCENT_LATE,
+        RequestClass::Begun => 0,
+        RequestClass::New => MIN_FREE_PERCENT_NEW,
+        RequestClass::Late => MIN_FREE_PERCENT_LATE,
     };
     left > 0 && free_percent >= min_free
 }
@@ -63,7 +63,7 @@
 
 impl GrantedRetries {
     /// The number of retries that may be used now.
-    pub fn left(&self, now: Instant) -> u64 {
+    pub fn available(&self, now: Instant) -> u64 {
         match now < self.valid_until {
             true => self.unused(),
             false => 0,
@@ -82,14 +82,14 @@
     /// Uses a retry for a stream with this claim, if one is available for it. `request`
     /// identifies the request, so that repeated attempts of one request count once in the
     /// wanted level. A claim for which the leader would issue none is not counted.
-    pub fn spend(&mut self, now: Instant, claim: Claim, request: u64) -> bool {
-        if !self.may_come(claim) {
+    pub fn spend(&mut self, now: Instant, claim: RequestClass, request: u64) -> bool {
+        if !self.may_be_granted(claim) {
             return false;
         }
         self.requests.retain(|(_, r)| *r != request);
         self.requests.push_back((now, request));
         self.remove_old_requests(now);
-        let is_granted = may_take(self.left(now), self.free_percent, claim);
+        let is_granted = may_use_retry(self.available(now), self.free_percent, claim);
         if is_granted {
             self.spent += 1;
             self.spent_at.push_back(now);
@@ -110,13 +110,13 @@
     }
 
     /// Whether the leader may issue a retry for a stream with this claim.
-    pub fn may_come(&self, claim: Claim) -> bool {
-        may_take(1, self.free_percent, claim)
+    pub fn may_be_granted(&self, claim: RequestClass) -> bool {
+        may_use_retry(1, self.free_percent, claim)
     }
 
     /// Whether more retries are needed soon.
-    pub fn runs_short(&self, now: Instant) -> bool {
-        self.left(now) * 2 < self.level().max(self.min_held)
+    pub fn needs_more(&self, now: Instant) -> bool {
+        self.available(now) * 2 < self.level().max(self.min_held)
     }
 
     /// Builds the report for the leader. A used retry counts for `retry_lifetime`.
@@ -145,7 +145,7 @@
 
     /// Applies the leader's answer to a report sent at `asked`. Returns whether more
     /// retries were granted.
-    pub fn told(&mut self, asked: Instant, validity: Duration, grant: &RetryGrant) -> bool {
+    pub fn apply_grant(&mut self, asked: Instant, validity: Duration, grant: &RetryGrant) -> bool {
         if self.allowance.is_some_and(|mine| grant.allowance < mine) {
             return false;
         }
--- a/crates/deckwind-core/src/routes/index.rs
+++ b/crates/deckwind-core/src/routes/index.rs
@@ -29,7 +29,7 @@
 
 impl ReleaseIndex {
     /// Builds the index of the release in force, or returns `None` if there is none.
-    pub fn of(cfg: &Configuration) -> Option<Self> {
+    pub fn new(cfg: &Configuration) -> Option<Self> {
         let release = cfg.release()?.clone();
         let mut by_host: HashMap<String, Vec<usize>> = HashMap::new();
         for (i, route) in release.routes.iter().enumerate() {
@@ -118,7 +118,7 @@
 
 /// An incarnation that has ended at an address.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct LifeOver {
+pub struct EndedIncarnation {
     /// Address of the incarnation.
     pub address: SocketAddr,
     /// The incarnation that has ended.
@@ -136,7 +136,7 @@
 
 impl InstanceIndex {
     /// Builds the index of all targets that have not left.
-    pub fn of(cfg: &Configuration) -> Self {
+    pub fn new(cfg: &Configuration) -> Self {
         let mut by_pool: BTreeMap<String, Vec<Instance>> = BTreeMap::new();
         for i in cfg.instances().iter() {
             by_pool.entry(i.pool.clone()).or_default().push(i.clone());
@@ -161,7 +161,7 @@
     /// Returns the incarnations known to `before` that have ended: another one has the
     /// address, or they had been silent and are gone. State kept for the address belongs to
     /// them.
-    pub fn lives_over(&self, before: &InstanceIndex) -> Vec<LifeOver> {
+    pub fn ended_incarnations(&self, before: &InstanceIndex) -> Vec<EndedIncarnation> {
         let current: HashMap<SocketAddr, &Instance> = self.iter().map(|i| (i.address, i)).collect();
         let ended = |old: &Instance| {
             let new = current.get(&old.address);
@@ -169,7 +169,7 @@
                 Some(new) => new.id != old.id || new.born != old.born,
                 None => old.state == InstanceState::Silent,
             };
-            has_ended.then(|| LifeOver {
+            has_ended.then(|| EndedIncarnation {
                 address: old.address,
                 life: old.incarnation(),
                 by: new.map(|new| new.incarnation()),
@@ -180,7 +180,7 @@
 
     /// Returns the incarnations that were ready in `before` and crashed: they fell silent,
     /// or another one has the address. A target that is merely missing has left as planned.
-    pub fn lives_cut(&self, before: &InstanceIndex) -> Vec<Incarnation> {
+    pub fn crashed_incarnations(&self, before: &InstanceIndex) -> Vec<Incarnation> {
         let current: HashMap<SocketAddr, &Instance> = self.iter().map(|i| (i.address, i)).collect();
         let cut = |old: &&Instance| match current.get(&old.address) {
             Some(new) if new.id == old.id && new.born == old.born => {
--- a/crates/deckwind-core/src/routes/cut_runs.rs
+++ b/crates/deckwind-core/src/routes/interrupted_runs.rs
@@ -26,7 +26,7 @@
 /// This is four times as long as poison requests take to crash one. If all streams that a
 /// crash breaks off were counted, streams that are moved together would be quarantined by
 /// chance.
-pub const JUST_BEGUN: Duration = Duration::from_millis(500);
+pub const MAX_POISON_RUN_TIME: Duration = Duration::from_millis(500);
 
 /// Time for which an interrupted run waits for the crash of its incarnation to be known, in
 /// announcement periods plus a fixed time. A silent target counts as such after some of its
@@ -77,7 +77,7 @@
 
 /// Request contents and target crashes known to one router.
 #[derive(Clone, Debug)]
-pub struct CutRuns {
+pub struct InterruptedRuns {
     pending_timeout: Duration,
     pending: VecDeque<PendingRun>,
     /// Recently ended incarnations. A run may be noticed as interrupted after its target
@@ -98,14 +98,14 @@
     queue.push_back(value);
 }
 
-impl Default for CutRuns {
+impl Default for InterruptedRuns {
     /// Returns a tracker for targets that announce themselves at the default period.
     fn default() -> Self {
         Self::with_period(DEFAULT_ANNOUNCE_INTERVAL)
     }
 }
 
-impl CutRuns {
+impl InterruptedRuns {
     /// Returns an empty tracker for targets with this announcement period.
     pub fn with_period(period: Duration) -> Self {
         Self {
@@ -121,15 +121,15 @@
 
     /// Records an interrupted run. `ran` is the time since its first event, if there was
     /// one. Returns whether the run may have crashed its target.
-    pub fn cut(
+    pub fn record_interrupted(
         &mut self,
         now: Instant,
         content: ContentDigest,
         life: &Incarnation,
         ran: Option<Duration>,
     ) -> bool {
-        if ran.is_some_and(|ran| ran >= JUST_BEGUN) {
-            self.served(now, content);
+        if ran.is_some_and(|ran| ran >= MAX_POISON_RUN_TIME) {
+            self.record_served(now, content);
         }
         self.remove_expired(now);
         if self.is_exempt(now, &content) {
@@ -159,7 +159,7 @@
     }
 
     /// Records that a target has run the request content and is still there.
-    pub fn served(&mut self, now: Instant, content: ContentDigest) {
+    pub fn record_served(&mut self, now: Instant, content: ContentDigest) {
         if self.served.len() >= MAX_SERVED {
             self.served
                 .retain(|_, at| now.since(*at) < SERVED_EXEMPTION);
@@ -176,7 +176,7 @@
 
     /// Records incarnations that crashed. Returns the request contents that were running
     /// there, with the incarnation.
-    pub fn lives_over(
+    pub fn record_ended_incarnations(
         &mut self,
         now: Instant,
         lives: Vec<Incarnation>,
@@ -244,7 +244,7 @@
     /// Replaces the agreed list and returns the previous one. Crashes that this router
     /// observed are forgotten once the request content is quarantined, and when the agreed
     /// count falls, since they expire with the agreed state.
-    pub fn agreed(&mut self, now: Instant, list: Arc<SuspectList>) -> Arc<SuspectList> {
+    pub fn set_agreed(&mut self, now: Instant, list: Arc<SuspectList>) -> Arc<SuspectList> {
         let before = std::mem::replace(&mut self.agreed, list.clone());
         self.own_crashes.retain(|content, _| {
             let agreed = list.crash_count(content);
@@ -301,17 +301,17 @@
     }
 
     /// Whether there are changes that the leader has not received.
-    pub fn has_news(&self) -> bool {
+    pub fn has_unreported_changes(&self) -> bool {
         !self.unreported.is_empty()
     }
 
     /// Takes the changes that the leader has not received.
-    pub fn take_news(&mut self) -> Vec<SuspectChange> {
+    pub fn take_unreported_changes(&mut self) -> Vec<SuspectChange> {
         self.unreported.drain(..).collect()
     }
 
     /// Queues changes again that could not be delivered to the leader.
-    pub fn put_back(&mut self, news: Vec<SuspectChange>) {
+    pub fn requeue(&mut self, news: Vec<SuspectChange>) {
         for change in news.into_iter().rev() {
             if self.unreported.len() < MAX_ENTRIES {
                 self.unreported.push_front(change);
--- a/crates/deckwind-core/src/routes/limits.rs
+++ b/crates/deckwind-core/src/routes/limits.rs
@@ -40,7 +40,7 @@
     }
 
     /// Whether the permit is valid at `now`.
-    pub fn is_good(&self, now: Instant) -> bool {
+    pub fn is_valid(&self, now: Instant) -> bool {
         (self.from..self.until).contains(&now)
     }
 }
@@ -74,7 +74,7 @@
 impl TargetLimits {
     /// Records the limit in a target's answer, or its absence. `permitted` is the issue
     /// time of the request's permit. Returns whether the limit is new.
-    pub fn hear(
+    pub fn record_limit(
         &mut self,
         now: Instant,
         target: &LimitKey,
@@ -129,7 +129,7 @@
     }
 
     /// The number of limited targets.
-    pub fn limited(&self) -> usize {
+    pub fn limited_count(&self) -> usize {
         self.known.len()
     }
 
@@ -144,7 +144,7 @@
     }
 
     /// Records that the leader grants no permit for this time.
-    pub fn denied(&mut self, now: Instant, target: &LimitKey, wait: Duration) {
+    pub fn record_denial(&mut self, now: Instant, target: &LimitKey, wait: Duration) {
         if let Some(known) = self.known.get_mut(target) {
             known.denied_until = known.denied_until.max(now + wait);
         }
@@ -152,7 +152,7 @@
 
     /// Applies the leader's answer that the limit of a target has ended. Limits received
     /// after the request was sent at `asked` are kept. Returns whether the limit has ended.
-    pub fn is_over(&mut self, asked: Instant, target: &LimitKey) -> bool {
+    pub fn remove_ended(&mut self, asked: Instant, target: &LimitKey) -> bool {
         let over = self
             .known
             .get(target)
@@ -164,7 +164,7 @@
     }
 
     /// Returns the report to the leader for one limited target.
-    pub fn heard_of(&self, now: Instant, target: &LimitKey) -> Option<ReceivedLimit> {
+    pub fn limit_report_for(&self, now: Instant, target: &LimitKey) -> Option<ReceivedLimit> {
         let known = self.known.get(target)?;
         Some(self.limit_entry(now, target, known))
     }
@@ -195,7 +195,7 @@
     /// leader's list is authoritative for everything reported to it. If the leader has
     /// changed, the next report includes all limits again. Returns the limits that have
     /// begun or ended.
-    pub fn told(
+    pub fn apply_list(
         &mut self,
         asked: Instant,
         now: Instant,
@@ -212,7 +212,7 @@
         for limit in &list.limits {
             if !self.known.contains_key(&limit.target) {
                 self.insert(&limit.target, limit.rate, now - limit.ago, None);
-                told.begin.push(limit.target.clone());
+                told.begun.push(limit.target.clone());
             }
         }
         let reported_until = self.reported_until;
@@ -220,7 +220,7 @@
             let holds = known.last_received_at >= reported_until
                 || list.limits.iter().any(|l| l.target == *target);
             if !holds {
-                told.over.push(target.clone());
+                told.ended.push(target.clone());
             }
             holds
         });
@@ -237,7 +237,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LimitListChanges {
     /// Limits that other routers reported.
-    pub begin: Vec<LimitKey>,
+    pub begun: Vec<LimitKey>,
     /// Limits that have ended.
-    pub over: Vec<LimitKey>,
+    pub ended: Vec<LimitKey>,
 }
--- a/crates/deckwind-core/src/routes/mod.rs
+++ b/crates/deckwind-core/src/routes/mod.rs
@@ -6,31 +6,35 @@
 
 mod attempt_result;
 mod attempts;
-mod book;
 mod choice;
-mod cut_runs;
 mod events;
 mod granted_retries;
 mod index;
+mod interrupted_runs;
 mod limits;
 mod notices;
-mod patience;
 mod retry_after;
 mod retry_budget;
-pub mod silence;
+mod returning_callers;
 mod slow_readers;
+pub mod stall_detection;
+mod target_records;
 
-pub use attempt_result::{Came, Told, is_promise, told};
-pub use attempts::Tries;
-pub use book::{BookAt, TargetBook, TargetFault};
-pub use choice::{Choice, Claim, NoChoice, Room, choose_path, choose_plain};
-pub use cut_runs::{CutRuns, JUST_BEGUN};
-pub use events::{EventCutter, Events};
-pub use granted_retries::{GrantedRetries, may_take};
-pub use index::{InstanceIndex, KeyRights, LifeOver, ReleaseIndex, UnknownKey};
+pub use attempt_result::{AttemptOutcome, AttemptResult, attempt_result, guarantees_not_run};
+pub use attempts::AttemptedTargets;
+pub use choice::{
+    CapacityDemand, ChoiceError, RequestClass, TargetChoice, choose_path, choose_target,
+};
+pub use events::{EventSplitter, Events};
+pub use granted_retries::{GrantedRetries, may_use_retry};
+pub use index::{EndedIncarnation, InstanceIndex, KeyRights, ReleaseIndex, UnknownKey};
+pub use interrupted_runs::{InterruptedRuns, MAX_POISON_RUN_TIME};
 pub use limits::{LimitListChanges, Permit, TargetLimits};
-pub use notices::{Heard, TargetNotice, TargetNotices};
-pub use patience::Patience;
-pub use retry_after::Refusal;
-pub use retry_budget::{Paid, PoolRetryBudget, RepeatBudgets, RepeatLimits, Started};
-pub use slow_readers::{AnswerArena, AnswerKey, Behind, FEW, HoldLimits, Way};
+pub use notices::{NoticeChange, TargetNotice, TargetNotices};
+pub use retry_after::RefusalReason;
+pub use retry_budget::{PoolRetryBudget, ProcessStart, RetryBudgets, RetryLimits, RetrySource};
+pub use returning_callers::ReturningCallers;
+pub use slow_readers::{
+    AnswerArena, AnswerKey, BufferLimits, DisconnectOrder, LaggingCaller, MAX_SPARED_CHUNKS,
+};
+pub use target_records::{TargetFault, TargetRecords, TargetRecordsAt};
--- a/crates/deckwind-core/src/routes/notices.rs
+++ b/crates/deckwind-core/src/routes/notices.rs
@@ -41,9 +41,9 @@
 
 /// Changes caused by a notice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct NoticeChange {
     /// New end of the rest period, if the notice extended it.
-    pub rests_until: Option<Instant>,
+    pub rest_ends_at: Option<Instant>,
     /// Whether the target was not yet known to be shutting down.
     pub leaves: bool,
 }
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug)]
 struct StoredNotice {
     life: Incarnation,
-    rests_until: Instant,
+    rest_ends_at: Instant,
     leaves: bool,
     received_at: Instant,
 }
@@ -65,25 +65,25 @@
 impl TargetNotices {
     /// Records the notice in a target's answer. A shorter rest period doesn't end a longer
     /// one, since each was requested independently.
-    pub fn hear(
+    pub fn record(
         &mut self,
         now: Instant,
         address: SocketAddr,
         life: &Incarnation,
         notice: &TargetNotice,
-    ) -> Heard {
+    ) -> NoticeChange {
         if notice.rest.is_none() && !notice.leaves {
-            return Heard::default();
+            return NoticeChange::default();
         }
         let stored = self.stored_mut(now, address, life);
         stored.received_at = now;
         let until = now + notice.rest.unwrap_or_default();
-        let longer = until > stored.rests_until && until > now;
+        let longer = until > stored.rest_ends_at && until > now;
         let leaves = notice.leaves && !stored.leaves;
-        stored.rests_until = stored.rests_until.max(until);
+        stored.rest_ends_at = stored.rest_ends_at.max(until);
         stored.leaves |= notice.leaves;
-        Heard {
-            rests_until: longer.then_some(until),
+        NoticeChange {
+            rest_ends_at: longer.then_some(until),
             leaves,
         }
     }
@@ -102,7 +102,7 @@
             lives.truncate(MAX_INCARNATIONS_PER_ADDRESS - 1);
             let stored = StoredNotice {
                 life: life.clone(),
-                rests_until: Instant::ZERO,
+                rest_ends_at: Instant::ZERO,
                 leaves: false,
                 received_at: now,
             };
@@ -127,8 +127,8 @@
     }
 
     /// Returns the end of the rest period, or `None` if the target does not rest at `now`.
-    pub fn rests_until(&self, now: Instant, instance: &Instance) -> Option<Instant> {
-        let until = self.stored(instance)?.rests_until;
+    pub fn rest_ends_at(&self, now: Instant, instance: &Instance) -> Option<Instant> {
+        let until = self.stored(instance)?.rest_ends_at;
         (until > now).then_some(until)
     }
 
@@ -138,15 +138,15 @@
     }
 
     /// Whether this incarnation accepts no new requests at `now`.
-    pub fn turns_away(&self, now: Instant, address: SocketAddr, life: &Incarnation) -> bool {
+    pub fn is_blocked(&self, now: Instant, address: SocketAddr, life: &Incarnation) -> bool {
         let lives = self.by_address.get(&address);
         let mut lives = lives.into_iter().flatten();
-        lives.any(|s| s.life == *life && (s.leaves || s.rests_until > now))
+        lives.any(|s| s.life == *life && (s.leaves || s.rest_ends_at > now))
     }
 
     /// The number of targets that are in a rest period at `now`.
     pub fn resting(&self, now: Instant) -> usize {
-        let rests = |lives: &&Vec<StoredNotice>| lives.iter().any(|s| s.rests_until > now);
+        let rests = |lives: &&Vec<StoredNotice>| lives.iter().any(|s| s.rest_ends_at > now);
         self.by_address.values().filter(rests).count()
     }
 
@@ -155,7 +155,7 @@
         self.by_address.retain(|address, lives| {
             let lasts =
                 |s: &StoredNotice| known(address) || now.since(s.received_at) < UNKNOWN_TARGET_TTL;
-            lives.retain(|s| s.rests_until > now || (s.leaves && lasts(s)));
+            lives.retain(|s| s.rest_ends_at > now || (s.leaves && lasts(s)));
             !lives.is_empty()
         });
     }
--- a/crates/deckwind-core/src/routes/retry_after.rs
+++ b/crates/deckwind-core/src/routes/retry_after.rs
@@ -13,7 +13,7 @@
 
 /// The reason why a request was refused without having run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RefusalReason {
     /// The router has no lease.
     NoLease,
     /// The router is stopping or partitioned. Other routers can serve the request.
@@ -32,26 +32,26 @@
     Quarantined,
 }
 
-impl Refusal {
+impl RefusalReason {
     /// Returns the minimum and maximum time until the caller may retry, in milliseconds.
     fn bounds_ms(self) -> (f64, f64) {
         match self {
-            Refusal::NoLease => (300.0, 900.0),
-            Refusal::OtherRouter => (10.0, 60.0),
+            RefusalReason::NoLease => (300.0, 900.0),
+            RefusalReason::OtherRouter => (10.0, 60.0),
             // The first attempt through another router costs no retry there, and a stream
             // that begins at once can still be on time.
-            Refusal::NoRepeat => (20.0, 120.0),
+            RefusalReason::NoRepeat => (20.0, 120.0),
             // An attempt at another target can still be on time.
-            Refusal::NotTaken => (10.0, 60.0),
-            Refusal::NoTarget => (200.0, 700.0),
-            Refusal::Full => (400.0, 2_000.0),
+            RefusalReason::NotTaken => (10.0, 60.0),
+            RefusalReason::NoTarget => (200.0, 700.0),
+            RefusalReason::Full => (400.0, 2_000.0),
             // Callers that return together would be refused together.
-            Refusal::Resting(remaining) => {
+            RefusalReason::Resting(remaining) => {
                 let remaining = remaining.as_secs_f64() * 1e3;
                 (remaining, remaining + REST_SPREAD_MS)
             }
             // No router serves the request content sooner, see `state::quarantine`.
-            Refusal::Quarantined => (
+            RefusalReason::Quarantined => (
                 QUARANTINE_DURATION_MS as f64,
                 QUARANTINE_DURATION_MS as f64 * 1.1,
             ),
@@ -60,7 +60,7 @@
 
     /// Returns the time after which the caller should retry. `draw` is a random number in
     /// 0..1.
-    pub fn come_back_after(self, draw: f64) -> Duration {
+    pub fn retry_after_time(self, draw: f64) -> Duration {
         let (min, max) = self.bounds_ms();
         Duration::from_secs_f64((min + (max - min) * draw) / 1e3)
     }
--- a/crates/deckwind-core/src/routes/retry_budget.rs
+++ b/crates/deckwind-core/src/routes/retry_budget.rs
@@ -10,7 +10,7 @@
 //! window: the share they earned at the other router, or in the previous process, may just
 //! have been used.
 
-use super::choice::Claim;
+use super::choice::RequestClass;
 use super::granted_retries::GrantedRetries;
 use crate::control::{RetryGrant, RetryReport};
 use crate::time::Instant;
@@ -19,11 +19,11 @@
 
 /// Limits on retries over all routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RepeatLimits {
+pub struct RetryLimits {
     /// Retries as a share of the requests.
     pub share: f64,
     /// Retries beyond the share.
-    pub beyond: f64,
+    pub extra: f64,
     /// The window over which retries are counted.
     pub window: Duration,
 }
@@ -51,7 +51,7 @@
 
 /// Start of a router process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Started {
+pub struct ProcessStart {
     /// Start time of the process.
     pub at: Instant,
     /// Whether the whole system started for the first time, so that nothing was sent
@@ -68,52 +68,57 @@
 
 /// Source from which a retry was paid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Paid {
+pub enum RetrySource {
     /// The share of this router's own requests.
     Share,
     /// Retries granted by the leader.
-    Leased,
+    Granted,
 }
 
 /// Retry budget of one router for one pool.
 #[derive(Clone, Debug)]
 pub struct PoolRetryBudget {
-    limits: RepeatLimits,
-    started: Started,
+    limits: RetryLimits,
+    started: ProcessStart,
     buckets: VecDeque<Bucket>,
-    leased: GrantedRetries,
+    granted: GrantedRetries,
 }
 
 impl PoolRetryBudget {
     /// Creates a budget without any requests or retries.
-    pub fn new(limits: RepeatLimits, started: Started) -> Self {
+    pub fn new(limits: RetryLimits, started: ProcessStart) -> Self {
         Self {
             limits,
             started,
             buckets: VecDeque::new(),
-            leased: GrantedRetries::default(),
+            granted: GrantedRetries::default(),
         }
     }
 
     /// Counts a request.
-    pub fn requested(&mut self, now: Instant) {
+    pub fn record_request(&mut self, now: Instant) {
         self.current_bucket(now).requests += 1;
     }
 
     /// Uses a retry for a stream with this claim, if one is available. The router's own
     /// share is used first, since no other router can use it. `request` identifies the
     /// request.
-    pub fn spend(&mut self, now: Instant, claim: Claim, request: u64) -> Option<Paid> {
+    pub fn spend(
+        &mut self,
+        now: Instant,
+        claim: RequestClass,
+        request: u64,
+    ) -> Option<RetrySource> {
         if self.spend_share(now) {
-            return Some(Paid::Share);
+            return Some(RetrySource::Share);
         }
-        let leased = self.limits.beyond > 0.0 && self.leased.spend(now, claim, request);
-        leased.then_some(Paid::Leased)
+        let leased = self.limits.extra > 0.0 && self.granted.spend(now, claim, request);
+        leased.then_some(RetrySource::Granted)
     }
 
     fn spend_share(&mut self, now: Instant) -> bool {
         self.current_bucket(now);
-        let (_, retries) = self.counts(now);
+        let (_, retries) = self.window_counts(now);
         let max_retries = BOUND_FRACTION * self.limits.share * self.earning_requests(now);
         if f64::from(retries + 1) > max_retries {
             return false;
@@ -123,7 +128,7 @@
     }
 
     /// The number of requests, and of retries paid from the share, within the window.
-    pub fn counts(&self, now: Instant) -> (u32, u32) {
+    pub fn window_counts(&self, now: Instant) -> (u32, u32) {
         let oldest = self.oldest_bucket_of_window(now);
         let within = || self.buckets.iter().filter(|s| s.number >= oldest);
         let requests = within().map(|s| s.requests);
@@ -133,7 +138,7 @@
 
     /// Requests that earn the share. New requests count for less.
     fn earning_requests(&self, now: Instant) -> f64 {
-        let requests = f64::from(self.counts(now).0);
+        let requests = f64::from(self.window_counts(now).0);
         let steady = requests.min(self.previous_window_requests(now));
         let age = now.since(self.started.at);
         let fraction = match self.started.first || age >= 2 * self.limits.window {
@@ -173,13 +178,13 @@
     }
 
     /// Retries granted by the leader.
-    pub fn leased(&mut self) -> &mut GrantedRetries {
-        &mut self.leased
+    pub fn granted(&mut self) -> &mut GrantedRetries {
+        &mut self.granted
     }
 
     /// Whether a request came within the window.
     fn serves(&self, now: Instant) -> bool {
-        self.counts(now).0 > 0
+        self.window_counts(now).0 > 0
     }
 
     fn current_bucket(&mut self, now: Instant) -> &mut Bucket {
@@ -201,15 +206,15 @@
 /// Retry budgets of all pools. The bound holds for each pool separately, and requests for
 /// one pool earn nothing for another.
 #[derive(Clone, Debug)]
-pub struct RepeatBudgets {
-    limits: RepeatLimits,
-    started: Started,
+pub struct RetryBudgets {
+    limits: RetryLimits,
+    started: ProcessStart,
     by_pool: HashMap<String, PoolRetryBudget>,
 }
 
-impl RepeatBudgets {
+impl RetryBudgets {
     /// Creates budgets without any requests or retries.
-    pub fn new(limits: RepeatLimits, started: Started) -> Self {
+    pub fn new(limits: RetryLimits, started: ProcessStart) -> Self {
         Self {
             limits,
             started,
@@ -232,7 +237,7 @@
     /// since a late answer must not grant them again.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.by_pool
-            .retain(|pool, b| keep(pool) || b.leased.has_allowance());
+            .retain(|pool, b| keep(pool) || b.granted.has_allowance());
         for (pool, budget) in &mut self.by_pool {
             if !keep(pool) {
                 budget.buckets.clear();
@@ -243,19 +248,19 @@
     /// Builds the report for the leader, or returns `None` if no retries are allowed beyond
     /// the share.
     pub fn report(&mut self, now: Instant) -> Option<RetryReport> {
-        if self.limits.beyond <= 0.0 {
+        if self.limits.extra <= 0.0 {
             return None;
         }
         let mut pools = Vec::new();
         for (pool, budget) in &mut self.by_pool {
             let serves = budget.serves(now);
-            if serves || budget.leased.has_allowance() {
+            if serves || budget.granted.has_allowance() {
                 let retry_lifetime = retry_lifetime(self.limits.window);
-                pools.push(budget.leased.report(now, pool, serves, retry_lifetime));
+                pools.push(budget.granted.report(now, pool, serves, retry_lifetime));
             }
         }
         Some(RetryReport {
-            most: (BOUND_FRACTION * self.limits.beyond) as u64,
+            most: (BOUND_FRACTION * self.limits.extra) as u64,
             window: self.limits.window,
             pools,
         })
@@ -263,18 +268,23 @@
 
     /// Applies the leader's grants, requested at `asked`. Returns whether more retries were
     /// granted.
-    pub fn told(&mut self, asked: Instant, validity: Duration, grants: &[RetryGrant]) -> bool {
+    pub fn apply_grants(
+        &mut self,
+        asked: Instant,
+        validity: Duration,
+        grants: &[RetryGrant],
+    ) -> bool {
         let mut more = false;
         for grant in grants {
             let budget = self.of_pool(&grant.pool);
-            more |= budget.leased.told(asked, validity, grant);
+            more |= budget.granted.apply_grant(asked, validity, grant);
         }
         more
     }
 
     /// Whether some pool needs more granted retries soon.
-    pub fn runs_short(&self, now: Instant) -> bool {
+    pub fn needs_more(&self, now: Instant) -> bool {
         let mut budgets = self.by_pool.values();
-        self.limits.beyond > 0.0 && budgets.any(|b| b.leased.runs_short(now))
+        self.limits.extra > 0.0 && budgets.any(|b| b.granted.needs_more(now))
     }
 }
--- a/crates/deckwind-core/src/routes/patience.rs
+++ b/crates/deckwind-core/src/routes/returning_callers.rs
@@ -9,11 +9,11 @@
 
 /// Longest waiting time that callers have sent, by route.
 #[derive(Clone, Debug, Default)]
-pub struct Patience {
+pub struct ReturningCallers {
     longest: HashMap<String, Duration>,
 }
 
-impl Patience {
+impl ReturningCallers {
     /// Whether a caller that will still wait for `patience` has been asking for longer than
     /// the route's objective, so that its answer will be late in any case.
     pub fn is_late(&mut self, route: &str, patience: Duration, objective: Duration) -> bool {
--- a/crates/deckwind-core/src/routes/slow_readers.rs
+++ b/crates/deckwind-core/src/routes/slow_readers.rs
@@ -18,7 +18,7 @@
 
 /// An answer whose caller is behind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Behind {
+pub struct LaggingCaller {
     /// Key of the answer.
     pub key: AnswerKey,
     /// Number of the client account that made the request.
@@ -26,14 +26,14 @@
     /// Buffered bytes.
     pub bytes: u64,
     /// Buffered chunks. For a stream this is roughly the number of events.
-    pub pieces: u32,
+    pub chunks: u32,
     /// Time of the caller's last read, or of the first buffered chunk if that is later.
     pub since: Instant,
 }
 
 /// Order in which callers are disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum DisconnectOrder {
     /// The caller that has read nothing for the longest time goes first.
     LongestUnread,
     /// The caller with the most buffered bytes goes first.
@@ -42,7 +42,7 @@
 
 /// Buffer limits of a router, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HoldLimits {
+pub struct BufferLimits {
     /// New requests are refused above this.
     pub refuse_above: u64,
     /// Callers are disconnected above this.
@@ -56,9 +56,9 @@
 /// Number of chunks up to which a slow caller is not disconnected, since this may be a
 /// network pause rather than a caller that does not read. At the usual 20 to 40 events a
 /// second this is some 0.2 to 0.4 s.
-pub const FEW: u32 = 8;
+pub const MAX_SPARED_CHUNKS: u32 = 8;
 
-impl HoldLimits {
+impl BufferLimits {
     /// Returns the limits for a bound on all buffered bytes.
     pub fn of(bound: u64) -> Self {
         Self {
@@ -71,7 +71,7 @@
 
     /// Returns the callers to disconnect while `held` bytes are buffered in total, in
     /// order.
-    pub fn cut(&self, way: Way, held: u64, all: &[Behind]) -> Vec<AnswerKey> {
+    pub fn select(&self, way: DisconnectOrder, held: u64, all: &[LaggingCaller]) -> Vec<AnswerKey> {
         if held <= self.cut_above {
             return Vec::new();
         }
@@ -79,14 +79,21 @@
         for b in all {
             *by_account.entry(b.account).or_default() += b.bytes;
         }
-        let mut order: Vec<&Behind> = all.iter().filter(|b| b.pieces > FEW).collect();
+        let mut order: Vec<&LaggingCaller> = all
+            .iter()
+            .filter(|b| b.chunks > MAX_SPARED_CHUNKS)
+            .collect();
         match way {
-            Way::LongestUnread => order.sort_by_key(|b| (b.since, std::cmp::Reverse(b.bytes))),
-            Way::MostBytes => order.sort_by_key(|b| (std::cmp::Reverse(b.bytes), b.since)),
+            DisconnectOrder::LongestUnread => {
+                order.sort_by_key(|b| (b.since, std::cmp::Reverse(b.bytes)))
+            }
+            DisconnectOrder::MostBytes => {
+                order.sort_by_key(|b| (std::cmp::Reverse(b.bytes), b.since))
+            }
         }
         let mut held = held;
         let mut cut = Vec::new();
-        let mut take = |b: &Behind, only_large: bool| {
+        let mut take = |b: &LaggingCaller, only_large: bool| {
             let of_account = by_account.entry(b.account).or_default();
             let spared = only_large && *of_account <= self.account;
             if held <= self.cut_to || spared {
--- a/crates/deckwind-core/src/routes/silence/mod.rs
+++ b/crates/deckwind-core/src/routes/stall_detection/mod.rs
@@ -38,7 +38,7 @@
 
 /// Time for which an engine is suspected, unless an event passes through it before. By its
 /// end the leader has probed the engine and all routers know the result.
-pub const SUSPECTED_FOR: Duration = Duration::from_millis(1_000);
+pub const SUSPICION_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// Interval between checks while streams are stalled and the cause is unknown: a fifth of a
 /// usual gap.
@@ -76,7 +76,7 @@
 
 /// Result of a probe about a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum ProbeResult {
     /// This stage of the stream's path is gone.
     Gone(SocketAddr),
     /// All stages are there.
@@ -87,16 +87,16 @@
 
 /// Result of a check.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Found {
+pub struct StallCheck {
     /// Streams whose first engine is to be probed.
-    pub to_ask: Vec<StreamKey>,
+    pub to_probe: Vec<StreamKey>,
     /// Streams that pass through a suspected engine and should move to another path.
     pub to_move: Vec<StreamKey>,
 }
 
 /// Stall detector for the streams of one router.
 #[derive(Clone, Debug, Default)]
-pub struct SilenceWatch {
+pub struct StallDetector {
     streams: Vec<Option<Stream>>,
     free: Vec<u32>,
     last_generation: u32,
@@ -139,9 +139,9 @@
     }
 }
 
-impl SilenceWatch {
+impl StallDetector {
     /// Starts to watch a stream on this path. `pause` is the longest pause that is on time.
-    pub fn begin(
+    pub fn watch(
         &mut self,
         now: Instant,
         data_centre: &DataCentre,
@@ -177,7 +177,7 @@
 
     /// Records an event of a stream. Returns the engines that are no longer suspected
     /// because of it.
-    pub fn event(&mut self, now: Instant, key: StreamKey) -> Vec<SocketAddr> {
+    pub fn record_event(&mut self, now: Instant, key: StreamKey) -> Vec<SocketAddr> {
         let Some(stream) = stream_mut(&mut self.streams, key) else {
             return Vec::new();
         };
@@ -206,7 +206,7 @@
     }
 
     /// Records that a stream continues on another path.
-    pub fn path_is(&mut self, now: Instant, key: StreamKey, path: &[SocketAddr]) {
+    pub fn replace_path(&mut self, now: Instant, key: StreamKey, path: &[SocketAddr]) {
         let path = self.watch_engines(now, path);
         let Some(stream) = stream_mut(&mut self.streams, key) else {
             self.unwatch_engines(&path);
@@ -221,7 +221,7 @@
     }
 
     /// Stops watching a stream that has ended.
-    pub fn end(&mut self, key: StreamKey) {
+    pub fn unwatch(&mut self, key: StreamKey) {
         if stream_mut(&mut self.streams, key).is_none() {
             return;
         }
@@ -234,7 +234,7 @@
 
     /// Marks engines as suspected that the leader reports, except those through which an
     /// event came within a usual gap.
-    pub fn told(&mut self, now: Instant, suspects: &[SocketAddr]) {
+    pub fn suspect_reported(&mut self, now: Instant, suspects: &[SocketAddr]) {
         let usual = self.overall_gaps.map_or(Duration::ZERO, |g| g.mean());
         for address in suspects {
             let Some(key) = self.by_address.get(address) else {
@@ -242,7 +242,7 @@
             };
             let engine_state = &mut self.engines[key.0 as usize];
             if now.since(engine_state.last_event) > usual && engine_state.suspected_until <= now {
-                engine_state.suspected_until = now + SUSPECTED_FOR;
+                engine_state.suspected_until = now + SUSPICION_TIMEOUT;
                 engine_state.is_gone = false;
                 self.next_check = Some(now);
             }
@@ -250,7 +250,7 @@
     }
 
     /// Returns the time of the next check, or `None` while no stream is watched.
-    pub fn look_at(&self) -> Option<Instant> {
+    pub fn next_check_at(&self) -> Option<Instant> {
         let stalled_at = self.streams.iter().flatten().map(Stream::stalled_at);
         let first = stalled_at.filter(|at| *at > self.checked_at).min();
         let next = match (self.next_check, first) {
@@ -261,7 +261,7 @@
     }
 
     /// Whether an engine is suspected.
-    pub fn suspects(&self, now: Instant, address: SocketAddr) -> bool {
+    pub fn is_suspected(&self, now: Instant, address: SocketAddr) -> bool {
         let key = self.by_address.get(&address);
         key.is_some_and(|k| self.engines[k.0 as usize].suspected_until > now)
     }
@@ -273,17 +273,17 @@
 
     /// Checks which streams have stalled and why. `due` is the time for which this check
     /// was planned.
-    pub fn look(&mut self, now: Instant, due: Instant) -> Found {
+    pub fn check(&mut self, now: Instant, due: Instant) -> StallCheck {
         self.next_check = None;
         if now.since(due) > MAX_CHECK_DELAY {
             self.hold_off_until = now + HOLD_OFF_TIME;
         }
         if now < self.hold_off_until {
             self.next_check = Some(self.hold_off_until);
-            return Found::default();
+            return StallCheck::default();
         }
         self.checked_at = now;
-        let mut found = Found::default();
+        let mut found = StallCheck::default();
         for view in self.stalled_by_data_centre(now).into_values() {
             self.select_probes(now, &view, &mut found);
         }
@@ -293,27 +293,32 @@
 
     /// Records the result of a probe about a stream. Returns the engine that becomes
     /// suspected by it.
-    pub fn answered(&mut self, now: Instant, key: StreamKey, answer: Answer) -> Option<SocketAddr> {
+    pub fn record_probe(
+        &mut self,
+        now: Instant,
+        key: StreamKey,
+        answer: ProbeResult,
+    ) -> Option<SocketAddr> {
         let implicated = self.probes.remove(&key).flatten();
-        if answer == Answer::AllThere {
+        if answer == ProbeResult::AllThere {
             self.fruitless_probes.record(now);
         }
         let gone = match answer {
-            Answer::Gone(address) => self.by_address.get(&address).copied(),
-            Answer::AllThere => None,
-            Answer::Unknown => implicated,
+            ProbeResult::Gone(address) => self.by_address.get(&address).copied(),
+            ProbeResult::AllThere => None,
+            ProbeResult::Unknown => implicated,
         };
         let engine_state = &mut self.engines[gone?.0 as usize];
         let is_new = engine_state.suspected_until <= now;
-        engine_state.suspected_until = now + SUSPECTED_FOR;
-        engine_state.is_gone = matches!(answer, Answer::Gone(_));
+        engine_state.suspected_until = now + SUSPICION_TIMEOUT;
+        engine_state.is_gone = matches!(answer, ProbeResult::Gone(_));
         self.next_check = Some(now);
         is_new.then_some(engine_state.address)
     }
 
     /// Returns the engines that may be slow when a stream has paused although all of its
     /// stages are there: those without an event since the stream's next event was due.
-    pub fn perhaps_slow(&self, now: Instant, key: StreamKey) -> Vec<SocketAddr> {
+    pub fn slow_candidates(&self, now: Instant, key: StreamKey) -> Vec<SocketAddr> {
         let stream = self.streams.get(key.slot as usize);
         let stream = stream.and_then(|s| s.as_ref().filter(|s| s.generation == key.generation));
         let candidates = stream.map(|s| self.candidates(now, s));
@@ -362,7 +367,7 @@
 
     /// Selects the streams to probe: one for each engine that stalled streams point to, and
     /// those that have stalled alone for long.
-    fn select_probes(&mut self, now: Instant, view: &DataCentreStreams, found: &mut Found) {
+    fn select_probes(&mut self, now: Instant, view: &DataCentreStreams, found: &mut StallCheck) {
         self.next_check = Some(now + CHECK_INTERVAL);
         let stalled: Vec<_> = view.stalled.iter().map(|(_, c)| c.clone()).collect();
         let streams_through = |e: EngineKey| self.engines[e.0 as usize].streams as usize;
@@ -390,13 +395,13 @@
             stream.probed_at = Some(now);
             unprobed.retain(|e| !candidates.contains(e));
             self.probes.insert(*key, suspect);
-            found.to_ask.push(*key);
+            found.to_probe.push(*key);
         }
     }
 
     /// Selects the streams through a suspected engine whose next event is overdue or can't
     /// come.
-    fn select_moves(&mut self, now: Instant, found: &mut Found) {
+    fn select_moves(&mut self, now: Instant, found: &mut StallCheck) {
         let mut next_attempt = None;
         for (slot, stream) in self.streams.iter_mut().enumerate() {
             let Some(stream) = stream else {
--- a/crates/deckwind-core/src/routes/book.rs
+++ b/crates/deckwind-core/src/routes/target_records.rs
@@ -4,7 +4,7 @@
 use super::limits::TargetLimits;
 use super::notices::TargetNotices;
 use crate::control::{EngineFull, EngineLoadUpdate, EngineLoadVersion, EngineStreamLoad};
-use crate::routing::paths::{EngineView, Held, Stage};
+use crate::routing::paths::{EngineLookup, Stage, StreamLoad};
 use crate::state::Instance;
 use crate::time::Instant;
 use std::collections::{HashMap, HashSet};
@@ -63,16 +63,16 @@
 
 /// Load and failure records that one router keeps for targets.
 #[derive(Clone, Debug, Default)]
-pub struct TargetBook {
+pub struct TargetRecords {
     targets: HashMap<SocketAddr, TargetRecord>,
     /// Load of this router's own streams by engine.
-    own: HashMap<SocketAddr, Held>,
+    own: HashMap<SocketAddr, StreamLoad>,
     /// Load of all routers' streams by engine, as last reported by the leader.
-    fleet: HashMap<SocketAddr, Held>,
+    fleet: HashMap<SocketAddr, StreamLoad>,
     /// Position up to which the leader's load updates have been applied.
-    use_known: Option<EngineLoadVersion>,
+    load_position: Option<EngineLoadVersion>,
     /// Load of this router's streams in its last report. Included in `fleet`.
-    reported: HashMap<SocketAddr, Held>,
+    reported: HashMap<SocketAddr, StreamLoad>,
     /// Engines that recently refused a request for lack of capacity.
     refused: HashMap<SocketAddr, CapacityRefusal>,
     /// Slow engines as last reported by the leader. Valid until `slow_until`.
@@ -92,9 +92,9 @@
     until: Instant,
 }
 
-/// View of a [`TargetBook`] at one moment, for one request.
-pub struct BookAt<'a> {
-    book: &'a TargetBook,
+/// View of a [`TargetRecords`] at one moment, for one request.
+pub struct TargetRecordsAt<'a> {
+    book: &'a TargetRecords,
     now: Instant,
     /// Targets through which this request must not be sent.
     avoid: &'a HashSet<SocketAddr>,
@@ -104,39 +104,39 @@
     rested_by: Instant,
 }
 
-impl EngineView for BookAt<'_> {
-    fn avoids(&self, instance: &Instance) -> bool {
+impl EngineLookup for TargetRecordsAt<'_> {
+    fn is_avoided(&self, instance: &Instance) -> bool {
         let address = instance.address;
         let avoided = match self.allow_faulty {
             true => self.book.is_down(self.now, address),
-            false => self.book.avoids(self.now, address),
+            false => self.book.is_in_backoff(self.now, address),
         };
         let notices = &self.book.notices;
         let is_blocked =
-            notices.leaves(instance) || self.book.rests_until(self.rested_by, instance).is_some();
+            notices.leaves(instance) || self.book.rest_ends_at(self.rested_by, instance).is_some();
         avoided || is_blocked || self.avoid.contains(&address)
     }
 
-    fn held(&self, address: SocketAddr) -> Held {
-        self.book.held(address)
+    fn load(&self, address: SocketAddr) -> StreamLoad {
+        self.book.load(address)
     }
 
-    fn refused_at(&self, address: SocketAddr) -> Option<u64> {
+    fn load_when_refused(&self, address: SocketAddr) -> Option<u64> {
         let refused = self.book.refused.get(&address);
         let lately = refused.filter(|r| r.until > self.now);
         lately.map(|r| r.layer_tokens)
     }
 
-    fn suspects(&self, address: SocketAddr) -> bool {
-        self.book.suspects(self.now, address) || self.book.is_slow(self.now, address)
+    fn is_suspected(&self, address: SocketAddr) -> bool {
+        self.book.is_suspected(self.now, address) || self.book.is_slow(self.now, address)
     }
 }
 
-impl TargetBook {
+impl TargetRecords {
     /// Returns a view as of `now`, for a request that must not be sent through the targets
     /// in `avoid`.
-    pub fn at<'a>(&'a self, now: Instant, avoid: &'a HashSet<SocketAddr>) -> BookAt<'a> {
-        BookAt {
+    pub fn at<'a>(&'a self, now: Instant, avoid: &'a HashSet<SocketAddr>) -> TargetRecordsAt<'a> {
+        TargetRecordsAt {
             book: self,
             now,
             avoid,
@@ -145,27 +145,27 @@
         }
     }
 
-    /// Like [`TargetBook::at`], but also allows targets that recently gave bad answers.
+    /// Like [`TargetRecords::at`], but also allows targets that recently gave bad answers.
     pub fn with_faulty_at<'a>(
         &'a self,
         now: Instant,
         avoid: &'a HashSet<SocketAddr>,
-    ) -> BookAt<'a> {
-        BookAt {
+    ) -> TargetRecordsAt<'a> {
+        TargetRecordsAt {
             allow_faulty: true,
             ..self.at(now, avoid)
         }
     }
 
-    /// Like [`TargetBook::with_faulty_at`], but also allows targets whose rest period ends
+    /// Like [`TargetRecords::with_faulty_at`], but also allows targets whose rest period ends
     /// by `then`.
     pub fn rested_by<'a>(
         &'a self,
         now: Instant,
         then: Instant,
         avoid: &'a HashSet<SocketAddr>,
-    ) -> BookAt<'a> {
-        BookAt {
+    ) -> TargetRecordsAt<'a> {
+        TargetRecordsAt {
             rested_by: then,
             ..self.with_faulty_at(now, avoid)
         }
@@ -174,8 +174,8 @@
     /// Returns the time until which nothing may be sent to a target, or `None` if requests
     /// may be sent now. A target is blocked while it asks for a rest period or while the
     /// leader grants no permits for it.
-    pub fn rests_until(&self, now: Instant, instance: &Instance) -> Option<Instant> {
-        let rests = self.notices.rests_until(now, instance);
+    pub fn rest_ends_at(&self, now: Instant, instance: &Instance) -> Option<Instant> {
+        let rests = self.notices.rest_ends_at(now, instance);
         rests.max(self.limits.denied_until(now, instance))
     }
 
@@ -185,7 +185,7 @@
     }
 
     /// Whether a target is in backoff after a recent failure.
-    pub fn avoids(&self, now: Instant, address: SocketAddr) -> bool {
+    pub fn is_in_backoff(&self, now: Instant, address: SocketAddr) -> bool {
         let record = self.targets.get(&address);
         record.is_some_and(|a| a.avoided_until > now)
     }
@@ -197,19 +197,19 @@
     }
 
     /// Records targets that other routers report as down.
-    pub fn doubt(&mut self, until: Instant, addresses: &[SocketAddr]) {
+    pub fn mark_unconfirmed(&mut self, until: Instant, addresses: &[SocketAddr]) {
         for address in addresses {
             self.targets.entry(*address).or_default().unconfirmed_until = until;
         }
     }
 
     /// Marks a target as suspected because streams through it stalled together.
-    pub fn suspect(&mut self, until: Instant, address: SocketAddr) {
+    pub fn mark_suspected(&mut self, until: Instant, address: SocketAddr) {
         self.targets.entry(address).or_default().suspected_until = until;
     }
 
     /// Replaces the set of slow engines, as reported by the leader.
-    pub fn slow_are(&mut self, until: Instant, slow: impl Iterator<Item = SocketAddr>) {
+    pub fn set_slow(&mut self, until: Instant, slow: impl Iterator<Item = SocketAddr>) {
         self.slow = slow.collect();
         self.slow_until = until;
     }
@@ -221,7 +221,7 @@
     }
 
     /// Clears the suspected and unconfirmed states, after an event came through the target.
-    pub fn cleared(&mut self, address: SocketAddr) {
+    pub fn clear_suspicion(&mut self, address: SocketAddr) {
         if let Some(record) = self.targets.get_mut(&address) {
             record.suspected_until = Instant::ZERO;
             record.unconfirmed_until = Instant::ZERO;
@@ -229,28 +229,28 @@
     }
 
     /// Whether a target is suspected because streams through it recently stalled together.
-    pub fn suspects(&self, now: Instant, address: SocketAddr) -> bool {
+    pub fn is_suspected(&self, now: Instant, address: SocketAddr) -> bool {
         let record = self.targets.get(&address);
         record.is_some_and(|a| a.suspected_until > now)
     }
 
     /// Whether stalled streams should leave a target: it was recently down for this router
     /// or another one, or is suspected.
-    pub fn doubts(&self, now: Instant, address: SocketAddr) -> bool {
+    pub fn is_unconfirmed(&self, now: Instant, address: SocketAddr) -> bool {
         let until = |a: &TargetRecord| a.down_until.max(a.unconfirmed_until).max(a.suspected_until);
         let record = self.targets.get(&address);
         record.is_some_and(|a| until(a) > now)
     }
 
     /// Counts a request as in flight at these targets.
-    pub fn began(&mut self, addresses: &[SocketAddr]) {
+    pub fn record_start(&mut self, addresses: &[SocketAddr]) {
         for address in addresses {
             self.targets.entry(*address).or_default().in_flight += 1;
         }
     }
 
     /// Counts a request at these targets as ended.
-    pub fn ended(&mut self, addresses: &[SocketAddr]) {
+    pub fn record_end(&mut self, addresses: &[SocketAddr]) {
         for address in addresses {
             let record = self.targets.entry(*address).or_default();
             record.in_flight = record.in_flight.saturating_sub(1);
@@ -258,7 +258,12 @@
     }
 
     /// Records a target failure and returns how long the target is avoided.
-    pub fn failed(&mut self, now: Instant, address: SocketAddr, fault: TargetFault) -> Duration {
+    pub fn record_failure(
+        &mut self,
+        now: Instant,
+        address: SocketAddr,
+        fault: TargetFault,
+    ) -> Duration {
         let record = self.targets.entry(address).or_default();
         let until = match fault {
             TargetFault::Down => record.down_until,
@@ -279,18 +284,18 @@
 
     /// Records that a target had no free capacity: this router avoids it briefly. Returns
     /// the report for the other routers.
-    pub fn had_no_room(&mut self, now: Instant, address: SocketAddr) -> EngineFull {
-        self.avoid_full(now, address);
+    pub fn record_refusal(&mut self, now: Instant, address: SocketAddr) -> EngineFull {
+        self.avoid_full_engine(now, address);
         let full = EngineFull {
             address,
-            layer_tokens: self.held(address).layer_tokens,
+            layer_tokens: self.load(address).layer_tokens,
         };
-        self.are_full(now, &[full]);
+        self.record_full_engines(now, &[full]);
         full
     }
 
     /// Avoids an engine without free capacity for a short time.
-    pub fn avoid_full(&mut self, now: Instant, address: SocketAddr) {
+    pub fn avoid_full_engine(&mut self, now: Instant, address: SocketAddr) {
         let record = self.targets.entry(address).or_default();
         record.avoided_until = record.avoided_until.max(now + FULL_ENGINE_BACKOFF);
     }
@@ -298,7 +303,7 @@
     /// Records that engines have just refused a request of this router or another one. The
     /// engines are healthy, so they are expected to accept the same load again as at the
     /// refusal.
-    pub fn are_full(&mut self, now: Instant, full: &[EngineFull]) {
+    pub fn record_full_engines(&mut self, now: Instant, full: &[EngineFull]) {
         self.refused.retain(|_, r| r.until > now);
         for engine in full {
             let refused = CapacityRefusal {
@@ -310,14 +315,14 @@
     }
 
     /// Records a successful answer of a target.
-    pub fn answered(&mut self, address: SocketAddr) {
+    pub fn record_success(&mut self, address: SocketAddr) {
         if let Some(record) = self.targets.get_mut(&address) {
             record.faults = record.faults.saturating_sub(1);
         }
     }
 
     /// Adds the tokens of a stream to the load of the engines on its path.
-    pub fn takes(&mut self, stages: &[Stage], tokens: u64) {
+    pub fn add_load(&mut self, stages: &[Stage], tokens: u64) {
         for stage in stages {
             let held = self.own.entry(stage.address).or_default();
             held.layer_tokens += tokens * u64::from(stage.layers.len());
@@ -328,7 +333,7 @@
     }
 
     /// Removes the tokens of a stream from the load of the engines on its path.
-    pub fn gives_back(&mut self, stages: &[Stage], tokens: u64) {
+    pub fn remove_load(&mut self, stages: &[Stage], tokens: u64) {
         for stage in stages {
             let held = self.own.entry(stage.address).or_default();
             let less = tokens * u64::from(stage.layers.len());
@@ -338,18 +343,18 @@
             let held = self.own.entry(first.address).or_default();
             held.begun = held.begun.saturating_sub(1);
         }
-        self.own.retain(|_, held| *held != Held::default());
+        self.own.retain(|_, held| *held != StreamLoad::default());
     }
 
     /// Replaces the load of all other routers' streams.
-    pub fn others_hold(&mut self, uses: &[EngineStreamLoad]) {
+    pub fn set_others_load(&mut self, uses: &[EngineStreamLoad]) {
         self.fleet = uses.iter().map(|u| (u.address, u.held())).collect();
         self.reported.clear();
     }
 
     /// Applies the answer to a lease renewal: `own` is the load that the renewal reported,
     /// `news` the leader's changes to the load of all routers, if any.
-    pub fn use_told(&mut self, own: &[EngineStreamLoad], news: Option<&EngineLoadUpdate>) {
+    pub fn apply_load_update(&mut self, own: &[EngineStreamLoad], news: Option<&EngineLoadUpdate>) {
         self.reported = own.iter().map(|u| (u.address, u.held())).collect();
         let Some(news) = news else {
             return;
@@ -358,22 +363,22 @@
             self.fleet.clear();
         }
         for engine in &news.engines {
-            match engine.held() == Held::default() {
+            match engine.held() == StreamLoad::default() {
                 true => self.fleet.remove(&engine.address),
                 false => self.fleet.insert(engine.address, engine.held()),
             };
         }
-        self.use_known = Some(news.upto);
+        self.load_position = Some(news.upto);
     }
 
     /// Returns the position up to which the leader's load updates have been applied.
-    pub fn use_known(&self) -> Option<EngineLoadVersion> {
-        self.use_known
+    pub fn load_position(&self) -> Option<EngineLoadVersion> {
+        self.load_position
     }
 
     /// Returns the load of this router's streams for the report to the leader, sorted by
     /// address.
-    pub fn own_use(&self) -> Vec<EngineStreamLoad> {
+    pub fn own_engine_load(&self) -> Vec<EngineStreamLoad> {
         let own = self.own.iter();
         let own = own.map(|(address, held)| EngineStreamLoad::new(*address, *held));
         let mut own: Vec<EngineStreamLoad> = own.collect();
@@ -382,11 +387,12 @@
     }
 
     /// Returns the load of all routers' streams at an engine.
-    pub fn held(&self, address: SocketAddr) -> Held {
-        let of = |map: &HashMap<SocketAddr, Held>| map.get(&address).copied().unwrap_or_default();
+    pub fn load(&self, address: SocketAddr) -> StreamLoad {
+        let of =
+            |map: &HashMap<SocketAddr, StreamLoad>| map.get(&address).copied().unwrap_or_default();
         let (own, fleet, reported) = (of(&self.own), of(&self.fleet), of(&self.reported));
         let others = fleet.layer_tokens.saturating_sub(reported.layer_tokens);
-        Held {
+        StreamLoad {
             layer_tokens: own.layer_tokens + others,
             begun: own.begun + fleet.begun.saturating_sub(reported.begun),
         }
@@ -396,7 +402,7 @@
     /// earlier failures say nothing about the next incarnation. Streams that still pass
     /// through the old one have stalled, so the address counts as unconfirmed for streams
     /// until `until`.
-    pub fn life_over(&mut self, until: Instant, address: SocketAddr) {
+    pub fn reset_target(&mut self, until: Instant, address: SocketAddr) {
         let record = self.targets.entry(address).or_default();
         *record = TargetRecord {
             in_flight: record.in_flight,
@@ -406,7 +412,7 @@
     }
 
     /// Returns the targets that are down at `now`.
-    pub fn failing(&self, now: Instant) -> Vec<SocketAddr> {
+    pub fn down_targets(&self, now: Instant) -> Vec<SocketAddr> {
         let failing = self.targets.iter().filter(|(_, t)| t.down_until > now);
         failing.map(|(a, _)| *a).collect()
     }
--- a/crates/deckwind-core/src/routing/chain_search.rs
+++ b/crates/deckwind-core/src/routing/chain_search.rs
@@ -11,7 +11,7 @@
 
 /// The requirements of a request.
 #[derive(Clone, Debug)]
-pub struct ChainNeed {
+pub struct ChainRequirements {
     /// Model and version.
     pub group: GroupKey,
     /// Adapter, if any.
@@ -56,7 +56,7 @@
 pub fn search_chain(
     fleet: &Fleet,
     now: Instant,
-    need: &ChainNeed,
+    need: &ChainRequirements,
     extra: &[TargetKey],
     rng: &mut impl Rng,
     mut cost: impl FnMut(TargetKey, LayerRange) -> f64,
@@ -115,7 +115,7 @@
 }
 
 /// Returns whether a target may get new work for `need`.
-fn is_usable(fleet: &Fleet, now: Instant, need: &ChainNeed, key: TargetKey) -> bool {
+fn is_usable(fleet: &Fleet, now: Instant, need: &ChainRequirements, key: TargetKey) -> bool {
     let Some(t) = fleet.get(key) else {
         return false;
     };
@@ -130,7 +130,7 @@
 fn sample_candidates(
     fleet: &Fleet,
     now: Instant,
-    need: &ChainNeed,
+    need: &ChainRequirements,
     boundary: &Boundary,
     extra: &[TargetKey],
     rng: &mut impl Rng,
@@ -172,7 +172,7 @@
 
 /// Returns the owner of the prompt's first block on the hash ring. Routers agree on it
 /// without sharing state (Karger et al., "Consistent Hashing", STOC 1997).
-fn ring_owner(boundary: &Boundary, need: &ChainNeed) -> Option<TargetKey> {
+fn ring_owner(boundary: &Boundary, need: &ChainRequirements) -> Option<TargetKey> {
     let first = need.prefixes.first()?;
     let i = boundary.ring.partition_point(|(hash, _)| *hash < first.0);
     let (_, key) = boundary.ring.get(i).or(boundary.ring.first())?;
@@ -184,7 +184,7 @@
 /// # Errors
 ///
 /// Returns an error if the stages do not cover `0..layers` without gap or overlap.
-pub fn plan_names(
+pub fn resolve_stages(
     fleet: &Fleet,
     stages: &[PlannedStage],
     layers: u32,
--- a/crates/deckwind-core/src/routing/chains.rs
+++ b/crates/deckwind-core/src/routing/chains.rs
@@ -6,7 +6,7 @@
 //! that is not placed yet, or spares.
 
 use super::layout::{TOKEN_SHARES, layer_capacity};
-use super::placement::Card;
+use super::placement::EngineCard;
 use crate::state::{DataCentre, EngineModel};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -20,15 +20,15 @@
 
 /// Groups the cards that should hold a chain together. If no data centre can hold a
 /// chain alone, all cards form one group.
-pub fn chain_groups(model: &EngineModel, cards: &[Card]) -> Vec<Vec<Card>> {
+pub fn chain_groups(model: &EngineModel, cards: &[EngineCard]) -> Vec<Vec<EngineCard>> {
     let mut centres: Vec<&DataCentre> = cards.iter().map(|c| &c.data_centre).collect();
     centres.sort();
     centres.dedup();
     let groups = centres.into_iter().flat_map(|dc| {
         let there = cards.iter().filter(|c| c.data_centre == *dc);
-        chains_within(model, there.cloned().collect())
+        chain_groups_within(model, there.cloned().collect())
     });
-    let groups: Vec<Vec<Card>> = groups.collect();
+    let groups: Vec<Vec<EngineCard>> = groups.collect();
     if groups.is_empty() && !cards.is_empty() {
         return vec![cards.to_vec()];
     }
@@ -36,14 +36,14 @@
 }
 
 /// Returns whether the cards have enough memory to hold a chain.
-pub fn holds_chain(model: &EngineModel, cards: &[&Card]) -> bool {
+pub fn can_hold_chain(model: &EngineModel, cards: &[&EngineCard]) -> bool {
     max_token_share(model, cards).is_some()
 }
 
 /// Groups the cards of one data centre that should hold a chain together. Returns no
 /// group if the cards can't hold a chain.
-pub fn chains_within(model: &EngineModel, cards: Vec<Card>) -> Vec<Vec<Card>> {
-    if !holds_chain(model, &cards.iter().collect::<Vec<_>>()) {
+pub fn chain_groups_within(model: &EngineModel, cards: Vec<EngineCard>) -> Vec<Vec<EngineCard>> {
+    if !can_hold_chain(model, &cards.iter().collect::<Vec<_>>()) {
         return Vec::new();
     }
     let count = chain_count(model, &cards);
@@ -72,7 +72,7 @@
 
 /// Returns the number of chains with the highest total token capacity. A higher number
 /// must gain at least [`MIN_CHAIN_GAIN`].
-fn chain_count(model: &EngineModel, cards: &[Card]) -> usize {
+fn chain_count(model: &EngineModel, cards: &[EngineCard]) -> usize {
     let min_count = cards.len().div_ceil(MAX_CARDS_PER_CHAIN).max(1);
     let mut best = (min_count, 0.0);
     for count in min_count..=MAX_CHAINS {
@@ -92,7 +92,7 @@
 
 /// Returns the largest token capacity that all cards of a chain can reach, as a share
 /// of an engine's maximum, or `None` if they can't hold a chain.
-fn max_token_share(model: &EngineModel, cards: &[&Card]) -> Option<f64> {
+fn max_token_share(model: &EngineModel, cards: &[&EngineCard]) -> Option<f64> {
     let is_enough = |share: &f64| {
         let tokens = model.max_tokens as f64 * share;
         let layers: u32 = cards.iter().map(|c| layer_capacity(model, c, tokens)).sum();
@@ -107,12 +107,16 @@
 
 /// Splits the cards into groups of about equal layer capacity: each card, largest
 /// first, goes to the group with the least capacity so far.
-fn split_evenly<'a>(model: &EngineModel, cards: &'a [Card], count: usize) -> Vec<Vec<&'a Card>> {
+fn split_evenly<'a>(
+    model: &EngineModel,
+    cards: &'a [EngineCard],
+    count: usize,
+) -> Vec<Vec<&'a EngineCard>> {
     let tokens = model.max_tokens as f64 * BALANCE_TOKEN_SHARE;
     let sized = cards.iter().map(|c| (layer_capacity(model, c, tokens), c));
-    let mut sized: Vec<(u32, &Card)> = sized.collect();
+    let mut sized: Vec<(u32, &EngineCard)> = sized.collect();
     sized.sort_by(|a, b| b.0.cmp(&a.0).then(a.1.id.cmp(&b.1.id)));
-    let mut groups: Vec<Vec<&Card>> = vec![Vec::new(); count];
+    let mut groups: Vec<Vec<&EngineCard>> = vec![Vec::new(); count];
     let mut smallest: BinaryHeap<Reverse<(u32, usize)>> =
         (0..count).map(|i| Reverse((0, i))).collect();
     for (layers, card) in sized {
@@ -126,7 +130,7 @@
 
 /// Removes the cards of one whole chain from `cards`, preferably one whose engines join
 /// without overlap.
-fn extract_chain(model: &EngineModel, cards: &mut Vec<Card>) -> Option<Vec<Card>> {
+fn extract_chain(model: &EngineModel, cards: &mut Vec<EngineCard>) -> Option<Vec<EngineCard>> {
     let mut picked = contiguous_chain(model, cards).or_else(|| covering_chain(model, cards))?;
     picked.sort_unstable_by(|a, b| b.cmp(a));
     Some(picked.into_iter().map(|i| cards.swap_remove(i)).collect())
@@ -136,7 +140,7 @@
 /// cards that begin at the same layer the choice does not affect other chains through
 /// that layer, but some may lead to a dead end. These are excluded by searching
 /// backwards from the last layer.
-fn contiguous_chain(model: &EngineModel, cards: &[Card]) -> Option<Vec<usize>> {
+fn contiguous_chain(model: &EngineModel, cards: &[EngineCard]) -> Option<Vec<usize>> {
     // next[layer]: a card that begins there and connects to the last layer.
     let mut next = vec![None; model.layers as usize];
     let mut by_first: Vec<usize> = (0..cards.len()).collect();
@@ -161,7 +165,7 @@
 
 /// Returns the indices of cards that hold all layers, chosen greedily for little
 /// overlap between neighbours.
-fn covering_chain(model: &EngineModel, cards: &[Card]) -> Option<Vec<usize>> {
+fn covering_chain(model: &EngineModel, cards: &[EngineCard]) -> Option<Vec<usize>> {
     let mut picked: Vec<usize> = Vec::new();
     let mut layer = 0;
     while layer < model.layers {
@@ -180,11 +184,15 @@
 
 /// Splits cards that hold no whole chain into `count` groups of mixed kinds, or keeps
 /// them as one group if they hold at least half the layers of a chain.
-fn group_remaining(model: &EngineModel, cards: Vec<Card>, count: usize) -> Vec<Vec<Card>> {
+fn group_remaining(
+    model: &EngineModel,
+    cards: Vec<EngineCard>,
+    count: usize,
+) -> Vec<Vec<EngineCard>> {
     let held: u32 = cards.iter().map(|c| c.held.len()).sum();
     let count = if held < model.layers / 2 { count } else { 1 };
     let mut groups = split_evenly(model, &cards, count);
-    groups.retain(|g| holds_chain(model, g));
-    let owned = |g: Vec<&Card>| g.into_iter().cloned().collect();
+    groups.retain(|g| can_hold_chain(model, g));
+    let owned = |g: Vec<&EngineCard>| g.into_iter().cloned().collect();
     groups.into_iter().map(owned).collect()
 }
--- a/crates/deckwind-core/src/routing/fleet.rs
+++ b/crates/deckwind-core/src/routing/fleet.rs
@@ -232,28 +232,28 @@
     }
 
     /// Records work sent to a target: `load` layers, or 1 for a service.
-    pub fn dispatched(&mut self, now: Instant, key: TargetKey, load: u32) {
+    pub fn record_dispatch(&mut self, now: Instant, key: TargetKey, load: u32) {
         if let Some(t) = self.targets.get_mut(key) {
-            t.dispatched(now, load);
+            t.record_dispatch(now, load);
         }
     }
 
     /// Records the end of work that was sent to a target.
-    pub fn finished(&mut self, now: Instant, key: TargetKey, load: u32) {
+    pub fn record_finish(&mut self, now: Instant, key: TargetKey, load: u32) {
         if let Some(t) = self.targets.get_mut(key) {
-            t.finished(now, load);
+            t.record_finish(now, load);
         }
     }
 
     /// Records a load report.
-    pub fn reported(&mut self, now: Instant, key: TargetKey, report: LoadReport) {
+    pub fn record_load_report(&mut self, now: Instant, key: TargetKey, report: LoadReport) {
         if let Some(t) = self.targets.get_mut(key) {
-            t.reported(now, report);
+            t.record_load_report(now, report);
         }
     }
 
     /// Records a finished step over `layers` layers and `positions` positions.
-    pub fn progressed(
+    pub fn record_step_time(
         &mut self,
         now: Instant,
         key: TargetKey,
@@ -262,15 +262,15 @@
         positions: usize,
     ) {
         if let Some(t) = self.targets.get_mut(key) {
-            t.progressed(now, took, layers, positions);
+            t.record_step_time(now, took, layers, positions);
         }
     }
 
     /// Starts a rest period of length `rest` that a target has asked for. A shorter
     /// period does not end a longer one.
-    pub fn rests(&mut self, now: Instant, key: TargetKey, rest: Duration) {
+    pub fn set_rest_period(&mut self, now: Instant, key: TargetKey, rest: Duration) {
         if let Some(t) = self.targets.get_mut(key) {
-            t.rests_until = t.rests_until.max(now + rest);
+            t.rest_ends_at = t.rest_ends_at.max(now + rest);
         }
     }
 
@@ -280,14 +280,14 @@
         let keys = self.services(template).iter();
         let targets = keys.filter_map(|k| self.targets.get(*k));
         let staying = targets.filter(|t| !t.is_leaving());
-        let left = staying.map(|t| t.rests_until.since(now)).min()?;
+        let left = staying.map(|t| t.rest_ends_at.since(now)).min()?;
         (!left.is_zero()).then_some(left)
     }
 
     /// Records a failure of a target.
-    pub fn failed(&mut self, now: Instant, key: TargetKey) {
+    pub fn record_failure(&mut self, now: Instant, key: TargetKey) {
         if let Some(t) = self.targets.get_mut(key) {
-            t.health.failed(now);
+            t.health.record_failure(now);
         }
     }
 }
--- a/crates/deckwind-core/src/routing/health.rs
+++ b/crates/deckwind-core/src/routing/health.rs
@@ -80,7 +80,7 @@
     }
 
     /// Records that work was sent to the target.
-    pub fn dispatched(&mut self, now: Instant) {
+    pub fn record_dispatch(&mut self, now: Instant) {
         if self.penalty >= MAX_PENALTY {
             self.trial_in_flight = true;
         }
@@ -91,7 +91,7 @@
     }
 
     /// Records that work at the target ended, whether or not it was completed.
-    pub fn finished(&mut self, now: Instant) {
+    pub fn record_finish(&mut self, now: Instant) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if self.in_flight == 0 {
             self.last_progress = now;
@@ -99,7 +99,7 @@
     }
 
     /// Records a step that took `took_us`, where `expected_us` was expected.
-    pub fn progressed(&mut self, now: Instant, took_us: f64, expected_us: f64) {
+    pub fn record_step_time(&mut self, now: Instant, took_us: f64, expected_us: f64) {
         self.last_progress = now;
         self.trial_in_flight = false;
         if took_us > expected_us * SLOW_FACTOR {
@@ -133,7 +133,7 @@
     }
 
     /// Records a failure: a broken connection or a missed deadline.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         self.trial_in_flight = false;
         self.consecutive_good = 0;
         self.add_penalty(now, MAX_PENALTY);
--- a/crates/deckwind-core/src/routing/layout.rs
+++ b/crates/deckwind-core/src/routing/layout.rs
@@ -6,7 +6,7 @@
 //! the cards allow and, among those, the shortest time per token. The slowest cards
 //! stay empty, as spares for lost engines.
 
-use super::placement::Card;
+use super::placement::EngineCard;
 use crate::state::EngineModel;
 
 /// Token capacities that every card of a chain should reach, as shares of an engine's
@@ -24,7 +24,7 @@
 const STAGE_COST: f64 = 40.0;
 
 /// Returns the number of layers that a card can hold beside a cache of `tokens` tokens.
-pub(super) fn layer_capacity(model: &EngineModel, card: &Card, tokens: f64) -> u32 {
+pub(super) fn layer_capacity(model: &EngineModel, card: &EngineCard, tokens: f64) -> u32 {
     let per_layer_mb = model.layer_mb + tokens * model.layer_token_bytes() / 1e6;
     let capacity = (card.memory_mb / per_layer_mb).floor();
     (capacity.max(0.0) as u32).min(model.layers)
@@ -37,7 +37,7 @@
 /// Trading token capacity for a shorter time did not pay: with every card at 0.88 of
 /// the tokens, 0.76 of the worth was reached at 130 requests per second on 38 cards of
 /// three kinds, instead of 0.82.
-pub(super) fn plan_layout(model: &EngineModel, cards: &[Card]) -> Option<Vec<u32>> {
+pub(super) fn plan_layout(model: &EngineModel, cards: &[EngineCard]) -> Option<Vec<u32>> {
     let mut shares = TOKEN_SHARES.iter();
     shares.find_map(|share| {
         let tokens = model.max_tokens as f64 * share;
@@ -82,7 +82,11 @@
 
 /// Distributes the layers over as many of the fastest cards as minimize the time of a
 /// token.
-fn fastest_layout(model: &EngineModel, cards: &[Card], capacities: &[u32]) -> Option<Vec<u32>> {
+fn fastest_layout(
+    model: &EngineModel,
+    cards: &[EngineCard],
+    capacities: &[u32],
+) -> Option<Vec<u32>> {
     let mut by_speed: Vec<usize> = (0..cards.len()).filter(|i| capacities[*i] > 0).collect();
     by_speed.sort_by(|a, b| {
         let factors = cards[*a].step_factor.total_cmp(&cards[*b].step_factor);
--- a/crates/deckwind-core/src/routing/mod.rs
+++ b/crates/deckwind-core/src/routing/mod.rs
@@ -17,7 +17,6 @@
 mod bound;
 mod chain_search;
 pub mod chains;
-pub mod draws;
 mod fleet;
 mod health;
 mod layout;
@@ -25,14 +24,17 @@
 pub mod placement;
 mod policy;
 mod prefix;
+pub mod seeded_rng;
 mod service;
 mod target_state;
 
 pub use bound::{BoundTarget, hardware_bound};
-pub use chain_search::{ChainNeed, PlannedStage, plan_names, search_chain};
+pub use chain_search::{ChainRequirements, PlannedStage, resolve_stages, search_chain};
 pub use fleet::{Fleet, GroupKey, TargetKey};
 pub use health::{Health, HealthState};
-pub use policy::{Estimated, FleetGate, LeastLoaded, PREFILL_COST, Policy, RoundRobin};
+pub use policy::{
+    EstimatedTimePolicy, LeastLoaded, LoadGatePolicy, PREFILL_COST, Policy, RoundRobin,
+};
 pub use prefix::{PrefixHash, PrefixIndex, prefix_hashes};
 pub use service::choose_service;
 pub use target_state::{LoadReport, TargetState};
--- a/crates/deckwind-core/src/routing/paths.rs
+++ b/crates/deckwind-core/src/routing/paths.rs
@@ -12,8 +12,8 @@
 //! free capacity, and the least utilized of a few such paths is chosen (Mitzenmacher,
 //! "How Useful Is Old Information?", IEEE TPDS 2000).
 
-use super::draws::Draws;
-use super::placement::{common, tokens_beside};
+use super::placement::{overlap, token_capacity};
+use super::seeded_rng::SeededRng;
 use crate::state::{DataCentre, EngineModel, Instance, InstanceState, LayerRange};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -37,12 +37,12 @@
     /// ID of the first stage's instance.
     pub first_id: String,
     /// The most utilized stage, with this request included.
-    pub fullest: Fullest,
+    pub bottleneck: Bottleneck,
 }
 
 /// The stage that limits a path.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fullest {
+pub struct Bottleneck {
     /// Address of the engine.
     pub address: SocketAddr,
     /// Utilization of the engine's memory or slots, whichever is higher; 1.0 is full.
@@ -51,7 +51,7 @@
 
 /// Load of the streams of all routers at an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Held {
+pub struct StreamLoad {
     /// Tokens held, multiplied by the layers that hold them.
     pub layer_tokens: u64,
     /// Streams whose first stage is at this engine.
@@ -59,41 +59,41 @@
 }
 
 /// A router's local knowledge of engines, in addition to the replicated state.
-pub trait EngineView {
+pub trait EngineLookup {
     /// Returns whether no request may be sent through the instance for now.
-    fn avoids(&self, instance: &Instance) -> bool;
+    fn is_avoided(&self, instance: &Instance) -> bool;
     /// Returns the load of streams at the engine.
-    fn held(&self, address: SocketAddr) -> Held;
+    fn load(&self, address: SocketAddr) -> StreamLoad;
     /// Returns the load in layer tokens at which the engine last refused a request, or
     /// `None` if it has not refused one recently.
-    fn refused_at(&self, address: SocketAddr) -> Option<u64>;
+    fn load_when_refused(&self, address: SocketAddr) -> Option<u64>;
     /// Returns whether the engine is suspected, for example because stalled streams
     /// point to it. Suspected engines are used only in a data centre that has no chain
     /// without them.
-    fn suspects(&self, _address: SocketAddr) -> bool {
+    fn is_suspected(&self, _address: SocketAddr) -> bool {
         false
     }
 }
 
 /// The resources that a request needs of each engine on its path.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Need {
+pub struct PathRequirements {
     /// Tokens that the request keeps.
     pub tokens: u64,
     /// Maximum utilization of an engine with this request included; 1.0 is full.
-    pub most: f64,
+    pub max_utilization: f64,
     /// Random seed; the same seed gives the same path.
-    pub draw: u64,
+    pub path_seed: u64,
 }
 
 /// The reason why there is no path.
 #[derive(Clone, Debug, PartialEq)]
-pub enum NoPath {
+pub enum PathError {
     /// The usable engines do not hold all layers.
     Broken,
     /// Every path has an engine without free capacity. Holds the least utilized of
     /// them.
-    Full(Fullest),
+    Full(Bottleneck),
 }
 
 /// Number of paths sampled per data centre, of which the one with the best combination
@@ -130,22 +130,22 @@
     /// Utilization of its slots as a first stage, with one more stream.
     slot_utilization: f64,
     /// Load in layer tokens at which the engine recently refused a request.
-    refused_at: Option<f64>,
+    load_when_refused: Option<f64>,
     suspected: bool,
     /// Prompt processing time relative to the reference accelerator.
     read_factor: f64,
 }
 
 impl<'a> Candidate<'a> {
-    fn new(model: &EngineModel, instance: &'a Instance, view: &dyn EngineView) -> Option<Self> {
-        let layers = common(instance.layers, LayerRange::new(0, model.layers));
+    fn new(model: &EngineModel, instance: &'a Instance, view: &dyn EngineLookup) -> Option<Self> {
+        let layers = overlap(instance.layers, LayerRange::new(0, model.layers));
         let usable = instance.state == InstanceState::Ready && !layers.is_empty();
         let kind = model.kind(instance.accelerator.as_deref()?)?;
-        if !usable || view.avoids(instance) {
+        if !usable || view.is_avoided(instance) {
             return None;
         }
-        let held = view.held(instance.address);
-        let capacity = keeps(model, instance);
+        let held = view.load(instance.address);
+        let capacity = stream_capacity(model, instance);
         let usable_slots = f64::from(instance.slots.max(1)) * USABLE_SLOT_SHARE;
         Some(Self {
             instance,
@@ -153,14 +153,14 @@
             capacity,
             load: held.layer_tokens as f64,
             slot_utilization: f64::from(held.begun + 1) / usable_slots,
-            refused_at: view.refused_at(instance.address).map(|t| t as f64),
-            suspected: view.suspects(instance.address),
+            load_when_refused: view.load_when_refused(instance.address).map(|t| t as f64),
+            suspected: view.is_suspected(instance.address),
             read_factor: kind.read_factor.max(f64::MIN_POSITIVE),
         })
     }
 
     /// Returns the utilization with a request that runs `layers` at this engine.
-    fn utilization(&self, need: &Need, layers: LayerRange) -> f64 {
+    fn utilization(&self, need: &PathRequirements, layers: LayerRange) -> f64 {
         let needed = (need.tokens + UNREPORTED_TOKENS) as f64 * f64::from(layers.len());
         let memory = (self.load + needed) / self.capacity.max(1.0);
         match layers.first {
@@ -172,13 +172,13 @@
     /// Returns whether the engine has free capacity for the request. An idle engine
     /// accepts any request. An engine that recently refused one accepts the next only
     /// once its load has dropped by as much as the request needs.
-    fn has_capacity(&self, need: &Need, layers: LayerRange) -> bool {
+    fn has_capacity(&self, need: &PathRequirements, layers: LayerRange) -> bool {
         let needed = need.tokens as f64 * f64::from(layers.len());
         let exceeds = |limit: f64| self.load + needed > limit;
-        if need.most.is_finite() && self.refused_at.is_some_and(exceeds) {
+        if need.max_utilization.is_finite() && self.load_when_refused.is_some_and(exceeds) {
             return false;
         }
-        self.load == 0.0 || self.utilization(need, layers) <= need.most
+        self.load == 0.0 || self.utilization(need, layers) <= need.max_utilization
     }
 
     /// Returns the held layers from `first` on, or an empty range if it does not hold
@@ -193,7 +193,7 @@
 
     /// Returns the sampling weight: the product of the free capacity in tokens, the
     /// free share of memory, and the share of its layers that the stage uses.
-    fn sampling_weight(&self, need: &Need, layers: LayerRange) -> f64 {
+    fn sampling_weight(&self, need: &PathRequirements, layers: LayerRange) -> f64 {
         let free_share = (1.0 - self.utilization(need, layers)).max(MIN_FREE_SHARE);
         let held = f64::from(self.layers.len());
         let tokens = self.capacity / held * free_share;
@@ -203,10 +203,10 @@
 
 /// Returns the capacity for streams of an engine in layer tokens, or 0 if it holds no
 /// layers or its accelerator kind is not listed in the model.
-pub fn keeps(model: &EngineModel, instance: &Instance) -> f64 {
+pub fn stream_capacity(model: &EngineModel, instance: &Instance) -> f64 {
     let kind = instance.accelerator.as_deref().and_then(|k| model.kind(k));
     let loaded = instance.in_memory.max(instance.layers.len());
-    let tokens = kind.map_or(0.0, |k| tokens_beside(model, k.memory_mb, loaded));
+    let tokens = kind.map_or(0.0, |k| token_capacity(model, k.memory_mb, loaded));
     tokens * f64::from(loaded)
 }
 
@@ -215,7 +215,7 @@
 fn candidates_by_data_centre<'a>(
     model: &EngineModel,
     instances: impl Iterator<Item = &'a Instance>,
-    view: &dyn EngineView,
+    view: &dyn EngineLookup,
 ) -> CandidatesByDataCentre<'a> {
     let mut by_data_centre = CandidatesByDataCentre::new();
     for candidate in instances.filter_map(|i| Candidate::new(model, i, view)) {
@@ -257,7 +257,7 @@
 pub fn has_chain<'a>(
     model: &EngineModel,
     instances: impl Iterator<Item = &'a Instance>,
-    view: &dyn EngineView,
+    view: &dyn EngineLookup,
 ) -> bool {
     let by_data_centre = candidates_by_data_centre(model, instances, view);
     covers_all_layers(model, by_data_centre.values().flatten())
@@ -269,18 +269,18 @@
 ///
 /// # Errors
 ///
-/// Returns [`NoPath::Broken`] if the usable engines do not hold all layers, and
-/// [`NoPath::Full`] if they do but lack free capacity.
-pub fn paths<'a>(
+/// Returns [`PathError::Broken`] if the usable engines do not hold all layers, and
+/// [`PathError::Full`] if they do but lack free capacity.
+pub fn find_paths<'a>(
     model: &EngineModel,
     instances: impl Iterator<Item = &'a Instance>,
-    view: &dyn EngineView,
-    need: &Need,
-) -> Result<Vec<EnginePath>, NoPath> {
+    view: &dyn EngineLookup,
+    need: &PathRequirements,
+) -> Result<Vec<EnginePath>, PathError> {
     let by_data_centre = candidates_by_data_centre(model, instances, view);
-    let unlimited = Need {
+    let unlimited = PathRequirements {
         tokens: 0,
-        most: f64::INFINITY,
+        max_utilization: f64::INFINITY,
         ..*need
     };
     let within = by_data_centre.values();
@@ -292,18 +292,18 @@
     let full = by_data_centre.values();
     let full = full.filter_map(|c| best_sampled_path(model, c, &unlimited, 0));
     if let Some(full) = least_utilized(full) {
-        return Err(NoPath::Full(full));
+        return Err(PathError::Full(full));
     }
     let all: Vec<Candidate> = by_data_centre.into_values().flatten().collect();
     if let Some(path) = best_sampled_path(model, &all, need, 0) {
         return Ok(vec![path]);
     }
     let full = best_sampled_path(model, &all, &unlimited, 0);
-    Err(full.map_or(NoPath::Broken, |path| NoPath::Full(path.fullest)))
+    Err(full.map_or(PathError::Broken, |path| PathError::Full(path.bottleneck)))
 }
 
-fn least_utilized(paths: impl Iterator<Item = EnginePath>) -> Option<Fullest> {
-    let fullest = paths.map(|p| p.fullest);
+fn least_utilized(paths: impl Iterator<Item = EnginePath>) -> Option<Bottleneck> {
+    let fullest = paths.map(|p| p.bottleneck);
     fullest.min_by(|a, b| a.used.total_cmp(&b.used))
 }
 
@@ -312,8 +312,8 @@
 pub fn path_from<'a>(
     model: &EngineModel,
     instances: impl Iterator<Item = &'a Instance>,
-    view: &dyn EngineView,
-    need: &Need,
+    view: &dyn EngineLookup,
+    need: &PathRequirements,
     first: &Stage,
     data_centre: &DataCentre,
 ) -> Option<EnginePath> {
@@ -327,11 +327,11 @@
 /// Returns `path` with some of its stages replaced by other engines. The replacements
 /// run exactly the same layers, so that all other stages keep their state of the
 /// request. Returns `None` if the first stage is one to be replaced.
-pub fn path_round<'a>(
+pub fn replace_stages<'a>(
     model: &EngineModel,
     instances: impl Iterator<Item = &'a Instance>,
-    view: &dyn EngineView,
-    need: &Need,
+    view: &dyn EngineLookup,
+    need: &PathRequirements,
     path: &[Stage],
     replaced: &dyn Fn(SocketAddr) -> bool,
 ) -> Option<EnginePath> {
@@ -345,7 +345,7 @@
     // Takes the first valid path instead of the least utilized: all streams of a failed
     // stage move at once, and there are few alternatives.
     let mut sampled = (0..PATH_SAMPLES).filter_map(|sample| {
-        let mut draws = Draws::new(need.draw, sample);
+        let mut draws = SeededRng::new(need.path_seed, sample);
         let mut reroute = Reroute::default();
         for stage in path {
             match replaced(stage.address) {
@@ -357,7 +357,7 @@
     });
     let reroute = sampled.next()?;
     Some(EnginePath {
-        fullest: reroute.fullest?,
+        bottleneck: reroute.fullest?,
         stages: reroute.stages,
         data_centre: first.data_centre.clone(),
         first_id: first.id.clone(),
@@ -369,7 +369,7 @@
 struct Reroute {
     stages: Vec<Stage>,
     /// The most utilized of the new stages.
-    fullest: Option<Fullest>,
+    fullest: Option<Bottleneck>,
 }
 
 impl Reroute {
@@ -382,9 +382,9 @@
     fn replace_stage(
         &mut self,
         others: &[Candidate],
-        need: &Need,
+        need: &PathRequirements,
         layers: LayerRange,
-        draws: &mut Draws,
+        draws: &mut SeededRng,
     ) -> Option<()> {
         let mut next = layers.first;
         while next < layers.last {
@@ -398,7 +398,7 @@
             }
             let used = candidate.utilization(need, runs);
             if used >= self.utilization() {
-                self.fullest = Some(Fullest { address, used });
+                self.fullest = Some(Bottleneck { address, used });
             }
             self.stages.push(Stage {
                 address,
@@ -414,22 +414,22 @@
 fn best_sampled_path(
     model: &EngineModel,
     candidates: &[Candidate],
-    need: &Need,
+    need: &PathRequirements,
     start: u32,
 ) -> Option<EnginePath> {
     let sampled = (0..PATH_SAMPLES).filter_map(|i| sample_path(model, candidates, need, start, i));
-    let cost = |p: &EnginePath| p.fullest.used + p.stages.len() as f64 / STAGES_PER_UTILIZATION;
+    let cost = |p: &EnginePath| p.bottleneck.used + p.stages.len() as f64 / STAGES_PER_UTILIZATION;
     sampled.min_by(|a, b| cost(a).total_cmp(&cost(b)))
 }
 
 fn sample_path(
     model: &EngineModel,
     candidates: &[Candidate],
-    need: &Need,
+    need: &PathRequirements,
     start: u32,
     sample: u64,
 ) -> Option<EnginePath> {
-    let mut draws = Draws::new(need.draw, sample);
+    let mut draws = SeededRng::new(need.path_seed, sample);
     let mut picked: Vec<(&Candidate, LayerRange)> = Vec::new();
     let mut next = start;
     while next < model.layers {
@@ -439,7 +439,7 @@
         next = layers.last;
     }
     let (first, _) = picked.first()?;
-    let fullest = picked.iter().map(|(c, layers)| Fullest {
+    let fullest = picked.iter().map(|(c, layers)| Bottleneck {
         address: c.instance.address,
         used: c.utilization(need, *layers),
     });
@@ -452,16 +452,16 @@
         data_centre: first.instance.data_centre.clone(),
         first_id: first.instance.id.clone(),
         stages: picked.iter().map(stage).collect(),
-        fullest,
+        bottleneck: fullest,
     })
 }
 
 /// Samples an engine with free capacity for the layers from `first` on.
 fn sample_stage<'c, 'a>(
     candidates: &'c [Candidate<'a>],
-    need: &Need,
+    need: &PathRequirements,
     first: u32,
-    draws: &mut Draws,
+    draws: &mut SeededRng,
     weight: impl Fn(&Candidate, LayerRange) -> f64,
 ) -> Option<(&'c Candidate<'a>, LayerRange)> {
     let eligible = candidates.iter().map(|c| (c, c.layers_from(first)));
@@ -469,6 +469,6 @@
         eligible.filter(|(c, layers)| !layers.is_empty() && c.has_capacity(need, *layers));
     let eligible: Vec<(&Candidate, LayerRange)> = eligible.collect();
     let weights = eligible.iter().map(|(c, layers)| weight(c, *layers));
-    let index = draws.in_proportion(weights);
+    let index = draws.weighted_index(weights);
     eligible.get(index?).copied()
 }
--- a/crates/deckwind-core/src/routing/placement.rs
+++ b/crates/deckwind-core/src/routing/placement.rs
@@ -12,7 +12,7 @@
 
 /// An engine's accelerator card, as input to the planner.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Card {
+pub struct EngineCard {
     /// ID of the engine.
     pub id: String,
     /// Data centre of the engine.
@@ -27,7 +27,7 @@
 
 /// Returns the tokens that a card with `memory_mb` of memory can keep beside `layers`
 /// layers.
-pub fn tokens_beside(model: &EngineModel, memory_mb: f64, layers: u32) -> f64 {
+pub fn token_capacity(model: &EngineModel, memory_mb: f64, layers: u32) -> f64 {
     if layers == 0 {
         return 0.0;
     }
@@ -37,7 +37,7 @@
 }
 
 /// Returns whether the ranges together cover layers `0..layers`.
-pub fn is_whole(layers: u32, held: impl IntoIterator<Item = LayerRange>) -> bool {
+pub fn covers_model(layers: u32, held: impl IntoIterator<Item = LayerRange>) -> bool {
     let mut held: Vec<LayerRange> = held.into_iter().filter(|r| !r.is_empty()).collect();
     held.sort_by_key(|r| r.first);
     let mut next = 0;
@@ -52,22 +52,22 @@
 
 /// How a chain is repaired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mend {
+pub enum RepairMode {
     /// As fast as possible, with few layers to load: no other chain serves its
     /// requests.
-    Soon,
+    Fast,
     /// With as much token capacity as possible on its scarcest card: other chains of
     /// the data centre serve the requests meanwhile.
-    Well,
+    ForCapacity,
 }
 
-impl Mend {
+impl RepairMode {
     /// Returns the minimum token capacities of every card to try, in this order, as
     /// shares of an engine's maximum.
     fn token_shares(self) -> &'static [f64] {
         match self {
-            Mend::Soon => &FAST_REPAIR_SHARES,
-            Mend::Well => &CAPACITY_REPAIR_SHARES,
+            RepairMode::Fast => &FAST_REPAIR_SHARES,
+            RepairMode::ForCapacity => &CAPACITY_REPAIR_SHARES,
         }
     }
 }
@@ -75,9 +75,13 @@
 /// Returns the layers for each of `cards`, in the same order, or `None` if the cards
 /// can't hold the model together. If some cards already hold layers, the plan loads as
 /// few as possible.
-pub fn plan_chain(model: &EngineModel, cards: &[Card], mode: Mend) -> Option<Vec<LayerRange>> {
+pub fn plan_chain(
+    model: &EngineModel,
+    cards: &[EngineCard],
+    mode: RepairMode,
+) -> Option<Vec<LayerRange>> {
     let order = chain_order(model, cards);
-    let sorted: Vec<Card> = order.iter().map(|i| cards[*i].clone()).collect();
+    let sorted: Vec<EngineCard> = order.iter().map(|i| cards[*i].clone()).collect();
     let empty = sorted.iter().all(|c| c.held.is_empty());
     let ranges = match empty {
         true => consecutive_ranges(&plan_layout(model, &sorted)?),
@@ -103,7 +107,7 @@
 /// Returns the order of the cards in their chain. Cards that hold layers are sorted by
 /// them, and empty cards go where layers are missing. In a new chain the kinds are
 /// interleaved evenly, so that a card with little memory has neighbours with more.
-fn chain_order(model: &EngineModel, cards: &[Card]) -> Vec<usize> {
+fn chain_order(model: &EngineModel, cards: &[EngineCard]) -> Vec<usize> {
     if cards.iter().all(|c| c.held.is_empty()) {
         return interleaved_order(cards);
     }
@@ -117,7 +121,7 @@
     order
 }
 
-fn by_speed(cards: &[Card], a: usize, b: usize) -> Ordering {
+fn by_speed(cards: &[EngineCard], a: usize, b: usize) -> Ordering {
     let (a, b) = (&cards[a], &cards[b]);
     let factors = a.step_factor.total_cmp(&b.step_factor);
     factors.then(a.id.cmp(&b.id))
@@ -125,7 +129,7 @@
 
 /// Returns for each empty card the layer before which it is inserted. The fastest cards
 /// go where most layers are missing.
-fn insertion_points(model: &EngineModel, cards: &[Card]) -> Vec<u32> {
+fn insertion_points(model: &EngineModel, cards: &[EngineCard]) -> Vec<u32> {
     let mut points = vec![0; cards.len()];
     let mut missing = uncovered_ranges(model.layers, cards);
     let mut empty: Vec<usize> = (0..cards.len())
@@ -147,7 +151,7 @@
 }
 
 /// Returns the ranges of layers that no card holds, each with its length.
-fn uncovered_ranges(layers: u32, cards: &[Card]) -> Vec<(LayerRange, i64)> {
+fn uncovered_ranges(layers: u32, cards: &[EngineCard]) -> Vec<(LayerRange, i64)> {
     let mut held: Vec<LayerRange> = cards.iter().map(|c| c.held).collect();
     held.retain(|r| !r.is_empty());
     held.push(LayerRange::new(layers, layers));
@@ -164,10 +168,10 @@
     ranges
 }
 
-fn interleaved_order(cards: &[Card]) -> Vec<usize> {
+fn interleaved_order(cards: &[EngineCard]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..cards.len()).collect();
     order.sort_by(|a, b| cards[*a].id.cmp(&cards[*b].id));
-    let kind = |c: &Card| (c.memory_mb.to_bits(), c.step_factor.to_bits());
+    let kind = |c: &EngineCard| (c.memory_mb.to_bits(), c.step_factor.to_bits());
     let relative_position = |i: usize| {
         let same = order
             .iter()
@@ -223,7 +227,7 @@
 /// Returns new ranges for cards in chain order, with few layers to load on any one of
 /// them. Cards load in parallel, so the card with most layers to load determines how
 /// long the chain is broken.
-fn repair(model: &EngineModel, cards: &[Card], mode: Mend) -> Option<Vec<LayerRange>> {
+fn repair(model: &EngineModel, cards: &[EngineCard], mode: RepairMode) -> Option<Vec<LayerRange>> {
     let repair_at = |share: &f64| {
         let tokens = model.max_tokens as f64 * share;
         let capacities = cards.iter().map(|c| layer_capacity(model, c, tokens));
@@ -234,7 +238,7 @@
 
 fn cheapest_repair(
     model: &EngineModel,
-    cards: &[Card],
+    cards: &[EngineCard],
     capacities: &[u32],
 ) -> Option<Vec<LayerRange>> {
     let layers = model.layers as usize;
@@ -267,11 +271,11 @@
     Some(ranges)
 }
 
-fn card_cost(model: &EngineModel, card: &Card, range: LayerRange) -> f64 {
+fn card_cost(model: &EngineModel, card: &EngineCard, range: LayerRange) -> f64 {
     if range.is_empty() {
         return 0.0;
     }
-    let to_load = f64::from(range.len() - common(card.held, range).len());
+    let to_load = f64::from(range.len() - overlap(card.held, range).len());
     let time = f64::from(range.len()) * card.step_factor;
     to_load * (to_load + SHARED_STORE_WEIGHT)
         + STAGE_TIME_WEIGHT * time * time
@@ -280,15 +284,15 @@
 
 /// Returns the cost of a card's low token capacity, permanently or while it holds old
 /// and new layers at once, plus the cost of unloading layers before it can load others.
-fn capacity_cost(model: &EngineModel, card: &Card, range: LayerRange) -> f64 {
-    let both = together(model, card, range);
-    let unloads = common(card.held, range) != card.held;
+fn capacity_cost(model: &EngineModel, card: &EngineCard, range: LayerRange) -> f64 {
+    let both = merged_range(model, card, range);
+    let unloads = overlap(card.held, range) != card.held;
     let unload_cost = match both.is_none() && unloads {
         true => UNLOAD_FIRST_COST,
         false => 0.0,
     };
     let held = both.unwrap_or(range);
-    let tokens = tokens_beside(model, card.memory_mb, held.len());
+    let tokens = token_capacity(model, card.memory_mb, held.len());
     let part = f64::from(held.len()) / f64::from(range.len());
     let missing =
         1.0 - (tokens * part / (SUFFICIENT_TOKEN_SHARE * model.max_tokens as f64)).min(1.0);
@@ -296,7 +300,7 @@
 }
 
 /// Returns the layers in both ranges, or an empty range if there are none.
-pub fn common(a: LayerRange, b: LayerRange) -> LayerRange {
+pub fn overlap(a: LayerRange, b: LayerRange) -> LayerRange {
     let range = LayerRange::new(a.first.max(b.first), a.last.min(b.last));
     match range.is_empty() {
         true => LayerRange::default(),
@@ -306,13 +310,17 @@
 
 /// Returns the range of the held and the wanted layers together, if the two are
 /// adjacent or overlap and the card has enough memory for both.
-pub fn together(model: &EngineModel, card: &Card, want: LayerRange) -> Option<LayerRange> {
+pub fn merged_range(
+    model: &EngineModel,
+    card: &EngineCard,
+    want: LayerRange,
+) -> Option<LayerRange> {
     let held = card.held;
     let adjoin = want.first <= held.last && held.first <= want.last;
     if want.is_empty() || held.is_empty() || !adjoin {
         return None;
     }
     let both = LayerRange::new(held.first.min(want.first), held.last.max(want.last));
-    let tokens = tokens_beside(model, card.memory_mb, both.len());
+    let tokens = token_capacity(model, card.memory_mb, both.len());
     (tokens >= MIN_MERGED_TOKEN_SHARE * model.max_tokens as f64).then_some(both)
 }
--- a/crates/deckwind-core/src/routing/policy.rs
+++ b/crates/deckwind-core/src/routing/policy.rs
@@ -1,6 +1,6 @@
 //! Policies that select a chain: the default one and the baselines for comparison.
 
-use super::chain_search::{ChainNeed, PlannedStage, search_chain};
+use super::chain_search::{ChainRequirements, PlannedStage, search_chain};
 use super::fleet::{Fleet, TargetKey};
 use super::prefix::PrefixIndex;
 use crate::state::LayerRange;
@@ -18,11 +18,11 @@
         &mut self,
         fleet: &Fleet,
         now: Instant,
-        need: &ChainNeed,
+        need: &ChainRequirements,
     ) -> Option<Vec<PlannedStage>>;
 
     /// Records that a chain was dispatched, for prefix affinity.
-    fn dispatched(&mut self, need: &ChainNeed, stages: &[PlannedStage]);
+    fn record_dispatch(&mut self, need: &ChainRequirements, stages: &[PlannedStage]);
 
     /// Returns the prefix index, to which the engines' cache events are applied.
     fn prefixes(&mut self) -> Option<&mut PrefixIndex> {
@@ -33,7 +33,7 @@
 /// Maximum number of prefixes in a router's index.
 const MAX_PREFIXES: usize = 65_536;
 
-fn record_prefixes(index: &mut PrefixIndex, need: &ChainNeed, stages: &[PlannedStage]) {
+fn record_prefixes(index: &mut PrefixIndex, need: &ChainRequirements, stages: &[PlannedStage]) {
     for prefix in &need.prefixes {
         for stage in stages {
             index.insert(*prefix, stage.target);
@@ -47,7 +47,7 @@
     fleet: &Fleet,
     index: &PrefixIndex,
     now: Instant,
-    need: &ChainNeed,
+    need: &ChainRequirements,
     key: TargetKey,
     layers: LayerRange,
 ) -> f64 {
@@ -74,12 +74,12 @@
 /// prefix and health. Prefix affinity is evaluated per request and target: an idle
 /// target keeps its prefixes whatever the load elsewhere (vllm-project/router pull
 /// request 238).
-pub struct Estimated {
+pub struct EstimatedTimePolicy {
     rng: ChaCha8Rng,
     index: PrefixIndex,
 }
 
-impl Estimated {
+impl EstimatedTimePolicy {
     /// Creates the policy with a seed for its sampling.
     pub fn new(seed: u64) -> Self {
         Self {
@@ -89,7 +89,7 @@
     }
 }
 
-impl Policy for Estimated {
+impl Policy for EstimatedTimePolicy {
     fn name(&self) -> &'static str {
         "estimated"
     }
@@ -98,7 +98,7 @@
         &mut self,
         fleet: &Fleet,
         now: Instant,
-        need: &ChainNeed,
+        need: &ChainRequirements,
     ) -> Option<Vec<PlannedStage>> {
         let index = &self.index;
         let extra = index.holders(&need.prefixes).to_vec();
@@ -106,7 +106,7 @@
         search_chain(fleet, now, need, &extra, &mut self.rng, cost)
     }
 
-    fn dispatched(&mut self, need: &ChainNeed, stages: &[PlannedStage]) {
+    fn record_dispatch(&mut self, need: &ChainRequirements, stages: &[PlannedStage]) {
         record_prefixes(&mut self.index, need, stages);
     }
 
@@ -140,14 +140,14 @@
         &mut self,
         fleet: &Fleet,
         now: Instant,
-        need: &ChainNeed,
+        need: &ChainRequirements,
     ) -> Option<Vec<PlannedStage>> {
         let used = &self.used;
         let cost = |key, _| f64::from(used.get(key).copied().unwrap_or(0)) + 1.0;
         search_chain(fleet, now, need, &[], &mut self.rng, cost)
     }
 
-    fn dispatched(&mut self, _: &ChainNeed, stages: &[PlannedStage]) {
+    fn record_dispatch(&mut self, _: &ChainRequirements, stages: &[PlannedStage]) {
         for stage in stages {
             if let Some(entry) = self.used.entry(stage.target) {
                 *entry.or_insert(0) += 1;
@@ -179,13 +179,13 @@
         &mut self,
         fleet: &Fleet,
         now: Instant,
-        need: &ChainNeed,
+        need: &ChainRequirements,
     ) -> Option<Vec<PlannedStage>> {
         let cost = |key, layers: LayerRange| target_load(fleet, now, key) + f64::from(layers.len());
         search_chain(fleet, now, need, &[], &mut self.rng, cost)
     }
 
-    fn dispatched(&mut self, _: &ChainNeed, _: &[PlannedStage]) {}
+    fn record_dispatch(&mut self, _: &ChainRequirements, _: &[PlannedStage]) {}
 }
 
 fn target_load(fleet: &Fleet, now: Instant, key: TargetKey) -> f64 {
@@ -195,8 +195,8 @@
 /// Uses prefix affinity until the load imbalance of the whole fleet exceeds a
 /// threshold, then selects by load for every request. This is the behaviour that
 /// vllm-project/router pull request 238 replaced.
-pub struct FleetGate {
-    estimated: Estimated,
+pub struct LoadGatePolicy {
+    estimated: EstimatedTimePolicy,
     least_loaded: LeastLoaded,
 }
 
@@ -207,11 +207,11 @@
 /// opens.
 const GATE_LOAD_DIFFERENCE: f64 = 64.0;
 
-impl FleetGate {
+impl LoadGatePolicy {
     /// Creates the policy with a seed for its sampling.
     pub fn new(seed: u64) -> Self {
         Self {
-            estimated: Estimated::new(seed),
+            estimated: EstimatedTimePolicy::new(seed),
             least_loaded: LeastLoaded::new(seed),
         }
     }
@@ -225,7 +225,7 @@
     }
 }
 
-impl Policy for FleetGate {
+impl Policy for LoadGatePolicy {
     fn name(&self) -> &'static str {
         "fleet-gate"
     }
@@ -234,7 +234,7 @@
         &mut self,
         fleet: &Fleet,
         now: Instant,
-        need: &ChainNeed,
+        need: &ChainRequirements,
     ) -> Option<Vec<PlannedStage>> {
         if Self::is_open(fleet, now) {
             return self.least_loaded.choose(fleet, now, need);
@@ -242,7 +242,7 @@
         self.estimated.choose(fleet, now, need)
     }
 
-    fn dispatched(&mut self, need: &ChainNeed, stages: &[PlannedStage]) {
-        self.estimated.dispatched(need, stages);
+    fn record_dispatch(&mut self, need: &ChainRequirements, stages: &[PlannedStage]) {
+        self.estimated.record_dispatch(need, stages);
     }
 }
--- a/crates/deckwind-core/src/routing/draws.rs
+++ b/crates/deckwind-core/src/routing/seeded_rng.rs
@@ -2,12 +2,12 @@
 //! the same selection.
 
 /// A generator of deterministic random numbers in `0..=1`.
-pub struct Draws {
+pub struct SeededRng {
     seed: u64,
     counter: u64,
 }
 
-impl Draws {
+impl SeededRng {
     /// Creates a generator for `request_seed`. Different values of `stream` give
     /// independent sequences.
     pub fn new(request_seed: u64, stream: u64) -> Self {
@@ -26,7 +26,7 @@
 
     /// Returns the index of one of the weights, chosen with a probability proportional
     /// to the weight, or `None` if there are no weights.
-    pub fn in_proportion(&mut self, weights: impl Iterator<Item = f64> + Clone) -> Option<usize> {
+    pub fn weighted_index(&mut self, weights: impl Iterator<Item = f64> + Clone) -> Option<usize> {
         let total: f64 = weights.clone().sum();
         let mut remaining = self.next_f64() * total;
         let mut last = None;
--- a/crates/deckwind-core/src/routing/target_state.rs
+++ b/crates/deckwind-core/src/routing/target_state.rs
@@ -46,7 +46,7 @@
     pub vm_leaving: bool,
     /// End of the rest period that the target has asked for; until then it gets no new
     /// work, even if it still answers.
-    pub rests_until: Instant,
+    pub rest_ends_at: Instant,
     /// Time for one layer of one token, in microseconds. Starts with the configured
     /// time of the accelerator kind and follows the measurements.
     pub layer_us: f64,
@@ -108,7 +108,7 @@
             slots: target.slots,
             leaving: target.status != TargetStatus::Active,
             vm_leaving: false,
-            rests_until: Instant::ZERO,
+            rest_ends_at: Instant::ZERO,
             layer_us: DEFAULT_LAYER_US,
             link_us,
             health: Health::default(),
@@ -145,21 +145,21 @@
     }
 
     /// Adds work sent to the target: `load` layers, or 1 for a service.
-    pub(super) fn dispatched(&mut self, now: Instant, load: u32) {
+    pub(super) fn record_dispatch(&mut self, now: Instant, load: u32) {
         self.own_load += load;
         self.own_sessions += 1;
-        self.health.dispatched(now);
+        self.health.record_dispatch(now);
     }
 
     /// Records the end of work that was sent to the target.
-    pub(super) fn finished(&mut self, now: Instant, load: u32) {
+    pub(super) fn record_finish(&mut self, now: Instant, load: u32) {
         self.own_load = self.own_load.saturating_sub(load);
         self.own_sessions = self.own_sessions.saturating_sub(1);
-        self.health.finished(now);
+        self.health.record_finish(now);
     }
 
     /// Records a load report.
-    pub(super) fn reported(&mut self, now: Instant, report: LoadReport) {
+    pub(super) fn record_load_report(&mut self, now: Instant, report: LoadReport) {
         self.report = Some(ReceivedReport {
             received_at: now,
             load: report.load,
@@ -170,7 +170,7 @@
     /// Records a finished step over `layers` layers and `positions` positions. Only
     /// steps of one position update the time per layer: the time of a prompt depends on
     /// how much of it was cached.
-    pub(super) fn progressed(
+    pub(super) fn record_step_time(
         &mut self,
         now: Instant,
         took: Duration,
@@ -180,14 +180,14 @@
         let took_us = took.as_micros() as f64;
         self.step_times.record(took_us);
         if positions > 1 {
-            self.health.progressed(now, took_us, took_us);
+            self.health.record_step_time(now, took_us, took_us);
             return;
         }
         let work = self.load(now).max(f64::from(layers)).max(1.0);
         let layer_us = ((took_us - 2.0 * self.link_us) / work).max(1.0);
         self.layer_us += (layer_us - self.layer_us) * LAYER_TIME_GAIN;
         let expected_us = self.layer_us * work + 2.0 * self.link_us;
-        self.health.progressed(now, took_us, expected_us);
+        self.health.record_step_time(now, took_us, expected_us);
     }
 
     /// Returns the load, from the router's own count and the latest report.
@@ -210,7 +210,7 @@
 
     /// Returns whether the target is neither leaving nor in a rest period.
     pub fn takes_work(&self, now: Instant) -> bool {
-        !self.is_leaving() && self.rests_until <= now
+        !self.is_leaving() && self.rest_ends_at <= now
     }
 
     /// Returns the number of layers in this router's sessions at the target.
--- a/crates/deckwind-core/src/session/events.rs
+++ b/crates/deckwind-core/src/session/events.rs
@@ -121,7 +121,7 @@
         /// Key of the new stage.
         key: StageKey,
         /// Target and layers of the stage.
-        with: Stage,
+        stage: Stage,
     },
     /// Order a step from a stage.
     Step {
--- a/crates/deckwind-core/src/session/machine.rs
+++ b/crates/deckwind-core/src/session/machine.rs
@@ -158,7 +158,7 @@
         self.next_key += 1;
         out.push(SessionAction::Open {
             key,
-            with: stage.clone(),
+            stage: stage.clone(),
         });
         OpenStage {
             key,
--- a/crates/deckwind-net/src/clock.rs
+++ b/crates/deckwind-net/src/clock.rs
@@ -28,7 +28,7 @@
 
     /// Returns the time since the VM booted, without time for which it was suspended.
     /// Timers use this clock.
-    fn awake(&self) -> Duration;
+    fn monotonic(&self) -> Duration;
 }
 
 /// Time source that reads the kernel's clocks.
@@ -47,7 +47,7 @@
         read_clock(ClockId::CLOCK_BOOTTIME)
     }
 
-    fn awake(&self) -> Duration {
+    fn monotonic(&self) -> Duration {
         read_clock(ClockId::CLOCK_MONOTONIC)
     }
 }
@@ -62,11 +62,11 @@
 impl Clock {
     /// Creates a clock that reads the kernel's time and starts now.
     pub fn start() -> Self {
-        Self::by(&KernelTime)
+        Self::with_time_source(&KernelTime)
     }
 
     /// Creates a clock that reads `source` and starts now.
-    pub fn by(source: &'static dyn TimeSource) -> Self {
+    pub fn with_time_source(source: &'static dyn TimeSource) -> Self {
         Self {
             source,
             origin: source.since_boot(),
@@ -80,9 +80,9 @@
     }
 
     /// Returns the total time for which the VM was suspended since it booted.
-    pub fn suspended(&self) -> Duration {
-        let awake = self.source.awake();
-        self.source.since_boot().saturating_sub(awake)
+    pub fn suspended_time(&self) -> Duration {
+        let monotonic = self.source.monotonic();
+        self.source.since_boot().saturating_sub(monotonic)
     }
 
     /// Returns the wall clock time in milliseconds since the Unix epoch.
--- a/crates/deckwind-net/src/edge.rs
+++ b/crates/deckwind-net/src/edge.rs
@@ -17,11 +17,11 @@
 
 /// Fields decoded from the head of a caller's request, besides method, path and host.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct CallerHead {
+pub struct CallerRequestHead {
     /// Request id that the caller assigned to this attempt.
     pub id: String,
     /// Time that the caller waits for the answer.
-    pub patience: Option<Duration>,
+    pub wait_time: Option<Duration>,
     /// Digest of the API key that the request carries.
     pub key: Option<KeyDigest>,
     /// Size of the generation; `None` for other requests.
@@ -36,24 +36,24 @@
     /// Number of prompt tokens.
     pub prompt: u64,
     /// Maximum number of answer tokens.
-    pub most: u64,
+    pub max_answer_tokens: u64,
     /// Number of answer tokens that the caller estimates.
-    pub likely: Option<u64>,
+    pub estimated_answer_tokens: Option<u64>,
 }
 
 /// Fields added to a request for a target, besides those that the caller sent.
 #[derive(Clone, Debug)]
-pub struct TargetHead<'a> {
+pub struct TargetRequestHead<'a> {
     /// Incarnation of the target that may run the request; any other must refuse it.
     pub instance: &'a str,
     /// Client account that sends the request.
     pub account: Option<&'a str>,
     /// Time for which the caller still waits.
-    pub left: Option<Duration>,
+    pub time_left: Option<Duration>,
     /// Path of the request, for engines that hold layers.
     pub path: Option<&'a [Stage]>,
     /// Priority; 0 is the most urgent.
-    pub rank: u8,
+    pub priority: u8,
     /// Event after which the target resumes the stream.
     pub last_event: Option<u64>,
 }
@@ -68,7 +68,7 @@
     /// Whether the target states that it has not run the request.
     pub not_run: bool,
     /// Address of the failed stage, if that is not the answering target.
-    pub at_fault: Option<SocketAddr>,
+    pub failed_stage: Option<SocketAddr>,
     /// Whether the body has a content encoding. An intermediary must have applied it, so
     /// the body is not the target's own.
     pub encoded: bool,
@@ -80,9 +80,9 @@
     ///
     /// # Errors
     /// If a field is missing or cannot be parsed.
-    fn read_head(&self, head: &Parts) -> Result<CallerHead, BadInput>;
+    fn read_head(&self, head: &Parts) -> Result<CallerRequestHead, InvalidInput>;
     /// Converts the headers of a caller's request to those of the request to a target.
-    fn to_target(&self, headers: &mut HeaderMap, head: &TargetHead);
+    fn to_target(&self, headers: &mut HeaderMap, head: &TargetRequestHead);
     /// Decodes the head of a target's answer.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> TargetAnswer;
     /// Decodes what a target states about itself in the head of any answer: to a
@@ -138,12 +138,12 @@
     ///
     /// # Errors
     /// If the body is not a valid report.
-    fn read_report(&self, body: &[u8]) -> Result<EngineReport, BadInput>;
+    fn read_report(&self, body: &[u8]) -> Result<EngineReport, InvalidInput>;
     /// Returns the call that moves a running request to another path with the same
     /// first stage.
     fn change_path(&self, request: &str, path: &[Stage]) -> TargetCall;
     /// Returns the engine that refused a change of path, if the answer names it.
-    fn path_refused_by(&self, status: StatusCode, body: &[u8]) -> Option<SocketAddr>;
+    fn refusing_engine(&self, status: StatusCode, body: &[u8]) -> Option<SocketAddr>;
     /// Returns the call that orders an engine to hold these layers. `orders` is the
     /// number of orders that the engine has accepted so far; it must refuse if it has
     /// accepted more.
@@ -170,10 +170,15 @@
     ///
     /// # Errors
     /// If there is no such call, or its body is not valid.
-    fn read_call(&self, method: &Method, path: &str, body: Bytes) -> Result<ControlCall, BadInput>;
+    fn read_call(
+        &self,
+        method: &Method,
+        path: &str,
+        body: Bytes,
+    ) -> Result<ControlCall, InvalidInput>;
     /// Returns the answer to an accepted announcement. It names `here`, the address at
     /// which a replica accepts further announcements.
-    fn heard_at(&self, here: SocketAddr) -> Bytes;
+    fn announcement_reply(&self, here: SocketAddr) -> Bytes;
 }
 
 /// The wire formats of a site.
@@ -189,10 +194,10 @@
 
 /// Error for external input that is not valid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-pub enum BadInput {
+pub enum InvalidInput {
     /// The call does not exist.
     #[error("there is no {0} here")]
-    NoSuchCall(String),
+    UnknownCall(String),
     /// The input cannot be decoded.
     #[error("{0}")]
     Unreadable(String),
--- a/crates/deckwind-net/src/quic.rs
+++ b/crates/deckwind-net/src/quic.rs
@@ -223,7 +223,7 @@
 
     /// Closes this endpoint's outgoing connections to all peers except `to`. Each open
     /// connection costs both sides a packet every 400 ms.
-    pub fn keep_only(&self, to: SocketAddr) {
+    pub fn close_others(&self, to: SocketAddr) {
         let mut connections = self.connections.lock().expect("no holder panics");
         let others = connections.extract_if(|address, _| *address != to);
         others.for_each(|(_, connection)| connection.close(0u32.into(), b"not used"));
--- a/crates/deckwind-net/src/targets/connection_pool.rs
+++ b/crates/deckwind-net/src/targets/connection_pool.rs
@@ -66,12 +66,12 @@
 /// Pool of idle connections by target address. Idle time includes time for which this VM
 /// was suspended, because the target may have closed the connection meanwhile, and a
 /// request that must not be retried would be lost on it.
-pub struct KeptConnections {
+pub struct ConnectionPool {
     clock: Clock,
     idle: Mutex<HashMap<SocketAddr, Vec<IdleConnection>>>,
 }
 
-impl KeptConnections {
+impl ConnectionPool {
     /// Creates an empty pool.
     pub fn new(clock: Clock) -> Self {
         Self {
@@ -125,7 +125,12 @@
     /// are those of the answer. The connection is closed if `max_idle` connections are
     /// idle already, because a target resets connections beyond its limit on those of
     /// all its callers together.
-    pub fn give_back(&self, connection: TargetConnection, headers: &HeaderMap, max_idle: usize) {
+    pub fn return_connection(
+        &self,
+        connection: TargetConnection,
+        headers: &HeaderMap,
+        max_idle: usize,
+    ) {
         let Some(idle_timeout) = idle_timeout(headers) else {
             return;
         };
@@ -142,7 +147,7 @@
 
     /// Closes the idle connections to an address, for use when another process has taken
     /// over the address.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         self.idle.lock().expect("no holder panics").remove(&address);
     }
 
@@ -204,7 +209,7 @@
             )));
         }
     };
-    watch_over(&stream);
+    set_tcp_options(&stream);
     let handshake = Builder::new()
         .max_buf_size(MAX_HEAD_BYTES)
         .handshake(TokioIo::new(stream));
@@ -220,13 +225,13 @@
 /// Sets socket options by which the kernel detects a peer that disappeared without
 /// closing the connection: `TCP_NODELAY`, `TCP_USER_TIMEOUT` and keep-alive probes. An
 /// option that the kernel refuses is only logged.
-pub fn watch_over(stream: &TcpStream) {
-    watch_over_for(stream, TCP_USER_TIMEOUT);
+pub fn set_tcp_options(stream: &TcpStream) {
+    set_tcp_options_with_timeout(stream, TCP_USER_TIMEOUT);
 }
 
-/// Like [`watch_over`], with another time after which a connection without an
+/// Like [`set_tcp_options`], with another time after which a connection without an
 /// acknowledgement, or with a full window, is closed.
-pub fn watch_over_for(stream: &TcpStream, timeout: Duration) {
+pub fn set_tcp_options_with_timeout(stream: &TcpStream, timeout: Duration) {
     let socket = SockRef::from(stream);
     let probes = TcpKeepalive::new()
         .with_time(Duration::from_secs(2))
@@ -246,7 +251,7 @@
 
 /// Answer to a call to a target's own API.
 #[derive(Clone, Debug)]
-pub struct TargetReply {
+pub struct TargetResponse {
     /// HTTP status.
     pub status: StatusCode,
     /// Headers of the answer.
@@ -261,11 +266,11 @@
 /// [`TargetError::Late`] if the answer is not complete after `within`; otherwise as for
 /// [`TargetConnection::send`].
 pub async fn call_target(
-    connections: &KeptConnections,
+    connections: &ConnectionPool,
     address: SocketAddr,
     call: &TargetCall,
     within: Duration,
-) -> Result<TargetReply, TargetError> {
+) -> Result<TargetResponse, TargetError> {
     let calling = async {
         let mut connection = connections.get(address, DEFAULT_IDLE_TIMEOUT).await?;
         let req = Request::builder()
@@ -280,8 +285,8 @@
         let limited = Limited::new(body, MAX_ANSWER_BYTES);
         let collected = limited.collect().await;
         let body = collected.map_err(|e| TargetError::Broken(e.to_string()))?;
-        connections.give_back(connection, &head.headers, MAX_IDLE_CONNECTIONS);
-        Ok(TargetReply {
+        connections.return_connection(connection, &head.headers, MAX_IDLE_CONNECTIONS);
+        Ok(TargetResponse {
             status: head.status,
             headers: head.headers,
             body: body.to_bytes(),
--- a/crates/deckwind-net/src/targets/mod.rs
+++ b/crates/deckwind-net/src/targets/mod.rs
@@ -15,7 +15,8 @@
 mod traits;
 
 pub use connection_pool::{
-    KeptConnections, TargetConnection, TargetReply, call_target, watch_over, watch_over_for,
+    ConnectionPool, TargetConnection, TargetResponse, call_target, set_tcp_options,
+    set_tcp_options_with_timeout,
 };
 pub use deckwind_core::control::{OrderKind, TargetOrder};
 pub use http_client::HttpTarget;
@@ -23,7 +24,7 @@
 pub use http_platform::HttpPlatformList;
 pub use http_service::HttpService;
 pub use http_weights::HttpWeightStore;
-pub use retry_after::{MAX_REST_PERIOD, UnreadableRest, asked_rest};
+pub use retry_after::{MAX_REST_PERIOD, UnreadableRest, requested_rest_period};
 pub use traits::{
     CacheEvent, CacheEventKind, CacheEvents, Engine, EngineLoad, KvExport, OpenStage, PlainService,
     PlatformList, PlatformSnapshot, ServiceAnswer, ServiceCall, StageStream, TargetError,
--- a/crates/deckwind-net/src/targets/retry_after.rs
+++ b/crates/deckwind-net/src/targets/retry_after.rs
@@ -28,7 +28,7 @@
 ///
 /// # Errors
 /// If there are values and none can be parsed.
-pub fn asked_rest(
+pub fn requested_rest_period(
     status: StatusCode,
     headers: &HeaderMap,
     wall: SystemTime,
@@ -52,7 +52,7 @@
 /// Returns the error for a refusal with this status and these headers. An unreadable rest
 /// period is logged and ignored.
 pub(super) fn refusal_error(status: StatusCode, headers: &HeaderMap) -> TargetError {
-    match asked_rest(status, headers, SystemTime::now()) {
+    match requested_rest_period(status, headers, SystemTime::now()) {
         Ok(Some(rest)) => TargetError::Rests(rest),
         Ok(None) => TargetError::Refused(status.to_string()),
         Err(e) => {
--- a/crates/deckwind-net/src/targets/traits.rs
+++ b/crates/deckwind-net/src/targets/traits.rs
@@ -33,7 +33,7 @@
 
 impl TargetError {
     /// Returns whether the request certainly did not run.
-    pub fn certainly_not_run(&self) -> bool {
+    pub fn is_certainly_not_run(&self) -> bool {
         match self {
             TargetError::NotSent(_) | TargetError::Refused(_) | TargetError::Rests(_) => true,
             TargetError::Broken(_) | TargetError::Late(_) => false,
--- a/crates/deckwind-testkit/examples/capacity.rs
+++ b/crates/deckwind-testkit/examples/capacity.rs
@@ -171,14 +171,14 @@
         let now = Instant::from_millis(1_000);
         let cfg = RouterConfig {
             lease: LeaseTiming::default(),
-            costs: BTreeMap::new(),
-            links: BTreeMap::new(),
+            layer_costs_us: BTreeMap::new(),
+            link_latencies_us: BTreeMap::new(),
             admission: AdmissionConfig::default(),
             seed: 1,
         };
         let mut router = RouterCore::new(cfg, now);
         let started = Clock::now();
-        router.granted(LeaseGrant::new(now, Term(1)), now, delta, Vec::new(), 350);
+        router.apply_grant(LeaseGrant::new(now, Term(1)), now, delta, Vec::new(), 350);
         let first = started.elapsed();
         let started = Clock::now();
         let mut machine = machine;
@@ -187,7 +187,7 @@
             let template = chat_template("template-0", 32 + i);
             apply(&mut machine, format!("c{i}"), Change::Template(template));
             let delta = machine.configuration().delta_since(at);
-            router.granted(LeaseGrant::new(now, Term(1)), now, delta, Vec::new(), 350);
+            router.apply_grant(LeaseGrant::new(now, Term(1)), now, delta, Vec::new(), 350);
         }
         let per_change = started.elapsed() / 100;
         let resident = resident_kib().saturating_sub(before);
--- a/crates/deckwind-testkit/src/bin/testkit-daemon.rs
+++ b/crates/deckwind-testkit/src/bin/testkit-daemon.rs
@@ -13,7 +13,7 @@
             eprintln!("error: can't receive SIGUSR1: {e}");
         }
     });
-    deckwindd::commands::main_by(time.clock())
+    deckwindd::commands::main_with_clock(time.clock())
 }
 
 /// Advances the clock on each SIGUSR1; returns only on errors.
--- a/crates/deckwind-testkit/src/cluster.rs
+++ b/crates/deckwind-testkit/src/cluster.rs
@@ -28,7 +28,7 @@
 }
 
 async fn start(file: &Path, time: &'static VmTime) -> Result<Daemon> {
-    Daemon::start_by(deckwind_config::load(file)?, time.clock()).await
+    Daemon::start_with_clock(deckwind_config::load(file)?, time.clock()).await
 }
 
 impl Cluster {
--- a/crates/deckwind-testkit/src/fan_out.rs
+++ b/crates/deckwind-testkit/src/fan_out.rs
@@ -15,7 +15,7 @@
 };
 use deckwind_core::membership::{LeaseTiming, RouterLeaseState};
 use deckwind_core::replication::{ReplicaConfig, ReplicaId};
-use deckwind_core::routing::paths::Held;
+use deckwind_core::routing::paths::StreamLoad;
 use deckwind_core::state::{
     Instance, LayerRange, PublishedRelease, Release, Revision, RouterProcess,
 };
@@ -399,7 +399,7 @@
     }
 
     fn engine_load_of(&self, router: usize) -> Vec<EngineStreamLoad> {
-        let held = Held {
+        let held = StreamLoad {
             layer_tokens: 40_000,
             begun: 1,
         };
--- a/crates/deckwind-testkit/src/lab_checks.rs
+++ b/crates/deckwind-testkit/src/lab_checks.rs
@@ -57,7 +57,7 @@
         let used = self.routers.iter().flat_map(|r| &r.repeated);
         let used = used.filter(|at| self.now.since(**at) < RETRY_LIMITS.window);
         let used = used.count();
-        let max_retries = USABLE_SHARE * RETRY_LIMITS.beyond;
+        let max_retries = USABLE_SHARE * RETRY_LIMITS.extra;
         assert!(
             used as f64 <= max_retries,
             "{used} retries in a window, allowed are {max_retries}"
--- a/crates/deckwind-testkit/src/lab_routers.rs
+++ b/crates/deckwind-testkit/src/lab_routers.rs
@@ -3,7 +3,9 @@
 
 use deckwind_core::control::LimitReport;
 use deckwind_core::membership::{LeaseTiming, ReplicaChoice, RouterLeaseState};
-use deckwind_core::routes::{Claim, CutRuns, RepeatBudgets, RepeatLimits, Started};
+use deckwind_core::routes::{
+    InterruptedRuns, ProcessStart, RequestClass, RetryBudgets, RetryLimits,
+};
 use deckwind_core::state::{
     ClaimKey, ClaimRequest, ClaimVerdict, ContentDigest, FinishRequest, Outcome, Revision,
     RouterProcess, VmName,
@@ -40,7 +42,7 @@
     /// Keys of the requests that it ran, with one entry per run.
     pub ran: Vec<String>,
     timing: LeaseTiming,
-    budgets: Option<RepeatBudgets>,
+    budgets: Option<RetryBudgets>,
     /// Time of the last report that retries run short.
     last_short_report: Option<Instant>,
     /// Number of retries that its streams still need.
@@ -57,16 +59,16 @@
 
 /// Start of each router as its retry budget sees it: not the first start of the whole
 /// system.
-const START: Started = Started {
+const START: ProcessStart = ProcessStart {
     at: Instant::ZERO,
     first: false,
 };
 
 /// Retry budget of all routers: no share of the routers' own requests, so that all
 /// retries must be granted.
-pub const RETRY_LIMITS: RepeatLimits = RepeatLimits {
+pub const RETRY_LIMITS: RetryLimits = RetryLimits {
     share: 0.0,
-    beyond: 100.0,
+    extra: 100.0,
     window: Duration::from_secs(10),
 };
 
@@ -119,8 +121,8 @@
 
     /// Whether the quarantine allows it to send a request with this content.
     pub fn may_send(&self, content: &ContentDigest) -> bool {
-        let mut runs = CutRuns::default();
-        runs.agreed(Instant::ZERO, self.lease.configuration().suspects());
+        let mut runs = InterruptedRuns::default();
+        runs.set_agreed(Instant::ZERO, self.lease.configuration().suspects());
         runs.may_send(Instant::ZERO, content)
     }
 
@@ -138,13 +140,13 @@
     pub fn want_repeats(&mut self, repeats: u64) {
         self.retries_wanted = repeats;
         self.budgets
-            .get_or_insert_with(|| RepeatBudgets::new(RETRY_LIMITS, START));
+            .get_or_insert_with(|| RetryBudgets::new(RETRY_LIMITS, START));
     }
 
     /// Returns the number of retries that it may use from its grants.
     pub fn repeats_left(&mut self, now: Instant) -> u64 {
         let budgets = self.budgets.as_mut();
-        budgets.map_or(0, |b| b.of_pool(POOL).leased().left(now))
+        budgets.map_or(0, |b| b.of_pool(POOL).granted().available(now))
     }
 
     /// Uses the retries that its streams need, as far as the budget allows.
@@ -153,9 +155,9 @@
             return;
         };
         let budget = budgets.of_pool(POOL);
-        budget.requested(now);
+        budget.record_request(now);
         while self.retries_wanted > 0 {
-            let spent = budget.spend(now, Claim::Begun, self.retries_wanted);
+            let spent = budget.spend(now, RequestClass::Begun, self.retries_wanted);
             if spent.is_none() {
                 break;
             }
@@ -168,7 +170,7 @@
         let due = self
             .last_short_report
             .is_none_or(|at| now.since(at) >= SHORT_REPORT_INTERVAL);
-        let budgets = self.budgets.as_mut().filter(|b| due && b.runs_short(now))?;
+        let budgets = self.budgets.as_mut().filter(|b| due && b.needs_more(now))?;
         let report = budgets.report(now)?;
         self.last_short_report = Some(now);
         Some(ControlRequest::Repeats(self.holder(), report))
@@ -183,7 +185,7 @@
         self.budgets = self
             .budgets
             .as_ref()
-            .map(|_| RepeatBudgets::new(RETRY_LIMITS, START));
+            .map(|_| RetryBudgets::new(RETRY_LIMITS, START));
     }
 
     /// Chooses the replica for the next request and returns its slot.
@@ -208,7 +210,7 @@
     fn next_renewal(&mut self, now: Instant) -> Option<ControlRequest> {
         match &self.renewal {
             Some(pending) if now.since(pending.sent_at) < RESEND_TIMEOUT => return None,
-            Some(_) => self.choice.failed(now, self.last_slot),
+            Some(_) => self.choice.record_failure(now, self.last_slot),
             None => {}
         }
         let repeats = self.budgets.as_mut().and_then(|b| b.report(now));
@@ -273,19 +275,20 @@
         match (request, reply) {
             (ControlRequest::Renew(renewal), ControlReply::Granted(grant)) => {
                 self.renewal = None;
-                self.choice.answered(self.last_slot);
+                self.choice.record_success(self.last_slot);
                 if renewal.holder.boot == self.boot {
                     let delta = grant
                         .changes(self.lease.applied())
                         .expect("the delta is intact");
                     self.lease.apply_grant(grant.lease(sent_at), delta);
                     let budgets = self.budgets.as_mut();
-                    budgets.map(|b| b.told(sent_at, self.timing.ttl, &grant.repeats));
+                    budgets.map(|b| b.apply_grants(sent_at, self.timing.ttl, &grant.repeats));
                 }
             }
             (ControlRequest::Renew(_), ControlReply::AskAgain) => self.renewal = None,
             (_, ControlReply::NotLeader { leader }) => {
-                self.choice.not_passed_on(now, self.last_slot, leader);
+                self.choice
+                    .record_not_forwarded(now, self.last_slot, leader);
                 if matches!(request, ControlRequest::Renew(_)) {
                     self.renewal = None;
                 }
--- a/crates/deckwind-testkit/src/placing.rs
+++ b/crates/deckwind-testkit/src/placing.rs
@@ -5,7 +5,7 @@
 //! the layer with the smallest token capacity: the narrowest one.
 
 use deckwind_core::control::{PlacementManager, PlacementOrder};
-use deckwind_core::routing::placement::{common, tokens_beside};
+use deckwind_core::routing::placement::{overlap, token_capacity};
 use deckwind_core::state::{
     AcceleratorKind, Command, CommandBody, EngineModel, Incarnation, Instance, InstanceChange,
     InstanceState, Instances, LayerRange, Pool, Release, StateMachine,
@@ -252,7 +252,7 @@
         let max_concurrent = model().loads_at_once as usize;
         for order in step.orders {
             self.orders += 1;
-            let layers = order.layers.len() - common(order.layers, order.expected_layers).len();
+            let layers = order.layers.len() - overlap(order.layers, order.expected_layers).len();
             let share = f64::from(layers) / f64::from(model().layers);
             let rounds = (self.loading.len() + 1).div_ceil(max_concurrent) as f64;
             let duration = Duration::from_secs_f64(model().load_ms / 1e3 * share * rounds);
@@ -299,7 +299,7 @@
             }
             let kind = KINDS.iter().find(|k| Some(k.0) == i.accelerator.as_deref());
             let memory_mb = kind.expect("a known kind").1;
-            let tokens = tokens_beside(&model(), memory_mb, i.in_memory.max(i.layers.len()));
+            let tokens = token_capacity(&model(), memory_mb, i.in_memory.max(i.layers.len()));
             for layer in i.layers.first..i.layers.last {
                 layers[layer as usize] += tokens;
             }
@@ -316,7 +316,7 @@
 /// tokens of each.
 fn max_layers(memory_mb: f64, tokens: f64) -> u32 {
     let model = model();
-    let holds = |layers: &u32| tokens_beside(&model, memory_mb, *layers) >= tokens;
+    let holds = |layers: &u32| token_capacity(&model, memory_mb, *layers) >= tokens;
     (1..=model.layers).take_while(holds).last().unwrap_or(0)
 }
 
