--- a/crates/deckwind-testkit/src/vm_time.rs
+++ b/crates/deckwind-testkit/src/vm_time.rs
@@ -20,7 +20,7 @@
 
     /// Returns a clock that uses this time source.
     pub fn clock(&'static self) -> Clock {
-        Clock::by(self)
+        Clock::with_time_source(self)
     }
 
     /// Simulates a suspension of the VM that has just ended after this time.
@@ -36,7 +36,7 @@
         KernelTime.since_boot() + Duration::from_millis(suspended)
     }
 
-    fn awake(&self) -> Duration {
-        KernelTime.awake()
+    fn monotonic(&self) -> Duration {
+        KernelTime.monotonic()
     }
 }
--- a/crates/deckwind-testkit/tests/testsuite/bystanders.rs
+++ b/crates/deckwind-testkit/tests/testsuite/bystanders.rs
@@ -9,7 +9,7 @@
 //! the poison request was at all seven crashes, each of the nine others at three.
 
 use crate::quarantine::{apply, content};
-use deckwind_core::routes::CutRuns;
+use deckwind_core::routes::InterruptedRuns;
 use deckwind_core::state::{ContentDigest, Incarnation, StateMachine};
 use deckwind_core::time::Instant;
 use rand::rngs::StdRng;
@@ -56,7 +56,7 @@
     now_ms: u64,
     incarnations: [u64; ENGINES],
     streams: Vec<Stream>,
-    routers: Vec<CutRuns>,
+    routers: Vec<InterruptedRuns>,
     state_machine: StateMachine,
     /// Ended incarnations, and when routers learn of them.
     ended_incarnations: Vec<(u64, Incarnation)>,
@@ -73,7 +73,7 @@
             now_ms: 100_000,
             incarnations: [0; ENGINES],
             streams: Vec::new(),
-            routers: vec![CutRuns::default(); ROUTERS],
+            routers: vec![InterruptedRuns::default(); ROUTERS],
             state_machine: StateMachine::default(),
             ended_incarnations: Vec::new(),
             agreement_known_at: None,
@@ -129,7 +129,7 @@
             let crashing = self.poison_contents.contains(&stream.content);
             let ran = ran.filter(|_| !crashing);
             let cut_runs = &mut self.routers[stream.router];
-            cut_runs.cut(now, stream.content, &incarnation, ran);
+            cut_runs.record_interrupted(now, stream.content, &incarnation, ran);
             // The caller retries at another router.
             if stream.sends == MAX_SENDS {
                 stream.sends = 0;
@@ -163,8 +163,8 @@
             .collect();
         for router in 0..ROUTERS {
             let cut_runs = &mut self.routers[router];
-            cut_runs.lives_over(now, known_ended.clone());
-            let changes = cut_runs.take_news();
+            cut_runs.record_ended_incarnations(now, known_ended.clone());
+            let changes = cut_runs.take_unreported_changes();
             if !changes.is_empty() {
                 apply(&mut self.state_machine, self.now_ms, changes);
                 self.agreement_known_at = self
@@ -179,7 +179,7 @@
         {
             let list = self.state_machine.configuration().suspects();
             for cut_runs in &mut self.routers {
-                cut_runs.agreed(now, list.clone());
+                cut_runs.set_agreed(now, list.clone());
             }
         }
     }
--- a/crates/deckwind-testkit/tests/testsuite/come_back.rs
+++ b/crates/deckwind-testkit/tests/testsuite/come_back.rs
@@ -8,7 +8,7 @@
 //! been admitted.
 
 use crate::repeat_rig::Control;
-use deckwind_core::routes::{Claim, Refusal, RepeatBudgets, RepeatLimits, Started};
+use deckwind_core::routes::{ProcessStart, RefusalReason, RequestClass, RetryBudgets, RetryLimits};
 use deckwind_core::state::RouterProcess;
 use deckwind_core::time::Instant;
 use rand::rngs::StdRng;
@@ -31,9 +31,9 @@
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Retry budget of all routers.
-const LIMITS: RepeatLimits = RepeatLimits {
+const LIMITS: RetryLimits = RetryLimits {
     share: 0.2,
-    beyond: 304.0,
+    extra: 304.0,
     window: Duration::from_secs(10),
 };
 
@@ -54,14 +54,14 @@
 }
 
 /// Simulates the load. Callers refused for want of a retry come back as after `refusal`.
-fn simulate(rejected_percent: u32, refusal: Refusal, seed: u64) -> Outcome {
+fn simulate(rejected_percent: u32, refusal: RefusalReason, seed: u64) -> Outcome {
     let mut rng = StdRng::seed_from_u64(seed);
     let start = Instant::from_millis(1_000);
-    let first = Started {
+    let first = ProcessStart {
         at: start,
         first: true,
     };
-    let budgets = || RepeatBudgets::new(LIMITS, first);
+    let budgets = || RetryBudgets::new(LIMITS, first);
     let mut budgets: Vec<_> = (0..ROUTERS).map(|_| budgets()).collect();
     let mut control = Control::new(start);
     let mut renewals: Vec<_> = (0..ROUTERS)
@@ -100,9 +100,9 @@
             control.ask(now, &holder, &mut budgets[i]);
         }
         let budget = budgets[arrival.router].of_pool("pool");
-        budget.requested(now);
+        budget.record_request(now);
         let mut is_admitted = !rng.random_ratio(rejected_percent, 100);
-        while !is_admitted && budget.spend(now, Claim::New, rng.random()).is_some() {
+        while !is_admitted && budget.spend(now, RequestClass::New, rng.random()).is_some() {
             is_admitted = !rng.random_ratio(rejected_percent, 100);
         }
         if is_admitted {
@@ -119,7 +119,7 @@
             outcome.refused += weight;
             continue;
         }
-        let after = refusal.come_back_after(rng.random_range(0.0..1.0));
+        let after = refusal.retry_after_time(rng.random_range(0.0..1.0));
         let other = (arrival.router + rng.random_range(1..ROUTERS)) % ROUTERS;
         last_sequence += 1;
         let retry = Arrival {
@@ -139,7 +139,7 @@
 )]
 fn callers_without_a_repeat_come_back_in_time(rejected_percent: u32, min_within_objective: f64) {
     for seed in 1..=3 {
-        let fast_return = simulate(rejected_percent, Refusal::NoRepeat, seed);
+        let fast_return = simulate(rejected_percent, RefusalReason::NoRepeat, seed);
         assert!(
             fast_return.within_objective >= min_within_objective,
             "{fast_return:?}"
@@ -151,8 +151,8 @@
 /// The same callers, sent away for as long as callers for whom there is no target.
 #[test]
 fn callers_who_come_back_late_are_served_late() {
-    let fast_return = simulate(43, Refusal::NoRepeat, 1);
-    let slow_return = simulate(43, Refusal::NoTarget, 1);
+    let fast_return = simulate(43, RefusalReason::NoRepeat, 1);
+    let slow_return = simulate(43, RefusalReason::NoTarget, 1);
     assert!(
         fast_return.within_objective > slow_return.within_objective + 0.05,
         "{fast_return:?} {slow_return:?}"
--- a/crates/deckwind-testkit/tests/testsuite/connections.rs
+++ b/crates/deckwind-testkit/tests/testsuite/connections.rs
@@ -4,7 +4,7 @@
 use deckwind_core::state::Pool;
 use deckwind_fakes::FakeRunner;
 use deckwind_net::clock::Clock;
-use deckwind_net::targets::KeptConnections;
+use deckwind_net::targets::ConnectionPool;
 use http::HeaderMap;
 use std::time::Duration;
 use yare::parameterized;
@@ -36,7 +36,7 @@
 async fn idle_connections_above_the_limit_are_closed() {
     let idle_timeout = Duration::from_secs(60);
     let target = FakeRunner::start("t").await.expect("a target");
-    let connections = KeptConnections::new(Clock::start());
+    let connections = ConnectionPool::new(Clock::start());
     let mut in_use = Vec::new();
     for _ in 0..5 {
         in_use.push(
@@ -47,7 +47,7 @@
         );
     }
     for connection in in_use {
-        connections.give_back(connection, &HeaderMap::new(), 2);
+        connections.return_connection(connection, &HeaderMap::new(), 2);
     }
     let mut reused = Vec::new();
     for _ in 0..3 {
--- a/crates/deckwind-testkit/tests/testsuite/contracts.rs
+++ b/crates/deckwind-testkit/tests/testsuite/contracts.rs
@@ -111,7 +111,7 @@
         let mut wrong = open_request("s");
         wrong.layers = LayerRange::new(4, 12);
         let refused = engine.open(wrong).await.err().unwrap();
-        assert!(refused.certainly_not_run(), "{refused}");
+        assert!(refused.is_certainly_not_run(), "{refused}");
     });
 }
 
@@ -286,7 +286,7 @@
         fake.set_fault(fault);
         let service = service_for(transport, &fake).await;
         let error = service.call(service_call(300)).await.unwrap_err();
-        assert_eq!(error.certainly_not_run(), certainly_not_run, "{error}");
+        assert_eq!(error.is_certainly_not_run(), certainly_not_run, "{error}");
         assert_eq!(fake.runs().get("k").copied().unwrap_or(0), runs);
     });
 }
@@ -360,7 +360,7 @@
         let first = read(0).await.unwrap();
         assert_eq!((first.bytes.len(), first.total), (50, 100));
         let over_rate = read(50).await.unwrap_err();
-        assert!(over_rate.certainly_not_run(), "{over_rate}");
+        assert!(over_rate.is_certainly_not_run(), "{over_rate}");
         fake.refill(50);
         assert_eq!(read(50).await.unwrap().bytes.len(), 50);
     });
--- a/crates/deckwind-testkit/tests/testsuite/crowding.rs
+++ b/crates/deckwind-testkit/tests/testsuite/crowding.rs
@@ -8,9 +8,11 @@
 //! one of the few retries.
 
 use deckwind_core::control::{EngineFull, EngineStreamLoad};
-use deckwind_core::routes::{Choice, Claim, Room, TargetBook, choose_path};
-use deckwind_core::routing::paths::{Held, Stage};
-use deckwind_core::routing::placement::tokens_beside;
+use deckwind_core::routes::{
+    CapacityDemand, RequestClass, TargetChoice, TargetRecords, choose_path,
+};
+use deckwind_core::routing::paths::{Stage, StreamLoad};
+use deckwind_core::routing::placement::token_capacity;
 use deckwind_core::state::{DataCentre, Instance};
 use deckwind_core::time::Instant;
 use deckwind_testkit::placing::{KINDS, Placing, model};
@@ -36,7 +38,7 @@
     engines: Vec<Instance>,
     capacity: HashMap<SocketAddr, f64>,
     load: HashMap<SocketAddr, f64>,
-    books: Vec<TargetBook>,
+    books: Vec<TargetRecords>,
     data_centres: Vec<DataCentre>,
     streams: Vec<(Instant, usize, Vec<Stage>)>,
 }
@@ -49,7 +51,7 @@
         let capacity = |i: &Instance| {
             let kind = KINDS.iter().find(|k| Some(k.0) == i.accelerator.as_deref());
             let layers = i.layers.len();
-            let tokens = tokens_beside(&model(), kind.expect("known").1, layers);
+            let tokens = token_capacity(&model(), kind.expect("known").1, layers);
             (i.address, tokens * f64::from(layers))
         };
         let centre = |r: usize| DataCentre::from(format!("dc-{}", r % 3));
@@ -57,16 +59,16 @@
             capacity: engines.iter().map(capacity).collect(),
             engines,
             load: HashMap::new(),
-            books: vec![TargetBook::default(); ROUTERS],
+            books: vec![TargetRecords::default(); ROUTERS],
             data_centres: (0..ROUTERS).map(centre).collect(),
             streams: Vec::new(),
         }
     }
 
-    fn choose(&self, router: usize, draw: u64, now: Instant) -> Option<Choice> {
-        let demand = Room {
+    fn choose(&self, router: usize, draw: u64, now: Instant) -> Option<TargetChoice> {
+        let demand = CapacityDemand {
             tokens: COUNTED_TOKENS,
-            claim: Claim::New,
+            claim: RequestClass::New,
             draw,
         };
         let (book, own) = (&self.books[router], &self.data_centres[router]);
@@ -96,7 +98,7 @@
         for s in &stages {
             *self.load.entry(s.address).or_default() += tokens_needed(s);
         }
-        self.books[router].takes(&stages, COUNTED_TOKENS);
+        self.books[router].add_load(&stages, COUNTED_TOKENS);
         self.streams.push((until, router, stages));
         Ok(())
     }
@@ -109,21 +111,21 @@
                 let tokens_needed = HELD_TOKENS as f64 * f64::from(s.layers.len());
                 *self.load.entry(s.address).or_default() -= tokens_needed;
             }
-            self.books[router].gives_back(&stages, COUNTED_TOKENS);
+            self.books[router].remove_load(&stages, COUNTED_TOKENS);
         }
     }
 
     /// Sends each router the current load of the others' streams.
     fn send_load_updates(&mut self) {
-        let mut totals: HashMap<SocketAddr, Held> = HashMap::new();
-        for one in self.books.iter().flat_map(TargetBook::own_use) {
+        let mut totals: HashMap<SocketAddr, StreamLoad> = HashMap::new();
+        for one in self.books.iter().flat_map(TargetRecords::own_engine_load) {
             let total = totals.entry(one.address).or_default();
             total.layer_tokens += one.layer_tokens;
             total.begun += one.begun;
         }
         for book in &mut self.books {
             let mut others = totals.clone();
-            for one in book.own_use() {
+            for one in book.own_engine_load() {
                 let total = others.entry(one.address).or_default();
                 total.layer_tokens -= one.layer_tokens;
                 total.begun -= one.begun;
@@ -131,7 +133,7 @@
             let uses = others
                 .into_iter()
                 .map(|(a, load)| EngineStreamLoad::new(a, load));
-            book.others_hold(&uses.collect::<Vec<_>>());
+            book.set_others_load(&uses.collect::<Vec<_>>());
         }
     }
 }
@@ -249,7 +251,7 @@
             simulation
                 .books
                 .iter_mut()
-                .for_each(|b| b.are_full(now, &[full]));
+                .for_each(|b| b.record_full_engines(now, &[full]));
         }
         let router = rng.random_range(0..ROUTERS);
         let ends = now + MEAN_STREAM_DURATION.mul_f64(rng.random_range(0.5..1.5));
@@ -268,9 +270,9 @@
             rejections += 1.0;
             let can_retry = budget >= 1.0;
             match notice {
-                RefusalNotice::OneRouter => simulation.books[router].avoid_full(now, full),
+                RefusalNotice::OneRouter => simulation.books[router].avoid_full_engine(now, full),
                 RefusalNotice::AllRoutersAfter(delay) => {
-                    let full = simulation.books[router].had_no_room(now, full);
+                    let full = simulation.books[router].record_refusal(now, full);
                     pending_notices.push_back((now + delay, full));
                 }
             }
--- a/crates/deckwind-testkit/tests/testsuite/cut_runs.rs
+++ b/crates/deckwind-testkit/tests/testsuite/cut_runs.rs
@@ -2,7 +2,7 @@
 //! what the router knows before the control replicas agree, and what clears a content.
 
 use crate::quarantine::{apply, content, crash, incarnation, quarantined};
-use deckwind_core::routes::CutRuns;
+use deckwind_core::routes::InterruptedRuns;
 use deckwind_core::state::{StateMachine, SuspectChange, SuspectList};
 use deckwind_core::time::Instant;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
     agreed_three = { &["agreed 3"], 0 },
 )]
 fn the_third_end_is_known_where_it_was_seen(events: &[&str], third_crash_step: usize) {
-    let mut cut_runs = CutRuns::default();
+    let mut cut_runs = InterruptedRuns::default();
     let digest = content("it");
     for (i, event) in events.iter().enumerate() {
         let at = Instant::from_millis(1_000 + i as u64);
@@ -37,12 +37,12 @@
                     1,
                     names.map(|n| crash(digest, incarnation(n))).collect(),
                 );
-                cut_runs.agreed(at, machine.configuration().suspects());
+                cut_runs.set_agreed(at, machine.configuration().suspects());
             }
             None => {
                 let incarnation = incarnation(&format!("own {i}"));
-                cut_runs.cut(at, digest, &incarnation, None);
-                cut_runs.lives_over(at, vec![incarnation]);
+                cut_runs.record_interrupted(at, digest, &incarnation, None);
+                cut_runs.record_ended_incarnations(at, vec![incarnation]);
             }
         }
         assert_eq!(
@@ -57,15 +57,15 @@
 /// interrupted run late: its crash may be one of those already agreed.
 #[test]
 fn a_crash_that_others_reported_is_not_counted_twice() {
-    let mut cut_runs = CutRuns::default();
+    let mut cut_runs = InterruptedRuns::default();
     let digest = content("it");
     let at = Instant::from_millis(1_000);
-    cut_runs.lives_over(at, vec![incarnation("b")]);
+    cut_runs.record_ended_incarnations(at, vec![incarnation("b")]);
     let mut machine = StateMachine::default();
     let crashes = ["a", "b"].map(|name| crash(digest, incarnation(name)));
     apply(&mut machine, 1, crashes.to_vec());
-    cut_runs.agreed(at, machine.configuration().suspects());
-    cut_runs.cut(at, digest, &incarnation("b"), None);
+    cut_runs.set_agreed(at, machine.configuration().suspects());
+    cut_runs.record_interrupted(at, digest, &incarnation("b"), None);
     assert!(cut_runs.may_send(at, &digest), "two targets have crashed");
 }
 
@@ -86,31 +86,35 @@
     let digest = content("it");
     let start = Instant::from_millis(1_000);
     let at = start + Duration::from_millis(served_ms_ago);
-    let (mut earlier, mut restarted) = (CutRuns::default(), CutRuns::default());
-    earlier.served(start, digest);
+    let (mut earlier, mut restarted) = (InterruptedRuns::default(), InterruptedRuns::default());
+    earlier.record_served(start, digest);
     assert_eq!(
-        earlier.take_news(),
+        earlier.take_unreported_changes(),
         Vec::new(),
         "the content is not suspected"
     );
     let mut machine = StateMachine::default();
     for name in ["a", "b"] {
-        restarted.cut(at, digest, &incarnation(name), None);
-        restarted.lives_over(at, vec![incarnation(name)]);
-        apply(&mut machine, 1, restarted.take_news());
-        earlier.agreed(at, machine.configuration().suspects());
+        restarted.record_interrupted(at, digest, &incarnation(name), None);
+        restarted.record_ended_incarnations(at, vec![incarnation(name)]);
+        apply(&mut machine, 1, restarted.take_unreported_changes());
+        earlier.set_agreed(at, machine.configuration().suspects());
         if receives_list {
-            restarted.agreed(at, machine.configuration().suspects());
+            restarted.set_agreed(at, machine.configuration().suspects());
         }
     }
-    apply(&mut machine, 2, earlier.take_news());
-    restarted.agreed(at, machine.configuration().suspects());
-    earlier.agreed(at, machine.configuration().suspects());
-    assert_eq!(earlier.take_news(), Vec::new(), "it is reported once");
+    apply(&mut machine, 2, earlier.take_unreported_changes());
+    restarted.set_agreed(at, machine.configuration().suspects());
+    earlier.set_agreed(at, machine.configuration().suspects());
+    assert_eq!(
+        earlier.take_unreported_changes(),
+        Vec::new(),
+        "it is reported once"
+    );
     let at = at + Duration::from_millis(third_after_ms);
-    restarted.cut(at, digest, &incarnation("c"), None);
-    restarted.lives_over(at, vec![incarnation("c")]);
-    apply(&mut machine, 3, restarted.take_news());
+    restarted.record_interrupted(at, digest, &incarnation("c"), None);
+    restarted.record_ended_incarnations(at, vec![incarnation("c")]);
+    apply(&mut machine, 3, restarted.take_unreported_changes());
     assert_eq!(restarted.may_send(at, &digest), cleared);
     assert_eq!(quarantined(&machine) == 0, cleared);
 }
@@ -121,13 +125,13 @@
     after = { 601, true },
 )]
 fn own_ends_count_for_ten_minutes(seconds: u64, may_send: bool) {
-    let mut cut_runs = CutRuns::default();
+    let mut cut_runs = InterruptedRuns::default();
     let digest = content("it");
     let start = Instant::from_millis(1_000);
     let later = start + Duration::from_secs(seconds);
     for (at, name) in [(start, "a"), (later, "b"), (later, "c")] {
-        cut_runs.cut(at, digest, &incarnation(name), None);
-        cut_runs.lives_over(at, vec![incarnation(name)]);
+        cut_runs.record_interrupted(at, digest, &incarnation(name), None);
+        cut_runs.record_ended_incarnations(at, vec![incarnation(name)]);
     }
     assert_eq!(cut_runs.may_send(later, &digest), may_send);
 }
@@ -145,7 +149,7 @@
 }
 
 impl InterruptedRun {
-    const JUST_BEGUN: InterruptedRun = InterruptedRun {
+    const MAX_POISON_RUN_TIME: InterruptedRun = InterruptedRun {
         ran_ms: None,
         end_known_after_ms: 40,
         served_before_ms: None,
@@ -153,32 +157,32 @@
 }
 
 #[parameterized(
-    before_its_first_event = { InterruptedRun::JUST_BEGUN, true },
-    soon_after_it = { InterruptedRun { ran_ms: Some(120), ..InterruptedRun::JUST_BEGUN }, true },
-    long_after_it = { InterruptedRun { ran_ms: Some(500), ..InterruptedRun::JUST_BEGUN }, false },
-    known_before_the_cut = { InterruptedRun { end_known_after_ms: -900, ..InterruptedRun::JUST_BEGUN }, true },
-    silent_target = { InterruptedRun { end_known_after_ms: 4_000, ..InterruptedRun::JUST_BEGUN }, true },
-    end_known_too_late = { InterruptedRun { end_known_after_ms: 6_100, ..InterruptedRun::JUST_BEGUN }, false },
-    served_lately = { InterruptedRun { served_before_ms: Some(9_000), ..InterruptedRun::JUST_BEGUN }, false },
-    served_long_ago = { InterruptedRun { served_before_ms: Some(11_000), ..InterruptedRun::JUST_BEGUN }, true },
+    before_its_first_event = { InterruptedRun::MAX_POISON_RUN_TIME, true },
+    soon_after_it = { InterruptedRun { ran_ms: Some(120), ..InterruptedRun::MAX_POISON_RUN_TIME }, true },
+    long_after_it = { InterruptedRun { ran_ms: Some(500), ..InterruptedRun::MAX_POISON_RUN_TIME }, false },
+    known_before_the_cut = { InterruptedRun { end_known_after_ms: -900, ..InterruptedRun::MAX_POISON_RUN_TIME }, true },
+    silent_target = { InterruptedRun { end_known_after_ms: 4_000, ..InterruptedRun::MAX_POISON_RUN_TIME }, true },
+    end_known_too_late = { InterruptedRun { end_known_after_ms: 6_100, ..InterruptedRun::MAX_POISON_RUN_TIME }, false },
+    served_lately = { InterruptedRun { served_before_ms: Some(9_000), ..InterruptedRun::MAX_POISON_RUN_TIME }, false },
+    served_long_ago = { InterruptedRun { served_before_ms: Some(11_000), ..InterruptedRun::MAX_POISON_RUN_TIME }, true },
 )]
 fn a_cut_run_counts_against_its_content(run: InterruptedRun, is_counted: bool) {
-    let mut cut_runs = CutRuns::default();
+    let mut cut_runs = InterruptedRuns::default();
     let at = Instant::from_millis(100_000);
     let digest = content("it");
     if let Some(before) = run.served_before_ms {
-        cut_runs.served(at - Duration::from_millis(before), digest);
+        cut_runs.record_served(at - Duration::from_millis(before), digest);
     }
     let ran_for = run.ran_ms.map(Duration::from_millis);
     let end_known_at = Instant::from_millis((100_000 + run.end_known_after_ms) as u64);
     if run.end_known_after_ms < 0 {
-        cut_runs.lives_over(end_known_at, vec![incarnation("a")]);
+        cut_runs.record_ended_incarnations(end_known_at, vec![incarnation("a")]);
     }
-    cut_runs.cut(at, digest, &incarnation("a"), ran_for);
+    cut_runs.record_interrupted(at, digest, &incarnation("a"), ran_for);
     if run.end_known_after_ms >= 0 {
-        cut_runs.lives_over(end_known_at, vec![incarnation("a")]);
+        cut_runs.record_ended_incarnations(end_known_at, vec![incarnation("a")]);
     }
-    let changes = cut_runs.take_news();
+    let changes = cut_runs.take_unreported_changes();
     let end = SuspectChange::Ended {
         content: digest,
         life: incarnation("a"),
@@ -192,22 +196,22 @@
 /// router has no time to learn of it within one request.
 #[test]
 fn runs_that_were_cut_count_until_more_is_known() {
-    let mut cut_runs = CutRuns::default();
+    let mut cut_runs = InterruptedRuns::default();
     let digest = content("it");
     let at = Instant::from_millis(1_000);
     for name in ["a", "b"] {
-        cut_runs.cut(at, digest, &incarnation(name), None);
+        cut_runs.record_interrupted(at, digest, &incarnation(name), None);
         assert!(cut_runs.may_send(at, &digest), "after {name}");
     }
-    cut_runs.cut(at, digest, &incarnation("c"), None);
+    cut_runs.record_interrupted(at, digest, &incarnation("c"), None);
     assert!(!cut_runs.may_send(at, &digest));
     let later = at + Duration::from_millis(6_001);
     assert!(
         cut_runs.may_send(later, &digest),
         "none of them is known to have ended"
     );
-    cut_runs.lives_over(later, vec![incarnation("a")]);
-    assert_eq!(cut_runs.take_news(), Vec::new());
+    cut_runs.record_ended_incarnations(later, vec![incarnation("a")]);
+    assert_eq!(cut_runs.take_unreported_changes(), Vec::new());
 }
 
 /// Agreed counts replace the router's own: a content that other routers served is sent
@@ -215,20 +219,20 @@
 #[test]
 fn what_is_agreed_takes_the_place_of_what_was_seen() {
     let mut machine = StateMachine::default();
-    let mut cut_runs = CutRuns::default();
+    let mut cut_runs = InterruptedRuns::default();
     let digest = content("it");
     let at = Instant::from_millis(1_000);
     for name in ["a", "b", "c"] {
-        cut_runs.cut(at, digest, &incarnation(name), None);
-        cut_runs.lives_over(at, vec![incarnation(name)]);
+        cut_runs.record_interrupted(at, digest, &incarnation(name), None);
+        cut_runs.record_ended_incarnations(at, vec![incarnation(name)]);
     }
     assert!(!cut_runs.may_send(at, &digest));
-    apply(&mut machine, 1, cut_runs.take_news());
-    cut_runs.agreed(at, machine.configuration().suspects());
+    apply(&mut machine, 1, cut_runs.take_unreported_changes());
+    cut_runs.set_agreed(at, machine.configuration().suspects());
     assert!(!cut_runs.may_send(at, &digest));
     apply(&mut machine, 2, vec![SuspectChange::Served(digest)]);
-    cut_runs.agreed(at, machine.configuration().suspects());
+    cut_runs.set_agreed(at, machine.configuration().suspects());
     assert!(cut_runs.may_send(at, &digest));
-    cut_runs.agreed(at, Arc::new(SuspectList::default()));
+    cut_runs.set_agreed(at, Arc::new(SuspectList::default()));
     assert!(cut_runs.may_send(at, &digest));
 }
--- a/crates/deckwind-testkit/tests/testsuite/decisions.rs
+++ b/crates/deckwind-testkit/tests/testsuite/decisions.rs
@@ -2,7 +2,7 @@
 //! burn alerts over virtual time.
 
 use deckwind_core::admission::{
-    AccountLimiter, Admission, AdmissionConfig, Offer, Refused, RefusedWhy, RetryBudget,
+    AccountLimiter, Admission, AdmissionConfig, AdmissionRefusal, Offer, Refused, RetryBudget,
     RetryPolicy, Ticket, TicketId,
 };
 use deckwind_core::burn::{Alert, BurnMeter};
@@ -90,7 +90,7 @@
     let Offer::Refused(refused) = offer else {
         panic!("{offer:?}");
     };
-    assert_eq!(refused.why, RefusedWhy::Deadline);
+    assert_eq!(refused.reason, AdmissionRefusal::Deadline);
     assert!(refused.retry_after >= Duration::from_secs(4), "{refused:?}");
 }
 
@@ -121,7 +121,7 @@
     pool.offer(at(0), ticket(2, "a", Priority::Gate, far_deadline));
     let third = pool.offer(at(0), ticket(3, "a", Priority::Gate, far_deadline));
     let refused = Refused {
-        why: RefusedWhy::QueueFull,
+        reason: AdmissionRefusal::QueueFull,
         retry_after: Duration::from_secs(1),
     };
     assert_eq!(third, Offer::Refused(refused));
@@ -164,7 +164,7 @@
     for i in 0..100 {
         let _ = limiter.take(at(i * 10), &"a".into());
     }
-    let demand = limiter.demand(at(1_000), 8);
+    let demand = limiter.report_demand(at(1_000), 8);
     assert_eq!(demand, [("a".into(), AccountDemand { per_s: 100.0 })]);
 }
 
@@ -178,7 +178,7 @@
     }
     let mut reported: Vec<_> = [1_000, 1_400, 1_800]
         .into_iter()
-        .flat_map(|ms| limiter.demand(at(ms), 2))
+        .flat_map(|ms| limiter.report_demand(at(ms), 2))
         .map(|(name, _)| name)
         .collect();
     reported.sort();
@@ -212,7 +212,7 @@
     let mut budget = RetryBudget::new(at(0));
     assert!(budget.spend(at(0)));
     assert!(!budget.spend(at(0)));
-    (0..100).for_each(|_| budget.succeeded());
+    (0..100).for_each(|_| budget.record_success());
     let spent = (0..100).filter(|_| budget.spend(at(0))).count();
     assert_eq!(spent, 10);
 }
@@ -231,7 +231,7 @@
             tries += 1;
             let fails = (call + attempt).is_multiple_of(2);
             if !fails {
-                budget.succeeded();
+                budget.record_success();
                 break;
             }
             let time_left = Duration::from_secs(1);
@@ -310,20 +310,20 @@
 #[test]
 fn a_target_that_completes_nothing_loses_new_work_and_earns_it_back() {
     let mut health = Health::default();
-    health.dispatched(at(0));
+    health.record_dispatch(at(0));
     assert_eq!(health.state(at(400)), HealthState::Usable);
     assert_eq!(health.state(at(600)), HealthState::Suspended);
-    health.failed(at(600));
+    health.record_failure(at(600));
     assert_eq!(health.state(at(700)), HealthState::Suspended);
-    health.finished(at(700));
+    health.record_finish(at(700));
     assert_eq!(health.state(at(1_200)), HealthState::Trial);
-    health.dispatched(at(1_200));
+    health.record_dispatch(at(1_200));
     assert_eq!(health.state(at(1_200)), HealthState::Suspended);
-    health.progressed(at(1_201), 1.0, 1.0);
+    health.record_step_time(at(1_201), 1.0, 1.0);
     assert_eq!(health.state(at(1_201)), HealthState::Usable);
     assert_eq!(health.weight(at(1_201)), 0.125);
     for _ in 0..24 {
-        health.progressed(at(1_202), 1.0, 1.0);
+        health.record_step_time(at(1_202), 1.0, 1.0);
     }
     assert_eq!(health.weight(at(1_202)), 1.0);
 }
@@ -333,7 +333,7 @@
     let mut health = Health::default();
     let mut weights = Vec::new();
     for _ in 0..3 {
-        (0..8).for_each(|_| health.progressed(at(0), 50.0, 10.0));
+        (0..8).for_each(|_| health.record_step_time(at(0), 50.0, 10.0));
         weights.push(health.weight(at(0)));
     }
     assert_eq!(weights, [0.5, 0.25, 0.125]);
@@ -357,7 +357,7 @@
     let mut meter = BurnMeter::default();
     let hour = |h: u64| at(h * 3_600_000);
     for i in 0..1_000u64 {
-        meter.answered(
+        meter.record(
             hour(1) + Duration::from_millis(i),
             &"gates".into(),
             &"a".into(),
--- a/crates/deckwind-testkit/tests/testsuite/engine_use.rs
+++ b/crates/deckwind-testkit/tests/testsuite/engine_use.rs
@@ -4,8 +4,8 @@
 
 use deckwind_core::control::{EngineLoadUpdate, EngineLoadVersion, EngineStreamLoad};
 use deckwind_core::replication::Term;
-use deckwind_core::routes::TargetBook;
-use deckwind_core::routing::paths::Held;
+use deckwind_core::routes::TargetRecords;
+use deckwind_core::routing::paths::StreamLoad;
 use deckwind_testkit::fan_out::{FanOut, engine_fleet, engine_release};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -41,8 +41,8 @@
     SocketAddr::from(([10, 0, 0, 1], port))
 }
 
-fn load(layer_tokens: u64, begun: u32) -> Held {
-    Held {
+fn load(layer_tokens: u64, begun: u32) -> StreamLoad {
+    StreamLoad {
         layer_tokens,
         begun,
     }
@@ -63,24 +63,24 @@
 /// is the load of other routers.
 #[test]
 fn a_router_counts_its_own_streams_once() {
-    let mut book = TargetBook::default();
+    let mut book = TargetRecords::default();
     let own = [EngineStreamLoad::new(engine_address(1), load(300, 1))];
     let all = vec![EngineStreamLoad::new(engine_address(1), load(1_000, 3))];
-    book.use_told(&own, Some(&update(1, true, all)));
+    book.apply_load_update(&own, Some(&update(1, true, all)));
     // The router's own streams have ended since its report.
-    assert_eq!(book.held(engine_address(1)), load(700, 2));
+    assert_eq!(book.load(engine_address(1)), load(700, 2));
     // The router reported nothing, and the load of the others is unchanged.
-    book.use_told(&[], None);
-    assert_eq!(book.held(engine_address(1)), load(1_000, 3));
+    book.apply_load_update(&[], None);
+    assert_eq!(book.load(engine_address(1)), load(1_000, 3));
 }
 
 /// Engines that an update doesn't name keep their load, unless it is a full update, such
 /// as the first one of another leader.
 #[test]
 fn engines_keep_their_load_until_an_update_names_them_or_is_full() {
-    let mut book = TargetBook::default();
+    let mut book = TargetRecords::default();
     let engine_load = |port, tokens| EngineStreamLoad::new(engine_address(port), load(tokens, 0));
-    book.use_told(
+    book.apply_load_update(
         &[],
         Some(&update(
             1,
@@ -88,7 +88,7 @@
             vec![engine_load(1, 10), engine_load(2, 20)],
         )),
     );
-    book.use_told(
+    book.apply_load_update(
         &[],
         Some(&update(
             2,
@@ -97,11 +97,11 @@
         )),
     );
     let tokens =
-        |book: &TargetBook| [1, 2, 3].map(|port| book.held(engine_address(port)).layer_tokens);
+        |book: &TargetRecords| [1, 2, 3].map(|port| book.load(engine_address(port)).layer_tokens);
     assert_eq!(tokens(&book), [10, 25, 30]);
-    book.use_told(&[], Some(&update(3, false, vec![engine_load(2, 0)])));
+    book.apply_load_update(&[], Some(&update(3, false, vec![engine_load(2, 0)])));
     assert_eq!(tokens(&book), [10, 0, 30]);
-    book.use_told(&[], Some(&update(1, true, vec![engine_load(3, 5)])));
+    book.apply_load_update(&[], Some(&update(1, true, vec![engine_load(3, 5)])));
     assert_eq!(tokens(&book), [0, 0, 5]);
-    assert_eq!(book.use_known().map(|known| known.number), Some(1));
+    assert_eq!(book.load_position().map(|known| known.number), Some(1));
 }
--- a/crates/deckwind-testkit/tests/testsuite/held_back.rs
+++ b/crates/deckwind-testkit/tests/testsuite/held_back.rs
@@ -1,7 +1,9 @@
 //! Which callers a router disconnects when callers that don't read fill its memory.
 //! Runs in virtual time.
 
-use deckwind_core::routes::{AnswerArena, AnswerKey, Behind, FEW, HoldLimits, Way};
+use deckwind_core::routes::{
+    AnswerArena, AnswerKey, BufferLimits, DisconnectOrder, LaggingCaller, MAX_SPARED_CHUNKS,
+};
 use deckwind_core::time::Instant;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -42,7 +44,7 @@
     /// Disconnected callers that would have read the whole stream.
     disconnected_readers: u32,
     disconnected_non_readers: u32,
-    /// Disconnected callers that were at most [`FEW`] events behind.
+    /// Disconnected callers that were at most [`MAX_SPARED_CHUNKS`] events behind.
     disconnected_with_few_events: u32,
     peak_bytes: u64,
 }
@@ -97,19 +99,23 @@
         self.unread_events -= read_events.min(self.unread_events);
     }
 
-    fn behind(&self, key: AnswerKey) -> Option<Behind> {
-        (self.unread_events > 0).then_some(Behind {
+    fn behind(&self, key: AnswerKey) -> Option<LaggingCaller> {
+        (self.unread_events > 0).then_some(LaggingCaller {
             key,
             account: self.account,
             bytes: u64::from(self.unread_events) * self.event_bytes,
-            pieces: self.unread_events,
+            chunks: self.unread_events,
             since: self.since,
         })
     }
 }
 
-fn simulate(order: Way, seed: u64, non_reading_account: Option<u64>) -> (Outcome, Vec<u64>) {
-    let limits = HoldLimits::of(MEMORY_LIMIT);
+fn simulate(
+    order: DisconnectOrder,
+    seed: u64,
+    non_reading_account: Option<u64>,
+) -> (Outcome, Vec<u64>) {
+    let limits = BufferLimits::of(MEMORY_LIMIT);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut streams: AnswerArena<Stream> = AnswerArena::default();
     let mut outcome = Outcome::default();
@@ -121,17 +127,17 @@
             streams.insert(random_stream(&mut rng, now, non_reading_account));
         }
         streams.values_mut().for_each(|s| s.step(now));
-        let behind: Vec<Behind> = streams.iter().filter_map(|(k, s)| s.behind(k)).collect();
+        let behind: Vec<LaggingCaller> = streams.iter().filter_map(|(k, s)| s.behind(k)).collect();
         let held: u64 = behind.iter().map(|b| b.bytes).sum();
         outcome.peak_bytes = outcome.peak_bytes.max(held);
-        for key in limits.cut(order, held, &behind) {
+        for key in limits.select(order, held, &behind) {
             let s = streams.remove(key).expect("the stream exists");
             disconnected_accounts.push(s.account);
             match s.reads {
                 ReadPattern::Never => outcome.disconnected_non_readers += 1,
                 _ => outcome.disconnected_readers += 1,
             }
-            outcome.disconnected_with_few_events += u32::from(s.unread_events <= FEW);
+            outcome.disconnected_with_few_events += u32::from(s.unread_events <= MAX_SPARED_CHUNKS);
         }
         let done = |s: &Stream| s.age >= EVENTS_PER_STREAM && s.unread_events == 0;
         outcome.completed += streams.values().filter(|s| done(s)).count() as u32;
@@ -142,8 +148,8 @@
 
 #[parameterized(first = { 1 }, second = { 2 }, third = { 3 })]
 fn disconnecting_the_longest_unread_first_spares_more_readers(seed: u64) {
-    let (longest, _) = simulate(Way::LongestUnread, seed, None);
-    let (most, _) = simulate(Way::MostBytes, seed, None);
+    let (longest, _) = simulate(DisconnectOrder::LongestUnread, seed, None);
+    let (most, _) = simulate(DisconnectOrder::MostBytes, seed, None);
     println!("longest unread {longest:?}\nmost bytes     {most:?}");
     for outcome in [&longest, &most] {
         assert_eq!(outcome.disconnected_with_few_events, 0);
@@ -158,10 +164,10 @@
 }
 
 #[parameterized(
-    longest_unread = { Way::LongestUnread },
-    most_bytes = { Way::MostBytes },
+    longest_unread = { DisconnectOrder::LongestUnread },
+    most_bytes = { DisconnectOrder::MostBytes },
 )]
-fn an_account_that_reads_nothing_is_disconnected_first(order: Way) {
+fn an_account_that_reads_nothing_is_disconnected_first(order: DisconnectOrder) {
     let (_, cut) = simulate(order, 4, Some(3));
     let non_reading = cut.iter().filter(|a| **a == 3).count();
     println!(
@@ -175,36 +181,52 @@
     );
 }
 
-fn behind(all: &mut AnswerArena<()>, account: u64, bytes: u64, pieces: u32, since: u64) -> Behind {
-    Behind {
+fn behind(
+    all: &mut AnswerArena<()>,
+    account: u64,
+    bytes: u64,
+    pieces: u32,
+    since: u64,
+) -> LaggingCaller {
+    LaggingCaller {
         key: all.insert(()),
         account,
         bytes,
-        pieces,
+        chunks: pieces,
         since: Instant::from_millis(since),
     }
 }
 
 #[test]
 fn nobody_is_cut_below_the_bound_or_for_a_few_events() {
-    let limits = HoldLimits::of(1_000);
+    let limits = BufferLimits::of(1_000);
     let mut all = AnswerArena::default();
     let one = behind(&mut all, 1, 800, 100, 1);
-    let few = behind(&mut all, 2, 900, FEW, 0);
-    assert_eq!(limits.cut(Way::LongestUnread, 800, &[one]), []);
-    assert_eq!(limits.cut(Way::LongestUnread, 900, &[few]), []);
-    let cut = limits.cut(Way::LongestUnread, 1_700, &[one, few]);
+    let few = behind(&mut all, 2, 900, MAX_SPARED_CHUNKS, 0);
+    assert_eq!(
+        limits.select(DisconnectOrder::LongestUnread, 800, &[one]),
+        []
+    );
+    assert_eq!(
+        limits.select(DisconnectOrder::LongestUnread, 900, &[few]),
+        []
+    );
+    let cut = limits.select(DisconnectOrder::LongestUnread, 1_700, &[one, few]);
     assert_eq!(cut, [one.key]);
 }
 
 #[test]
 fn a_large_account_is_cut_down_to_its_share_before_others() {
-    let limits = HoldLimits::of(1_000);
+    let limits = BufferLimits::of(1_000);
     let mut all = AnswerArena::default();
     let small = behind(&mut all, 1, 200, 20, 1);
     let older = behind(&mut all, 2, 400, 20, 5);
     let newer = behind(&mut all, 2, 400, 20, 6);
-    let cut = limits.cut(Way::LongestUnread, 1_000, &[small, older, newer]);
+    let cut = limits.select(
+        DisconnectOrder::LongestUnread,
+        1_000,
+        &[small, older, newer],
+    );
     assert_eq!(
         cut,
         [older.key],
--- a/crates/deckwind-testkit/tests/testsuite/limit_rig.rs
+++ b/crates/deckwind-testkit/tests/testsuite/limit_rig.rs
@@ -199,7 +199,7 @@
                 let r = &mut self.routers[router];
                 if r.boot == boot {
                     let now = r.now(ms);
-                    r.limits.told(asked, now, term, list.as_ref());
+                    r.limits.apply_list(asked, now, term, list.as_ref());
                 }
             }
             Message::PermitsAnswered(router, boot, asked, answer) => {
@@ -214,7 +214,7 @@
                     let now = r.now(ms);
                     let rate = limit.map(Rate::from_millis);
                     let permitted = permit.map(|p| p.issued);
-                    r.limits.hear(now, &target(), rate, permitted);
+                    r.limits.record_limit(now, &target(), rate, permitted);
                     if limit.is_some() {
                         r.limit_known_ms = r.limit_known_ms.or(Some(ms));
                     }
@@ -252,7 +252,7 @@
         if r.waiting > 0 && r.permit_asked_ms.is_none() && !r.is_denied(now) {
             let heard = r
                 .limits
-                .heard_of(now, &target())
+                .limit_report_for(now, &target())
                 .expect("the target is limited");
             let wants = r.waiting;
             r.permit_asked_ms = Some(ms);
@@ -278,7 +278,7 @@
         let r = &mut self.routers[router];
         let now = r.now(ms);
         r.permits.retain(|p| now < p.until);
-        let (usable, later) = r.permits.iter().partition(|p| p.is_good(now));
+        let (usable, later) = r.permits.iter().partition(|p| p.is_valid(now));
         r.permits = later;
         let usable: Vec<Permit> = usable;
         usable
@@ -326,7 +326,7 @@
         self.permit_asked_ms = None;
         match &answer.verdicts[0] {
             PermitVerdict::Unlimited => {
-                self.limits.is_over(asked, &target());
+                self.limits.remove_ended(asked, &target());
             }
             PermitVerdict::Permitted(waits) => {
                 let permits = waits.iter();
@@ -335,7 +335,7 @@
                 self.waiting = 0;
             }
             PermitVerdict::Denied(wait) => {
-                self.limits.denied(now, &target(), *wait);
+                self.limits.record_denial(now, &target(), *wait);
                 self.waiting = 0;
             }
         }
--- a/crates/deckwind-testkit/tests/testsuite/limits.rs
+++ b/crates/deckwind-testkit/tests/testsuite/limits.rs
@@ -130,7 +130,7 @@
         let refused = refused.await;
         assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
         assert_eq!(refused.body.as_deref(), Ok("resting\n"));
-        let after = refused.come_back_after();
+        let after = refused.retry_after_time();
         assert!((0.0..1.6).contains(&after), "{after} s");
         rig.cluster.close().await.expect("closed");
     });
--- a/crates/deckwind-testkit/tests/testsuite/lives_at_routers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/lives_at_routers.rs
@@ -4,7 +4,7 @@
 use crate::rig::{KEY, Rig};
 use crate::run;
 use crate::support::{announced, cards, instances};
-use deckwind_core::routes::{InstanceIndex, TargetBook, TargetFault};
+use deckwind_core::routes::{InstanceIndex, TargetFault, TargetRecords};
 use deckwind_core::state::{
     Command, CommandBody, Instance, InstanceChange, InstanceState, StateMachine,
 };
@@ -116,7 +116,7 @@
         let body = CommandBody::Instances(changes);
         machine.apply(Command { at_ms: 1, body });
     }
-    InstanceIndex::of(machine.configuration())
+    InstanceIndex::new(machine.configuration())
 }
 
 /// Cases in which a router treats an incarnation as ended. Each case gives its start time
@@ -143,7 +143,7 @@
         .map(|(id, born)| instance_at(&first, id, born, InstanceState::Ready))
         .into_iter()
         .collect();
-    let found = index(&now).lives_over(&before);
+    let found = index(&now).ended_incarnations(&before);
     assert_eq!(found.len(), usize::from(has_ended));
     let addresses: Vec<_> = found.iter().map(|o| o.address).collect();
     assert!(addresses.iter().all(|a| *a == first.address));
@@ -157,27 +157,27 @@
     let address = ([127, 0, 0, 1], 9).into();
     let now = Instant::from_millis(1_000);
     let later = now + Duration::from_millis(100);
-    let mut book = TargetBook::default();
-    book.began(&[address]);
+    let mut book = TargetRecords::default();
+    book.record_start(&[address]);
     for i in 0..4 {
         let at = now + Duration::from_secs(i * 10);
-        book.failed(at, address, TargetFault::Down);
+        book.record_failure(at, address, TargetFault::Down);
     }
     let now = now + Duration::from_secs(30);
-    assert!(book.avoids(now, address) && book.is_down(now, address));
-    assert_eq!(book.failing(now), [address]);
-    book.life_over(later + Duration::from_secs(31), address);
-    assert!(!book.avoids(now, address) && !book.is_down(now, address));
+    assert!(book.is_in_backoff(now, address) && book.is_down(now, address));
+    assert_eq!(book.down_targets(now), [address]);
+    book.reset_target(later + Duration::from_secs(31), address);
+    assert!(!book.is_in_backoff(now, address) && !book.is_down(now, address));
     assert!(
-        book.failing(now).is_empty(),
+        book.down_targets(now).is_empty(),
         "the failure is no longer reported to other routers"
     );
-    assert!(book.doubts(now, address));
+    assert!(book.is_unconfirmed(now, address));
     assert_eq!(
         book.in_flight(address),
         1,
         "requests in flight are still counted"
     );
-    let first = book.failed(now, address, TargetFault::Down);
+    let first = book.record_failure(now, address, TargetFault::Down);
     assert_eq!(first, Duration::from_millis(500), "the backoff starts over");
 }
--- a/crates/deckwind-testkit/tests/testsuite/notices.rs
+++ b/crates/deckwind-testkit/tests/testsuite/notices.rs
@@ -3,8 +3,8 @@
 
 use crate::support::{cards, instances, model, place};
 use deckwind_core::routes::{
-    Choice, Claim, NoChoice, Refusal, Room, TargetBook, TargetNotice, TargetNotices, choose_path,
-    choose_plain,
+    CapacityDemand, ChoiceError, RefusalReason, RequestClass, TargetChoice, TargetNotice,
+    TargetNotices, TargetRecords, choose_path, choose_target,
 };
 use deckwind_core::state::{Incarnation, Instance, InstanceState};
 use deckwind_core::time::Instant;
@@ -69,15 +69,18 @@
     let is_avoided_at = |ms: u64| {
         let mut notices = TargetNotices::default();
         for (when, length) in requests.iter().filter(|(when, _)| *when <= ms) {
-            notices.hear(
+            notices.record(
                 at(*when),
                 instance.address,
                 &instance.incarnation(),
                 &rest(*length),
             );
         }
-        let turns_away = notices.turns_away(at(ms), instance.address, &instance.incarnation());
-        assert_eq!(notices.rests_until(at(ms), &instance).is_some(), turns_away);
+        let turns_away = notices.is_blocked(at(ms), instance.address, &instance.incarnation());
+        assert_eq!(
+            notices.rest_ends_at(at(ms), &instance).is_some(),
+            turns_away
+        );
         turns_away
     };
     assert!(rests.iter().all(|ms| is_avoided_at(*ms)));
@@ -96,11 +99,11 @@
     let (old, new) = (target(1, 7), target(1, 8));
     let mut notices = TargetNotices::default();
     if late {
-        notices.hear(START, new.address, &new.incarnation(), &rest(1_000));
+        notices.record(START, new.address, &new.incarnation(), &rest(1_000));
     }
-    notices.hear(at(10), old.address, &old.incarnation(), &notice);
+    notices.record(at(10), old.address, &old.incarnation(), &notice);
     let turns_away =
-        |n: &TargetNotices, i: &Instance, ms| n.turns_away(at(ms), i.address, &i.incarnation());
+        |n: &TargetNotices, i: &Instance, ms| n.is_blocked(at(ms), i.address, &i.incarnation());
     assert!(turns_away(&notices, &old, 1_500));
     assert!(!turns_away(&notices, &new, 1_500));
     assert_eq!(turns_away(&notices, &new, 500), late);
@@ -112,9 +115,9 @@
 fn a_notice_of_leaving_holds_as_long_as_its_incarnation() {
     let instance = target(1, 7);
     let mut notices = TargetNotices::default();
-    let heard = notices.hear(START, instance.address, &instance.incarnation(), &leaves());
+    let heard = notices.record(START, instance.address, &instance.incarnation(), &leaves());
     assert!(heard.leaves);
-    let again = notices.hear(at(5), instance.address, &instance.incarnation(), &leaves());
+    let again = notices.record(at(5), instance.address, &instance.incarnation(), &leaves());
     assert!(!again.leaves, "the notice is not new");
     notices.forget(at(30_000), |_| false);
     assert!(notices.leaves(&instance));
@@ -128,14 +131,14 @@
 fn a_rest_outlasts_that_its_target_is_not_known() {
     let instance = target(1, 7);
     let mut notices = TargetNotices::default();
-    notices.hear(
+    notices.record(
         START,
         instance.address,
         &instance.incarnation(),
         &rest(3_000),
     );
     notices.forget(at(2_000), |_| false);
-    assert!(notices.turns_away(at(2_999), instance.address, &instance.incarnation()));
+    assert!(notices.is_blocked(at(2_999), instance.address, &instance.incarnation()));
     notices.forget(at(3_000), |_| true);
     assert_eq!(notices.resting(at(2_000)), 0, "the rest period is over");
 }
@@ -146,7 +149,7 @@
     let mut notices = TargetNotices::default();
     for n in 0..10_000 {
         let instance = target(n, 7);
-        notices.hear(
+        notices.record(
             at(n.into()),
             instance.address,
             &instance.incarnation(),
@@ -155,7 +158,7 @@
     }
     assert_eq!(notices.resting(at(10_000)), 4_096);
     let last = target(9_999, 7);
-    assert!(notices.turns_away(at(10_000), last.address, &last.incarnation()));
+    assert!(notices.is_blocked(at(10_000), last.address, &last.incarnation()));
 }
 
 /// Compares random sequences of notices with a plain record of all of them.
@@ -180,7 +183,7 @@
                 }
                 _ => TargetNotice::default(),
             };
-            notices.hear(at(ms), instance.address, &instance.incarnation(), &notice);
+            notices.record(at(ms), instance.address, &instance.incarnation(), &notice);
             if let Some(rest) = notice.rest {
                 let until = rests.entry((n, born)).or_insert(START);
                 *until = (*until).max(at(ms) + rest);
@@ -190,15 +193,19 @@
             }
             let until = rests.get(&(n, born)).copied().unwrap_or(START);
             let expected = leaving.contains(&(n, born)) || until > at(ms);
-            let turns_away = notices.turns_away(at(ms), instance.address, &instance.incarnation());
+            let turns_away = notices.is_blocked(at(ms), instance.address, &instance.incarnation());
             assert_eq!(turns_away, expected, "seed {seed} at {ms} ms");
         }
     }
 }
 
-fn choose(book: &TargetBook, targets: &[Instance], avoid: &[u32]) -> Result<Choice, NoChoice> {
+fn choose(
+    book: &TargetRecords,
+    targets: &[Instance],
+    avoid: &[u32],
+) -> Result<TargetChoice, ChoiceError> {
     let avoid = avoid.iter().map(|n| address(*n)).collect();
-    choose_plain(targets, book, &"a".into(), &avoid, 0.0, START)
+    choose_target(targets, book, &"a".into(), &avoid, 0.0, START)
 }
 
 /// Arguments: rest periods of three targets in ms, targets that leave, targets that the request
@@ -219,7 +226,7 @@
     expected: Result<&[u32], Option<u64>>,
 ) {
     let targets: Vec<Instance> = (1..=3).map(|n| target(n, 7)).collect();
-    let mut book = TargetBook::default();
+    let mut book = TargetRecords::default();
     for (instance, ms) in targets.iter().zip(rests) {
         let notice = if ms > 0 {
             rest(ms)
@@ -227,33 +234,33 @@
             TargetNotice::default()
         };
         book.notices
-            .hear(START, instance.address, &instance.incarnation(), &notice);
+            .record(START, instance.address, &instance.incarnation(), &notice);
     }
     for n in leaving {
         let life = target(*n, 7).incarnation();
-        book.notices.hear(START, address(*n), &life, &leaves());
+        book.notices.record(START, address(*n), &life, &leaves());
     }
     match (choose(&book, &targets, sent_to), expected) {
         (Ok(choice), Ok(any)) => assert!(any.iter().any(|n| choice.address == address(*n))),
-        (Err(NoChoice::NoTarget), Err(None)) => {}
-        (Err(NoChoice::Resting(left)), Err(Some(ms))) => {
+        (Err(ChoiceError::NoTarget), Err(None)) => {}
+        (Err(ChoiceError::Resting(left)), Err(Some(ms))) => {
             assert_eq!(left, Duration::from_millis(ms));
         }
         (got, _) => panic!("{got:?}"),
     }
 }
 
-const REQUIRED_CAPACITY: Room = Room {
+const REQUIRED_CAPACITY: CapacityDemand = CapacityDemand {
     tokens: 1_000,
-    claim: Claim::New,
+    claim: RequestClass::New,
     draw: 5,
 };
 
 fn path(
-    book: &TargetBook,
+    book: &TargetRecords,
     engines: &[Instance],
     avoid: &HashSet<SocketAddr>,
-) -> Result<Choice, NoChoice> {
+) -> Result<TargetChoice, ChoiceError> {
     choose_path(
         &model(),
         engines,
@@ -285,9 +292,9 @@
     let (engines, _) = two_chains();
     let used: Vec<&Instance> = engines.iter().filter(|e| !e.layers.is_empty()).collect();
     for (instance, notice) in used.iter().flat_map(|e| [(e, rest(500)), (e, leaves())]) {
-        let mut book = TargetBook::default();
+        let mut book = TargetRecords::default();
         book.notices
-            .hear(START, instance.address, &instance.incarnation(), &notice);
+            .record(START, instance.address, &instance.incarnation(), &notice);
         let chosen =
             path(&book, &engines, &HashSet::new()).expect("a path in the other data centre");
         let stages = chosen.path.expect("a path").stages;
@@ -300,15 +307,15 @@
 #[test]
 fn where_every_chain_lacks_an_engine_that_rests_the_first_whole_one_counts() {
     let (engines, first) = two_chains();
-    let mut book = TargetBook::default();
+    let mut book = TargetRecords::default();
     for (instance, ms) in first.iter().zip([3_000, 2_000]) {
         book.notices
-            .hear(START, instance.address, &instance.incarnation(), &rest(ms));
+            .record(START, instance.address, &instance.incarnation(), &rest(ms));
     }
     // The rest periods of the last stages are longer than one of the first, and a path over
     // two data centres would need one of them too.
     for instance in engines.iter().filter(|e| e.layers.last == model().layers) {
-        book.notices.hear(
+        book.notices.record(
             START,
             instance.address,
             &instance.incarnation(),
@@ -319,14 +326,14 @@
     for avoid in [HashSet::new(), avoid] {
         let error =
             path(&book, &engines, &avoid).expect_err("all chains have an engine in a rest period");
-        assert_eq!(error, NoChoice::Resting(Duration::from_millis(2_500)));
+        assert_eq!(error, ChoiceError::Resting(Duration::from_millis(2_500)));
     }
     let mut without_first_stage = engines.clone();
     without_first_stage.retain(|e| first.iter().all(|f| f.address != e.address));
     let error = path(&book, &without_first_stage, &HashSet::new());
     assert_eq!(
         error,
-        Err(NoChoice::NoTarget),
+        Err(ChoiceError::NoTarget),
         "there is no chain after any rest period"
     );
 }
@@ -336,14 +343,14 @@
 fn the_rest_of_a_target_that_drains_is_not_waited_for() {
     let mut targets = vec![target(1, 7), target(2, 7)];
     targets[0].state = InstanceState::Draining;
-    let mut book = TargetBook::default();
+    let mut book = TargetRecords::default();
     for (instance, ms) in targets.iter().zip([1_000, 9_000]) {
         book.notices
-            .hear(START, instance.address, &instance.incarnation(), &rest(ms));
+            .record(START, instance.address, &instance.incarnation(), &rest(ms));
     }
     let error =
         choose(&book, &targets, &[]).expect_err("one target drains, one is in a rest period");
-    assert_eq!(error, NoChoice::Resting(Duration::from_secs(9)));
+    assert_eq!(error, ChoiceError::Resting(Duration::from_secs(9)));
 }
 
 /// The retry time is after the rest period, with jitter so that callers do not return at once.
@@ -352,7 +359,7 @@
     latest = { 1.0, 3_500 },
 )]
 fn callers_come_back_after_the_rest_that_is_left(draw: f64, ms: u64) {
-    let after = Refusal::Resting(Duration::from_secs(3)).come_back_after(draw);
+    let after = RefusalReason::Resting(Duration::from_secs(3)).retry_after_time(draw);
     assert_eq!(after, Duration::from_millis(ms));
 }
 
@@ -362,7 +369,7 @@
     let mut instance = target(1, 7);
     instance.born = None;
     let mut notices = TargetNotices::default();
-    notices.hear(
+    notices.record(
         START,
         instance.address,
         &Incarnation::from("t-1"),
--- a/crates/deckwind-testkit/tests/testsuite/other_writers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/other_writers.rs
@@ -114,7 +114,7 @@
     };
     apply(CommandBody::Instances(vec![announced(instance.clone())]));
     apply(release(2, &["another", "new"]));
-    let index = InstanceIndex::of(machine.configuration());
+    let index = InstanceIndex::new(machine.configuration());
     assert_eq!(index.of_pool("new"), [instance]);
 }
 
--- a/crates/deckwind-testkit/tests/testsuite/passed_on.rs
+++ b/crates/deckwind-testkit/tests/testsuite/passed_on.rs
@@ -149,7 +149,7 @@
 fn choices(routers: u32) -> Vec<ReplicaChoice> {
     let choice_of = |i: u32| {
         let mut choice = ReplicaChoice::new(format!("router-{i}").into(), vec![1, 2, 3]);
-        choice.members_are(&MEMBERS);
+        choice.set_members(&MEMBERS);
         choice
     };
     (0..routers).map(choice_of).collect()
@@ -176,7 +176,7 @@
     let mut moved_to: BTreeMap<u32, u32> = BTreeMap::new();
     for mut choice in choices(1_000) {
         let first = choice.next(NOW).unwrap();
-        choice.failed(NOW, failed_slot);
+        choice.record_failure(NOW, failed_slot);
         let then = choice.next(NOW).unwrap();
         match first == failed_slot {
             true => *moved_to.entry(then).or_default() += 1,
@@ -196,7 +196,7 @@
     let mut choice = choices(1).remove(0);
     let preferred = choice.next(NOW).unwrap();
     let leader = MEMBERS.into_iter().find(|slot| *slot != preferred).unwrap();
-    choice.not_passed_on(NOW, preferred, Some(leader));
+    choice.record_not_forwarded(NOW, preferred, Some(leader));
     assert_eq!(choice.next(NOW), Some(leader));
     let two_seconds_later = NOW + Duration::from_secs(2);
     assert_ne!(
@@ -204,12 +204,12 @@
         Some(preferred),
         "it is still avoided"
     );
-    choice.answered(preferred);
-    choice.was_slow(NOW, preferred);
+    choice.record_success(preferred);
+    choice.record_slow(NOW, preferred);
     assert_ne!(choice.next(NOW), Some(preferred));
     assert_eq!(choice.next(two_seconds_later), Some(preferred));
     for (ms, slot) in MEMBERS.into_iter().enumerate() {
-        choice.failed(NOW + Duration::from_millis(ms as u64), slot);
+        choice.record_failure(NOW + Duration::from_millis(ms as u64), slot);
     }
     assert_eq!(choice.next(two_seconds_later), Some(MEMBERS[0]));
 }
--- a/crates/deckwind-testkit/tests/testsuite/paths.rs
+++ b/crates/deckwind-testkit/tests/testsuite/paths.rs
@@ -3,10 +3,13 @@
 use crate::support::{cards, instances, model, place};
 use deckwind_core::control::EngineStreamLoad;
 use deckwind_core::routes::{
-    Choice, Claim, NoChoice, Patience, Room, TargetBook, TargetFault, choose_path,
+    CapacityDemand, ChoiceError, RequestClass, ReturningCallers, TargetChoice, TargetFault,
+    TargetRecords, choose_path,
 };
-use deckwind_core::routing::paths::{EngineView, Held, Need, NoPath, Stage, path_round, paths};
-use deckwind_core::routing::placement::{Card, common};
+use deckwind_core::routing::paths::{
+    EngineLookup, PathError, PathRequirements, Stage, StreamLoad, find_paths, replace_stages,
+};
+use deckwind_core::routing::placement::{EngineCard, overlap};
 use deckwind_core::state::{Instance, LayerRange};
 use deckwind_core::time::Instant;
 use rand::{RngExt, SeedableRng};
@@ -16,26 +19,26 @@
 use std::time::Duration;
 use yare::parameterized;
 
-const NEED: Need = Need {
+const NEED: PathRequirements = PathRequirements {
     tokens: 1_000,
-    most: 1.0,
-    draw: 1,
+    max_utilization: 1.0,
+    path_seed: 1,
 };
 
 /// A view of engines without load that avoids the given ones.
 struct AvoidedEngines(Vec<SocketAddr>);
 
-impl EngineView for AvoidedEngines {
-    fn refused_at(&self, _: SocketAddr) -> Option<u64> {
+impl EngineLookup for AvoidedEngines {
+    fn load_when_refused(&self, _: SocketAddr) -> Option<u64> {
         None
     }
 
-    fn avoids(&self, instance: &Instance) -> bool {
+    fn is_avoided(&self, instance: &Instance) -> bool {
         self.0.contains(&instance.address)
     }
 
-    fn held(&self, _: SocketAddr) -> Held {
-        Held::default()
+    fn load(&self, _: SocketAddr) -> StreamLoad {
+        StreamLoad::default()
     }
 }
 
@@ -47,7 +50,8 @@
     place(&mut b);
     a.extend(b);
     let all = instances(&a);
-    let found = paths(&model(), all.iter(), &AvoidedEngines(Vec::new()), &NEED).expect("two paths");
+    let found =
+        find_paths(&model(), all.iter(), &AvoidedEngines(Vec::new()), &NEED).expect("two paths");
     assert_eq!(found.len(), 2);
     for path in found {
         let mut next = 0;
@@ -57,7 +61,7 @@
             let engine = all.iter().find(|i| i.address == stage.address);
             let engine = engine.expect("the engine exists");
             assert_eq!(engine.data_centre, path.data_centre);
-            assert_eq!(common(engine.layers, stage.layers), stage.layers);
+            assert_eq!(overlap(engine.layers, stage.layers), stage.layers);
         }
         assert_eq!(next, 80);
     }
@@ -78,7 +82,7 @@
     let all = overlapping();
     let paths_avoiding = |avoided: usize| {
         let view = AvoidedEngines(vec![all[avoided].address]);
-        paths(&model, all.iter(), &view, &NEED)
+        find_paths(&model, all.iter(), &view, &NEED)
     };
     let found = paths_avoiding(2).expect("a path");
     let addresses: Vec<_> = found[0].stages.iter().map(|s| s.address).collect();
@@ -86,7 +90,7 @@
     let none = paths_avoiding(0);
     assert_eq!(
         none,
-        Err(NoPath::Broken),
+        Err(PathError::Broken),
         "nobody else holds the first layers"
     );
 }
@@ -117,27 +121,27 @@
     let path = stages(&all, path);
     let avoided = all[replaced].address;
     let view = AvoidedEngines(vec![avoided]);
-    let found = path_round(&model, all.iter(), &view, &NEED, &path, &|a| a == avoided);
+    let found = replace_stages(&model, all.iter(), &view, &NEED, &path, &|a| a == avoided);
     assert_eq!(found.map(|p| p.stages), expected.map(|e| stages(&all, e)));
 }
 
 /// A view of engines without load that suspects the given ones.
 struct SuspectedEngines(Vec<SocketAddr>);
 
-impl EngineView for SuspectedEngines {
-    fn refused_at(&self, _: SocketAddr) -> Option<u64> {
+impl EngineLookup for SuspectedEngines {
+    fn load_when_refused(&self, _: SocketAddr) -> Option<u64> {
         None
     }
 
-    fn avoids(&self, _: &Instance) -> bool {
+    fn is_avoided(&self, _: &Instance) -> bool {
         false
     }
 
-    fn held(&self, _: SocketAddr) -> Held {
-        Held::default()
+    fn load(&self, _: SocketAddr) -> StreamLoad {
+        StreamLoad::default()
     }
 
-    fn suspects(&self, address: SocketAddr) -> bool {
+    fn is_suspected(&self, address: SocketAddr) -> bool {
         self.0.contains(&address)
     }
 }
@@ -153,8 +157,11 @@
     let suspect = all[suspect].address;
     let view = SuspectedEngines(vec![suspect]);
     for draw in 0..20 {
-        let need = Need { draw, ..NEED };
-        let found = paths(&model, all.iter(), &view, &need).expect("a path");
+        let need = PathRequirements {
+            path_seed: draw,
+            ..NEED
+        };
+        let found = find_paths(&model, all.iter(), &view, &need).expect("a path");
         let is_used = found[0].stages.iter().any(|s| s.address == suspect);
         assert_eq!(is_used, used);
     }
@@ -165,32 +172,36 @@
     let mut model = model();
     model.layers = 16;
     let all = overlapping();
-    let found = paths(&model, all.iter(), &AvoidedEngines(Vec::new()), &NEED).expect("a path");
+    let found = find_paths(&model, all.iter(), &AvoidedEngines(Vec::new()), &NEED).expect("a path");
     for path in found {
         let last = path.stages.last().expect("a stage");
         assert_eq!(last.layers.last, 16);
     }
 }
 
-fn choose(book: &TargetBook, all: &[Instance], demand: Room) -> Result<Choice, NoChoice> {
+fn choose(
+    book: &TargetRecords,
+    all: &[Instance],
+    demand: CapacityDemand,
+) -> Result<TargetChoice, ChoiceError> {
     let own = all[0].data_centre.clone();
     let now = Instant::from_millis(1);
     choose_path(&model(), all, book, &own, demand, &HashSet::new(), now)
 }
 
-fn demand(tokens: u64, begun: bool, draw: u64) -> Room {
+fn demand(tokens: u64, begun: bool, draw: u64) -> CapacityDemand {
     let claim = match begun {
-        true => Claim::Begun,
-        false => Claim::New,
+        true => RequestClass::Begun,
+        false => RequestClass::New,
     };
-    Room {
+    CapacityDemand {
         tokens,
         claim,
         draw,
     }
 }
 
-fn several_chains(count: usize) -> Vec<Card> {
+fn several_chains(count: usize) -> Vec<EngineCard> {
     let mut all = Vec::new();
     for chain in 0..count {
         let mut cards = cards("a", 0, 4, 8);
@@ -209,7 +220,7 @@
 )]
 fn requests_fill_all_engines_evenly_and_none_beyond_its_memory(chains: usize) {
     let all = instances(&several_chains(chains));
-    let mut book = TargetBook::default();
+    let mut book = TargetRecords::default();
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut placed = 0;
     let refused = loop {
@@ -217,14 +228,14 @@
         match choose(&book, &all, demand) {
             Ok(choice) => {
                 let path = choice.path.expect("a path");
-                assert!(path.fullest.used <= 1.0);
-                book.takes(&path.stages, demand.tokens);
+                assert!(path.bottleneck.used <= 1.0);
+                book.add_load(&path.stages, demand.tokens);
                 placed += 1;
             }
             Err(none) => break none,
         }
     };
-    assert!(matches!(refused, NoChoice::Full(_)), "{refused:?}");
+    assert!(matches!(refused, ChoiceError::Full(_)), "{refused:?}");
     let expected = chains as u32 * 100_000 / 900;
     assert!(
         placed * 100 >= expected * 75,
@@ -239,7 +250,7 @@
 #[test]
 fn what_other_routers_hold_counts_as_ones_own() {
     let all = instances(&several_chains(2));
-    let mut book = TargetBook::default();
+    let mut book = TargetRecords::default();
     let first = choose(&book, &all, demand(900, false, 1)).expect("a path");
     let path = first.path.expect("a path");
     let load = |stage: &deckwind_core::routing::paths::Stage| EngineStreamLoad {
@@ -248,25 +259,25 @@
         begun: 100,
     };
     let loads: Vec<EngineStreamLoad> = path.stages.iter().map(load).collect();
-    book.others_hold(&loads);
+    book.set_others_load(&loads);
     for draw in 0..20 {
         let next = choose(&book, &all, demand(900, false, draw)).expect("the other chain");
         let next = next.path.expect("a path");
         let is_on_path = |a: &SocketAddr| path.stages.iter().any(|s| s.address == *a);
         assert!(!next.stages.iter().any(|s| is_on_path(&s.address)));
     }
-    book.others_hold(&[]);
-    assert_eq!(book.held(path.stages[0].address), Held::default());
+    book.set_others_load(&[]);
+    assert_eq!(book.load(path.stages[0].address), StreamLoad::default());
 }
 
 #[test]
 fn layers_that_an_engine_gives_up_take_its_memory_until_it_has() {
     let mut all = instances(&several_chains(1));
     let large = demand(80_000, false, 1);
-    assert!(choose(&TargetBook::default(), &all, large).is_ok());
-    let mut book = TargetBook::default();
+    assert!(choose(&TargetRecords::default(), &all, large).is_ok());
+    let mut book = TargetRecords::default();
     let path = choose(&book, &all, demand(1_000, false, 1)).expect("a path");
-    book.takes(&path.path.expect("a path").stages, 1_000);
+    book.add_load(&path.path.expect("a path").stages, 1_000);
     assert!(choose(&book, &all, large).is_ok());
     for engine in &mut all {
         engine.in_memory = engine.layers.len() + 1;
@@ -284,33 +295,36 @@
 #[test]
 fn memory_that_streams_give_back_can_be_given_again() {
     let all = instances(&several_chains(1));
-    let mut book = TargetBook::default();
+    let mut book = TargetRecords::default();
     let path = choose(&book, &all, demand(60_000, false, 1)).expect("a path");
     let path = path.path.expect("a path");
-    book.takes(&path.stages, 60_000);
+    book.add_load(&path.stages, 60_000);
     assert!(choose(&book, &all, demand(60_000, false, 2)).is_err());
-    book.gives_back(&path.stages, 60_000);
+    book.remove_load(&path.stages, 60_000);
     assert!(choose(&book, &all, demand(60_000, false, 2)).is_ok());
-    assert!(book.own_use().is_empty());
+    assert!(book.own_engine_load().is_empty());
 }
 
 #[test]
 fn an_engine_without_room_is_avoided_for_a_moment_and_not_reported() {
-    let mut book = TargetBook::default();
+    let mut book = TargetRecords::default();
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     let at = Instant::from_millis;
     for _ in 0..10 {
-        book.had_no_room(at(1_000), address);
+        book.record_refusal(at(1_000), address);
     }
-    assert!(book.avoids(at(1_200), address));
-    assert!(!book.avoids(at(1_400), address), "however often it refused");
+    assert!(book.is_in_backoff(at(1_200), address));
+    assert!(
+        !book.is_in_backoff(at(1_400), address),
+        "however often it refused"
+    );
 }
 
 /// Routers that have all received the same load report choose one path each.
 #[test]
 fn routers_with_the_same_old_report_do_not_rush_to_one_chain() {
     let all = instances(&several_chains(4));
-    let mut book = TargetBook::default();
+    let mut book = TargetRecords::default();
     let is_unloaded = |i: &&Instance| i.layers.first == 0 && i.id.ends_with("-0");
     let loaded = all.iter().filter(|i| !is_unloaded(i));
     let half_load = |i: &Instance| EngineStreamLoad {
@@ -319,7 +333,7 @@
         begun: 40,
     };
     let loads: Vec<EngineStreamLoad> = loaded.map(half_load).collect();
-    book.others_hold(&loads);
+    book.set_others_load(&loads);
     let mut begun = std::collections::BTreeMap::new();
     for draw in 0..200 {
         let path = choose(&book, &all, demand(900, false, draw)).expect("free capacity");
@@ -342,7 +356,7 @@
         all.extend(cards);
     }
     let all = instances(&all);
-    let mut book = TargetBook::default();
+    let mut book = TargetRecords::default();
     let tokens = |i: &Instance| match i.data_centre.as_str() {
         "a" => 85_000,
         "b" => 60_000,
@@ -354,7 +368,7 @@
         begun: 50,
     };
     let loads: Vec<EngineStreamLoad> = all.iter().map(load).collect();
-    book.others_hold(&loads);
+    book.set_others_load(&loads);
     let mut begun = std::collections::BTreeMap::new();
     for draw in 0..300 {
         let path = choose(&book, &all, demand(900, false, draw)).expect("free capacity");
@@ -371,25 +385,26 @@
     fails_one_of_five = { &[false, true, true, true, true], 1_000 },
 )]
 fn a_target_that_fails_often_is_avoided_for_longer(answers: &[bool], max_backoff_ms: u64) {
-    let mut book = TargetBook::default();
+    let mut book = TargetRecords::default();
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     let mut longest = std::time::Duration::ZERO;
     for (i, is_good) in answers.iter().cycle().take(60).enumerate() {
         // Each request is sent well after the previous one.
         let now = Instant::from_millis(10_000 * (i as u64 + 1));
         match is_good {
-            true => book.answered(address),
-            false => longest = longest.max(book.failed(now, address, TargetFault::Answer)),
+            true => book.record_success(address),
+            false => longest = longest.max(book.record_failure(now, address, TargetFault::Answer)),
         }
     }
     let is_long = max_backoff_ms >= 2_000;
     assert_eq!(longest.as_millis() as u64 >= 2_000, is_long, "{longest:?}");
     for _ in 0..8 {
-        book.answered(address);
+        book.record_success(address);
     }
     let now = Instant::from_millis(10_000_000);
     assert_eq!(
-        book.failed(now, address, TargetFault::Answer).as_millis(),
+        book.record_failure(now, address, TargetFault::Answer)
+            .as_millis(),
         500,
         "the backoff is short again"
     );
@@ -413,20 +428,20 @@
         all.extend(cards);
     }
     let all = instances(&all);
-    let mut book = TargetBook::default();
+    let mut book = TargetRecords::default();
     let is_full = |i: &&Instance| i.data_centre.as_str() == "b";
     let loads = all.iter().filter(is_full).map(|i| EngineStreamLoad {
         address: i.address,
         layer_tokens: 100_000 * u64::from(i.layers.len()),
         begun: 100,
     });
-    book.others_hold(&loads.collect::<Vec<EngineStreamLoad>>());
+    book.set_others_load(&loads.collect::<Vec<EngineStreamLoad>>());
     let first = all.iter().find(|i| i.layers.first == 0).expect("an engine");
-    book.failed(Instant::from_millis(1_000), first.address, fault);
+    book.record_failure(Instant::from_millis(1_000), first.address, fault);
     let chosen = choose(&book, &all, demand(900, false, 1));
     assert_eq!(chosen.is_ok(), used, "{chosen:?}");
     assert_eq!(
-        book.doubts(Instant::from_millis(1_000), first.address),
+        book.is_unconfirmed(Instant::from_millis(1_000), first.address),
         !used,
         "streams leave only an engine that is down"
     );
@@ -436,10 +451,10 @@
 /// down for the whole backoff, not only for the rest of the earlier one.
 #[test]
 fn an_engine_that_is_avoided_and_then_down_is_down_for_the_whole_time() {
-    let mut book = TargetBook::default();
+    let mut book = TargetRecords::default();
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    book.had_no_room(Instant::from_millis(1_000), address);
-    let wait = book.failed(Instant::from_millis(1_280), address, TargetFault::Down);
+    book.record_refusal(Instant::from_millis(1_000), address);
+    let wait = book.record_failure(Instant::from_millis(1_280), address, TargetFault::Down);
     assert_eq!(wait.as_millis(), 500);
     assert!(book.is_down(Instant::from_millis(1_700), address));
 }
@@ -452,7 +467,7 @@
 )]
 fn callers_that_come_back_late_are_told_apart(patience_ms: u64, late: bool) {
     let ms = Duration::from_millis;
-    let mut patience = Patience::default();
+    let mut patience = ReturningCallers::default();
     assert!(!patience.is_late("r", ms(20_000), ms(500)), "the first one");
     assert_eq!(patience.is_late("r", ms(patience_ms), ms(500)), late);
     assert!(
@@ -469,22 +484,22 @@
 /// When engines are nearly full, the remaining capacity is kept for callers that can still
 /// be answered in time.
 #[parameterized(
-    new = { Claim::New, true },
-    late = { Claim::Late, false },
-    begun = { Claim::Begun, true },
+    new = { RequestClass::New, true },
+    late = { RequestClass::Late, false },
+    begun = { RequestClass::Begun, true },
 )]
-fn late_callers_leave_the_last_room_to_others(claim: Claim, has_capacity: bool) {
+fn late_callers_leave_the_last_room_to_others(claim: RequestClass, has_capacity: bool) {
     let mut cards = cards("a", 0, 4, 8);
     place(&mut cards);
     let all = instances(&cards);
-    let mut book = TargetBook::default();
+    let mut book = TargetRecords::default();
     let loads = all.iter().map(|i| EngineStreamLoad {
         address: i.address,
         layer_tokens: 94_500 * u64::from(i.layers.len()),
         begun: 80,
     });
-    book.others_hold(&loads.collect::<Vec<EngineStreamLoad>>());
-    let demand = Room {
+    book.set_others_load(&loads.collect::<Vec<EngineStreamLoad>>());
+    let demand = CapacityDemand {
         claim,
         ..demand(900, false, 1)
     };
--- a/crates/deckwind-testkit/tests/testsuite/placement.rs
+++ b/crates/deckwind-testkit/tests/testsuite/placement.rs
@@ -3,7 +3,9 @@
 use crate::support::{cards, instances, model, place};
 use deckwind_core::control::{PlacementManager, UnloadMode};
 use deckwind_core::routing::chains::chain_groups;
-use deckwind_core::routing::placement::{Card, Mend, common, is_whole, plan_chain, tokens_beside};
+use deckwind_core::routing::placement::{
+    EngineCard, RepairMode, covers_model, overlap, plan_chain, token_capacity,
+};
 use deckwind_core::state::{Command, CommandBody, InstanceChange, StateMachine};
 use deckwind_core::state::{
     DataCentre, Instance, InstanceState, Instances, LayerRange, Pool, Release,
@@ -13,8 +15,8 @@
 use rand_chacha::ChaCha8Rng;
 use yare::parameterized;
 
-fn assert_whole_and_fits(cards: &[Card], plan: &[LayerRange]) {
-    assert!(is_whole(80, plan.iter().copied()));
+fn assert_whole_and_fits(cards: &[EngineCard], plan: &[LayerRange]) {
+    assert!(covers_model(80, plan.iter().copied()));
     assert_eq!(
         plan.iter().map(|r| r.len()).sum::<u32>(),
         80,
@@ -40,7 +42,8 @@
 )]
 fn a_new_chain_is_whole_and_fits(fast: usize, middle: usize, small: usize) {
     let cards = cards("a", fast, middle, small);
-    let plan = plan_chain(&model(), &cards, Mend::Soon).expect("the cards can hold the model");
+    let plan =
+        plan_chain(&model(), &cards, RepairMode::Fast).expect("the cards can hold the model");
     assert_whole_and_fits(&cards, &plan);
 }
 
@@ -51,9 +54,10 @@
 )]
 fn each_engine_of_a_new_chain_keeps_enough_tokens(fast: usize, middle: usize, small: usize) {
     let cards = cards("a", fast, middle, small);
-    let plan = plan_chain(&model(), &cards, Mend::Soon).expect("the cards can hold the model");
+    let plan =
+        plan_chain(&model(), &cards, RepairMode::Fast).expect("the cards can hold the model");
     for (card, range) in cards.iter().zip(plan) {
-        let tokens = tokens_beside(&model(), card.memory_mb, range.len());
+        let tokens = token_capacity(&model(), card.memory_mb, range.len());
         assert!(
             range.is_empty() || tokens >= 100_000.0,
             "{}: {tokens}",
@@ -63,11 +67,11 @@
 }
 
 /// Returns cards of several kinds, each given as count, memory in MB and step factor.
-fn mixed_cards(kinds: &[(usize, f64, f64)]) -> Vec<Card> {
+fn mixed_cards(kinds: &[(usize, f64, f64)]) -> Vec<EngineCard> {
     let numbered = kinds.iter().enumerate();
     let cards_of = |(kind, (count, memory_mb, step_factor)): (usize, &(usize, f64, f64))| {
         let card = (*memory_mb, *step_factor);
-        (0..*count).map(move |i| Card {
+        (0..*count).map(move |i| EngineCard {
             id: format!("k{kind}-{i}"),
             data_centre: "a".into(),
             memory_mb: card.0,
@@ -97,7 +101,8 @@
     spares: usize,
 ) {
     let cards = mixed_cards(kinds);
-    let plan = plan_chain(&model(), &cards, Mend::Soon).expect("the cards can hold the model");
+    let plan =
+        plan_chain(&model(), &cards, RepairMode::Fast).expect("the cards can hold the model");
     assert_whole_and_fits(&cards, &plan);
     let stages = cards.iter().zip(&plan);
     let time: f64 = stages
@@ -107,7 +112,7 @@
     let empty = plan.iter().filter(|r| r.is_empty()).count();
     assert!(empty >= spares, "{empty} spares: {plan:?}");
     for (card, range) in cards.iter().zip(&plan).filter(|(_, r)| !r.is_empty()) {
-        let kept = tokens_beside(&model(), card.memory_mb, range.len());
+        let kept = token_capacity(&model(), card.memory_mb, range.len());
         assert!(kept >= 100_000.0, "{} keeps {kept}", card.id);
     }
 }
@@ -125,9 +130,10 @@
     let lost = [cards[a].id.clone(), cards[b].id.clone()];
     let moved = cards[a].held.len() + cards[b].held.len();
     cards.retain(|c| !lost.contains(&c.id));
-    let plan = plan_chain(&model(), &cards, Mend::Soon).expect("the cards can hold the model");
+    let plan =
+        plan_chain(&model(), &cards, RepairMode::Fast).expect("the cards can hold the model");
     assert_whole_and_fits(&cards, &plan);
-    let loaded = |(c, r): (&Card, &LayerRange)| r.len() - common(c.held, *r).len();
+    let loaded = |(c, r): (&EngineCard, &LayerRange)| r.len() - overlap(c.held, *r).len();
     let loaded: u32 = cards.iter().zip(&plan).map(loaded).sum();
     assert!(
         loaded <= moved + 2,
@@ -137,7 +143,10 @@
 
 #[test]
 fn cards_that_can_not_hold_the_model_have_no_plan() {
-    assert_eq!(plan_chain(&model(), &cards("a", 0, 0, 9), Mend::Soon), None);
+    assert_eq!(
+        plan_chain(&model(), &cards("a", 0, 0, 9), RepairMode::Fast),
+        None
+    );
 }
 
 #[test]
@@ -147,9 +156,10 @@
     for lost in 0..all.len() {
         let mut rest = all.clone();
         let lost_card = rest.remove(lost);
-        let plan = plan_chain(&model(), &rest, Mend::Soon).expect("the cards can hold the model");
+        let plan =
+            plan_chain(&model(), &rest, RepairMode::Fast).expect("the cards can hold the model");
         assert_whole_and_fits(&rest, &plan);
-        let loaded = |(c, r): (&Card, &LayerRange)| r.len() - common(c.held, *r).len();
+        let loaded = |(c, r): (&EngineCard, &LayerRange)| r.len() - overlap(c.held, *r).len();
         let max_loaded = rest.iter().zip(&plan).map(loaded).max().unwrap_or_default();
         let moved: u32 = rest.iter().zip(&plan).map(loaded).sum();
         // The one fast card holds 15 layers; the others hold 4 to 6.
@@ -176,7 +186,7 @@
         let mut all = cards("a", counts[0], counts[1], counts[2]);
         while !all.is_empty() {
             let capacity: f64 = all.iter().map(|c| (c.memory_mb / 1_750.0).floor()).sum();
-            match plan_chain(&model(), &all, Mend::Soon) {
+            match plan_chain(&model(), &all, RepairMode::Fast) {
                 Some(plan) => {
                     assert_whole_and_fits(&all, &plan);
                     all.iter_mut().zip(plan).for_each(|(c, r)| c.held = r);
@@ -216,7 +226,7 @@
 }
 
 impl PlacementRig {
-    fn new(cards: &[Card]) -> Self {
+    fn new(cards: &[EngineCard]) -> Self {
         let pool = Pool {
             name: "engines".to_string(),
             max_connections: 10,
@@ -266,7 +276,7 @@
         let work = self.manager.next_step(now, &self.release, &instances);
         self.apply(work.changes);
         let interrupting = work.orders.iter().filter(|o| {
-            let kept = common(o.expected_layers, o.layers) == o.expected_layers;
+            let kept = overlap(o.expected_layers, o.layers) == o.expected_layers;
             o.unload_mode == UnloadMode::AtOnce && !kept
         });
         let counts = (work.orders.len(), interrupting.count());
@@ -294,7 +304,7 @@
     fn is_whole(&self) -> bool {
         let ready = self.instances().iter();
         let ready = ready.filter(|i| i.state == InstanceState::Ready);
-        is_whole(80, ready.map(|i| i.layers))
+        covers_model(80, ready.map(|i| i.layers))
     }
 }
 
@@ -389,13 +399,13 @@
             engine.in_memory >= needed_layers,
             "{engine:?} under {order:?}"
         );
-        assert_eq!(engine.layers, common(order.expected_layers, order.layers));
+        assert_eq!(engine.layers, overlap(order.expected_layers, order.layers));
     }
 }
 
 /// Returns the cards of several chains. Each chain is given by the layers at which its
 /// engines begin and end.
-fn chains_with_boundaries(chains: &[&[u32]]) -> Vec<Card> {
+fn chains_with_boundaries(chains: &[&[u32]]) -> Vec<EngineCard> {
     let mut all = Vec::new();
     for (chain, boundaries) in chains.iter().enumerate() {
         for (i, pair) in boundaries.windows(2).enumerate() {
@@ -415,7 +425,7 @@
     let third: &[u32] = &[0, 7, 16, 25, 34, 43, 52, 61, 70, 80];
     let all = chains_with_boundaries(&[first, second, third]);
     let groups = chain_groups(&model(), &all);
-    let whole = |g: &&Vec<Card>| is_whole(80, g.iter().map(|c| c.held));
+    let whole = |g: &&Vec<EngineCard>| covers_model(80, g.iter().map(|c| c.held));
     assert_eq!(groups.iter().filter(whole).count(), 3);
 }
 
@@ -431,7 +441,7 @@
         let ready = rig.instances().iter();
         let ready = ready.filter(|i| i.state == InstanceState::Ready);
         let card = |i: &Instance| cards.iter().find(|c| c.id == i.id).expect("a card");
-        let kept = |i: &Instance| tokens_beside(&model(), card(i).memory_mb, i.layers.len());
+        let kept = |i: &Instance| token_capacity(&model(), card(i).memory_mb, i.layers.len());
         let fewest = ready.map(kept).fold(f64::INFINITY, f64::min);
         assert!(fewest >= 35_000.0, "{fewest} tokens without {}", lost.id);
         assert!(orders <= 45, "{orders} orders for {}", lost.id);
--- a/crates/deckwind-testkit/tests/testsuite/promises.rs
+++ b/crates/deckwind-testkit/tests/testsuite/promises.rs
@@ -3,7 +3,7 @@
 
 use crate::rig::{KEY, Rig};
 use crate::{any, run};
-use deckwind_core::routes::{Came, Told, told};
+use deckwind_core::routes::{AttemptOutcome, AttemptResult, attempt_result};
 use deckwind_core::state::{Change, LayerRange, RouteKind};
 use deckwind_fakes::{EngineFault, FakeEngine, FakeEngineConfig, RunnerFault, serve};
 use deckwind_testkit::{Caller, Cluster, account, chat_template, engine_target, eventually_async};
@@ -18,27 +18,27 @@
 /// Arguments: outcome of an attempt, and its result for route kinds that may be retried and
 /// for the others.
 #[parameterized(
-    no_connection = { Came::NotSent, Told::NotRun, Told::NotRun },
-    says_not_run = { Came::NotRun(503), Told::NotRun, Told::NotRun },
-    misdirected = { Came::NotRun(421), Told::NotRun, Told::NotRun },
-    bad_request_not_run = { Came::NotRun(400), Told::NotRun, Told::NotRun },
-    success_not_run = { Came::NotRun(200), Told::MayHaveRun, Told::MayHaveRun },
-    success = { Came::Own(200), Told::PassOn, Told::PassOn },
-    own_500 = { Came::Own(500), Told::PassOn, Told::PassOn },
-    own_502 = { Came::Own(502), Told::PassOn, Told::PassOn },
-    own_504 = { Came::Own(504), Told::PassOn, Told::PassOn },
-    own_404 = { Came::Own(404), Told::PassOn, Told::PassOn },
-    own_503 = { Came::Own(503), Told::PassOn, Told::MayHaveRun },
-    own_429 = { Came::Own(429), Told::PassOn, Told::MayHaveRun },
-    own_408 = { Came::Own(408), Told::PassOn, Told::MayHaveRun },
-    own_421 = { Came::Own(421), Told::PassOn, Told::MayHaveRun },
-    nothing = { Came::Nothing, Told::MayHaveRun, Told::MayHaveRun },
+    no_connection = { AttemptOutcome::NotSent, AttemptResult::NotRun, AttemptResult::NotRun },
+    says_not_run = { AttemptOutcome::NotRun(503), AttemptResult::NotRun, AttemptResult::NotRun },
+    misdirected = { AttemptOutcome::NotRun(421), AttemptResult::NotRun, AttemptResult::NotRun },
+    bad_request_not_run = { AttemptOutcome::NotRun(400), AttemptResult::NotRun, AttemptResult::NotRun },
+    success_not_run = { AttemptOutcome::NotRun(200), AttemptResult::MayHaveRun, AttemptResult::MayHaveRun },
+    success = { AttemptOutcome::Answered(200), AttemptResult::PassOn, AttemptResult::PassOn },
+    own_500 = { AttemptOutcome::Answered(500), AttemptResult::PassOn, AttemptResult::PassOn },
+    own_502 = { AttemptOutcome::Answered(502), AttemptResult::PassOn, AttemptResult::PassOn },
+    own_504 = { AttemptOutcome::Answered(504), AttemptResult::PassOn, AttemptResult::PassOn },
+    own_404 = { AttemptOutcome::Answered(404), AttemptResult::PassOn, AttemptResult::PassOn },
+    own_503 = { AttemptOutcome::Answered(503), AttemptResult::PassOn, AttemptResult::MayHaveRun },
+    own_429 = { AttemptOutcome::Answered(429), AttemptResult::PassOn, AttemptResult::MayHaveRun },
+    own_408 = { AttemptOutcome::Answered(408), AttemptResult::PassOn, AttemptResult::MayHaveRun },
+    own_421 = { AttemptOutcome::Answered(421), AttemptResult::PassOn, AttemptResult::MayHaveRun },
+    nothing = { AttemptOutcome::Unanswered, AttemptResult::MayHaveRun, AttemptResult::MayHaveRun },
 )]
-fn results_of_attempts(came: Came, repeatable: Told, once: Told) {
-    assert_eq!(told(REPEATABLE, came), repeatable);
-    assert_eq!(told(RESUMABLE, came), repeatable);
-    assert_eq!(told(ONCE, came), once);
-    assert_eq!(told(NOT_RESUMABLE, came), once);
+fn results_of_attempts(came: AttemptOutcome, repeatable: AttemptResult, once: AttemptResult) {
+    assert_eq!(attempt_result(REPEATABLE, came), repeatable);
+    assert_eq!(attempt_result(RESUMABLE, came), repeatable);
+    assert_eq!(attempt_result(ONCE, came), once);
+    assert_eq!(attempt_result(NOT_RESUMABLE, came), once);
 }
 
 /// A target answers with a status that would promise that the request has not run, but does
--- a/crates/deckwind-testkit/tests/testsuite/published.rs
+++ b/crates/deckwind-testkit/tests/testsuite/published.rs
@@ -3,7 +3,9 @@
 
 use crate::repeat_rig::{Control, STARTED};
 use crate::support::announced;
-use deckwind_core::routes::{Claim, EventCutter, Paid, ReleaseIndex, RepeatBudgets, RepeatLimits};
+use deckwind_core::routes::{
+    EventSplitter, ReleaseIndex, RequestClass, RetryBudgets, RetryLimits, RetrySource,
+};
 use deckwind_core::state::{
     Command, CommandBody, Configuration, Instance, InstanceChange, InstanceState, KeyHolder,
     LayerRange, Pool, PublishedRelease, Rejection, Release, Reply, Revision, Route, RouteKind,
@@ -69,7 +71,7 @@
 fn index(release: Release) -> ReleaseIndex {
     let mut machine = StateMachine::default();
     publish(&mut machine, release);
-    ReleaseIndex::of(machine.configuration()).expect("a release is in force")
+    ReleaseIndex::new(machine.configuration()).expect("a release is in force")
 }
 
 #[parameterized(
@@ -274,7 +276,7 @@
     without_id = { &["data: x\n\n"], Some(9), "data: x\n\n", "" },
 )]
 fn events_are_forwarded_whole(pieces: &[&str], after: Option<u64>, forwarded: &str, rest: &str) {
-    let mut cutter = EventCutter::default();
+    let mut cutter = EventSplitter::default();
     let mut out = Vec::new();
     for piece in pieces {
         if let Some(events) = cutter.take(piece.as_bytes(), after) {
@@ -282,7 +284,7 @@
         }
     }
     assert_eq!(String::from_utf8_lossy(&out), forwarded);
-    assert_eq!(String::from_utf8_lossy(&cutter.rest()), rest);
+    assert_eq!(String::from_utf8_lossy(&cutter.into_remaining()), rest);
 }
 
 #[test]
@@ -292,7 +294,7 @@
         .collect();
     for seed in 0..200 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut cutter = EventCutter::default();
+        let mut cutter = EventSplitter::default();
         let mut out = Vec::new();
         let mut last = None;
         let mut rest = stream.as_bytes();
@@ -325,13 +327,13 @@
 )]
 fn all_routers_together_keep_the_bound_on_retries(routers: u32, to_first: f64) {
     const BEYOND: f64 = 200.0;
-    let limits = RepeatLimits {
+    let limits = RetryLimits {
         share: 0.2,
-        beyond: BEYOND,
+        extra: BEYOND,
         window: Duration::from_secs(10),
     };
     let mut budgets: Vec<_> = (0..routers)
-        .map(|_| RepeatBudgets::new(limits, STARTED))
+        .map(|_| RetryBudgets::new(limits, STARTED))
         .collect();
     let mut control = Control::new(Instant::from_millis(1_000));
     let mut rng = ChaCha8Rng::seed_from_u64(7);
@@ -352,12 +354,15 @@
         }
         // Bursts: one second of full load, then one second at a tenth of it.
         if ms / 1_000 % 2 == 0 || rng.random::<f64>() < 0.1 {
-            budgets[i].of_pool("pool").requested(now);
+            budgets[i].of_pool("pool").record_request(now);
             requests.push(ms);
         }
         for _ in 0..2 {
             let budget = budgets[i].of_pool("pool");
-            if budget.spend(now, Claim::Begun, rng.random()).is_some() {
+            if budget
+                .spend(now, RequestClass::Begun, rng.random())
+                .is_some()
+            {
                 retries.push(ms);
             }
         }
@@ -380,22 +385,22 @@
 
 #[test]
 fn requests_for_one_pool_earn_no_retries_for_another() {
-    let limits = RepeatLimits {
+    let limits = RetryLimits {
         share: 0.5,
-        beyond: 0.0,
+        extra: 0.0,
         window: Duration::from_secs(10),
     };
-    let mut budgets = RepeatBudgets::new(limits, STARTED);
+    let mut budgets = RetryBudgets::new(limits, STARTED);
     let now = Instant::from_millis(1_000);
     for _ in 0..100 {
-        budgets.of_pool("busy").requested(now);
+        budgets.of_pool("busy").record_request(now);
     }
-    let idle = budgets.of_pool("idle").spend(now, Claim::Begun, 1);
+    let idle = budgets.of_pool("idle").spend(now, RequestClass::Begun, 1);
     assert_eq!(idle, None);
-    let busy = budgets.of_pool("busy").spend(now, Claim::Begun, 1);
-    assert_eq!(busy, Some(Paid::Share));
+    let busy = budgets.of_pool("busy").spend(now, RequestClass::Begun, 1);
+    assert_eq!(busy, Some(RetrySource::Share));
     budgets.retain(|pool| pool == "idle");
-    let gone = budgets.of_pool("busy").spend(now, Claim::Begun, 1);
+    let gone = budgets.of_pool("busy").spend(now, RequestClass::Begun, 1);
     assert_eq!(gone, None, "the budget of a removed pool is discarded");
 }
 
@@ -404,13 +409,13 @@
 #[test]
 fn the_bound_on_retries_holds_while_routers_restart_in_turn() {
     const BEYOND: f64 = 200.0;
-    let limits = RepeatLimits {
+    let limits = RetryLimits {
         share: 0.0,
-        beyond: BEYOND,
+        extra: BEYOND,
         window: Duration::from_secs(10),
     };
     let mut routers: Vec<_> = (0..9)
-        .map(|_| (RepeatBudgets::new(limits, STARTED), 0u64))
+        .map(|_| (RetryBudgets::new(limits, STARTED), 0u64))
         .collect();
     let mut control = Control::new(Instant::from_millis(20_000));
     let mut retries = Vec::new();
@@ -423,15 +428,15 @@
         };
         for (i, (budgets, boot)) in routers.iter_mut().enumerate() {
             if stopped(i) {
-                (*budgets, *boot) = (RepeatBudgets::new(limits, STARTED), 1);
+                (*budgets, *boot) = (RetryBudgets::new(limits, STARTED), 1);
                 continue;
             }
-            budgets.of_pool("pool").requested(now);
+            budgets.of_pool("pool").record_request(now);
             if ms % 200 == 0 {
                 control.ask(now, &holder(i, *boot), budgets);
             }
             let budget = budgets.of_pool("pool");
-            if budget.spend(now, Claim::Begun, ms).is_some() {
+            if budget.spend(now, RequestClass::Begun, ms).is_some() {
                 retries.push(ms);
             }
         }
--- a/crates/deckwind-testkit/tests/testsuite/quarantine.rs
+++ b/crates/deckwind-testkit/tests/testsuite/quarantine.rs
@@ -6,7 +6,7 @@
     ControlEvent, ControlRequest, CutReport, OperatorReply, OperatorRequest, QuarantinedView,
 };
 use deckwind_core::membership::LeaseTiming;
-use deckwind_core::routes::CutRuns;
+use deckwind_core::routes::InterruptedRuns;
 use deckwind_core::state::{
     Command, CommandBody, ContentDigest, Incarnation, StateMachine, SuspectChange,
 };
@@ -161,7 +161,7 @@
     /// Whether all streams of a crashed engine move to the same other engine; each moves to a
     /// random engine otherwise.
     moves_together: bool,
-    cut_runs: CutRuns,
+    cut_runs: InterruptedRuns,
     machine: StateMachine,
     started_streams: u64,
     max_quarantined: usize,
@@ -176,7 +176,7 @@
             streams: Vec::new(),
             engines: ENGINES,
             moves_together: true,
-            cut_runs: CutRuns::default(),
+            cut_runs: InterruptedRuns::default(),
             machine: StateMachine::default(),
             started_streams: 0,
             max_quarantined: 0,
@@ -214,7 +214,7 @@
             .partition(|s| self.now.since(s.sent) >= until_last_event);
         self.streams = rest;
         for stream in finished {
-            self.cut_runs.served(self.now, stream.content);
+            self.cut_runs.record_served(self.now, stream.content);
         }
     }
 
@@ -241,22 +241,24 @@
         }
         for (content, engine, ran) in interrupted {
             let incarnation = self.incarnation_at(engine);
-            self.cut_runs.cut(self.now, content, &incarnation, ran);
+            self.cut_runs
+                .record_interrupted(self.now, content, &incarnation, ran);
         }
         self.streams.retain(|s| s.sends <= 4);
         let now = self.now;
         let cut_runs = &mut self.cut_runs;
         self.streams.retain(|s| cut_runs.may_send(now, &s.content));
-        self.cut_runs.lives_over(self.now, incarnations);
+        self.cut_runs
+            .record_ended_incarnations(self.now, incarnations);
         for engine in engines {
             self.incarnations[*engine] += 1;
         }
-        let changes = self.cut_runs.take_news();
+        let changes = self.cut_runs.take_unreported_changes();
         let at_ms = self.now.since(Instant::ZERO).as_millis() as u64;
         apply(&mut self.machine, at_ms, changes);
         let list = self.machine.configuration().suspects();
         self.max_quarantined = self.max_quarantined.max(list.quarantined().count());
-        self.cut_runs.agreed(self.now, list);
+        self.cut_runs.set_agreed(self.now, list);
         to
     }
 
@@ -273,7 +275,8 @@
                 }
                 let incarnation = self.incarnation_at(at);
                 self.now = self.now + Duration::from_millis(CRASH_AFTER_MS);
-                self.cut_runs.cut(self.now, poison, &incarnation, None);
+                self.cut_runs
+                    .record_interrupted(self.now, poison, &incarnation, None);
                 at = self.crash_engines(&[at]);
                 crashes += 1;
             }
--- a/crates/deckwind-testkit/tests/testsuite/repeat_rig.rs
+++ b/crates/deckwind-testkit/tests/testsuite/repeat_rig.rs
@@ -3,20 +3,20 @@
 
 use deckwind_core::control::{RetryBudgetAllocator, RetryGrant, RetryReport};
 use deckwind_core::membership::LeaseTiming;
-use deckwind_core::routes::{RepeatBudgets, RepeatLimits, Started};
+use deckwind_core::routes::{ProcessStart, RetryBudgets, RetryLimits};
 use deckwind_core::state::{RetryChange, RetryLedger, RouterProcess};
 use deckwind_core::time::Instant;
 use std::time::Duration;
 
 /// Retry budget of these tests.
-pub const LIMITS: RepeatLimits = RepeatLimits {
+pub const LIMITS: RetryLimits = RetryLimits {
     share: 0.2,
-    beyond: 200.0,
+    extra: 200.0,
     window: Duration::from_secs(10),
 };
 
 /// Start of a router process in a system that has run before.
-pub const STARTED: Started = Started {
+pub const STARTED: ProcessStart = ProcessStart {
     at: Instant::ZERO,
     first: false,
 };
@@ -120,12 +120,12 @@
     }
 
     /// Requests retries for a router and applies the committed grants at once.
-    pub fn ask(&mut self, now: Instant, holder: &RouterProcess, budgets: &mut RepeatBudgets) {
+    pub fn ask(&mut self, now: Instant, holder: &RouterProcess, budgets: &mut RetryBudgets) {
         let report = budgets.report(now).expect("the limits allow retries");
         self.allocator.record_report(now, holder, &report);
         self.commit_and_propose(now);
         self.commit_and_propose(now);
         let lease_ttl = LeaseTiming::default().ttl;
-        budgets.told(now, lease_ttl, &self.allocator.grants(now, holder));
+        budgets.apply_grants(now, lease_ttl, &self.allocator.grants(now, holder));
     }
 }
--- a/crates/deckwind-testkit/tests/testsuite/repeat_share.rs
+++ b/crates/deckwind-testkit/tests/testsuite/repeat_share.rs
@@ -2,7 +2,7 @@
 //! to it, also when processes restart and callers move to other routers. Virtual time.
 
 use crate::repeat_rig::{Control, LIMITS};
-use deckwind_core::routes::{Claim, RepeatBudgets, Started};
+use deckwind_core::routes::{ProcessStart, RequestClass, RetryBudgets};
 use deckwind_core::state::RouterProcess;
 use deckwind_core::time::Instant;
 use yare::parameterized;
@@ -62,7 +62,7 @@
             count_within(&result.requests, from, until.saturating_sub(back))
         });
         let requests = requests.into_iter().max().unwrap_or_default();
-        let allowed = LIMITS.share * requests as f64 + LIMITS.beyond;
+        let allowed = LIMITS.share * requests as f64 + LIMITS.extra;
         assert!(
             retries as f64 <= allowed,
             "{retries} retries until {until} ms, {allowed} allowed"
@@ -80,12 +80,12 @@
 fn simulate(disturbance: Disturbance) -> SimulationResult {
     let at = |ms: u64| Instant::from_millis(1_000 + ms);
     let mut control = Control::new(at(0));
-    let first = Started {
+    let first = ProcessStart {
         at: at(0),
         first: true,
     };
     let mut routers: Vec<_> = (0..ROUTERS)
-        .map(|_| (RepeatBudgets::new(LIMITS, first), 0))
+        .map(|_| (RetryBudgets::new(LIMITS, first), 0))
         .collect();
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for ms in 0..DEMAND_MS[1] {
@@ -93,11 +93,11 @@
         if ms == DISTURBANCE_MS
             && let Disturbance::Restart(count) = disturbance
         {
-            let started = Started {
+            let started = ProcessStart {
                 at: at(ms),
                 first: false,
             };
-            let restarted_budgets = || (RepeatBudgets::new(LIMITS, started), 1);
+            let restarted_budgets = || (RetryBudgets::new(LIMITS, started), 1);
             routers[..count].fill_with(restarted_budgets);
         }
         let stopped = match disturbance {
@@ -117,14 +117,14 @@
                 }
                 _ => caller % ROUTERS,
             };
-            routers[router].0.of_pool("pool").requested(at(ms));
+            routers[router].0.of_pool("pool").record_request(at(ms));
             requests.push(ms);
         }
         let has_demand = (DEMAND_MS[0]..DEMAND_MS[1]).contains(&ms);
         if has_demand && !(DEMAND_MS[0] + 1_000..DEMAND_MS[0] + 2_000).contains(&ms) {
             for (i, (budgets, _)) in routers.iter_mut().enumerate().skip(stopped) {
                 let budget = budgets.of_pool("pool");
-                let spent = budget.spend(at(ms), Claim::Begun, ms * 100 + i as u64);
+                let spent = budget.spend(at(ms), RequestClass::Begun, ms * 100 + i as u64);
                 retries.extend(spent.map(|_| ms));
             }
         }
--- a/crates/deckwind-testkit/tests/testsuite/repeats.rs
+++ b/crates/deckwind-testkit/tests/testsuite/repeats.rs
@@ -1,7 +1,7 @@
 //! Retries granted by a leader: the whole control core in virtual time under faults, and the
 //! priority of requests for the last retries of a router.
 
-use deckwind_core::routes::{Claim, may_take};
+use deckwind_core::routes::{RequestClass, may_use_retry};
 use deckwind_testkit::{Lab, NetFaults};
 use rand::RngExt;
 use std::time::Duration;
@@ -147,9 +147,9 @@
     leader_has_none = { 20, 0, [true, false, false] },
 )]
 fn the_last_repeats_go_to_who_loses_most(left: u64, free_percent: u64, is_taken: [bool; 3]) {
-    let claims = [Claim::Begun, Claim::New, Claim::Late];
+    let claims = [RequestClass::Begun, RequestClass::New, RequestClass::Late];
     assert_eq!(
-        claims.map(|claim| may_take(left, free_percent, claim)),
+        claims.map(|claim| may_use_retry(left, free_percent, claim)),
         is_taken
     );
 }
--- a/crates/deckwind-testkit/tests/testsuite/rests.rs
+++ b/crates/deckwind-testkit/tests/testsuite/rests.rs
@@ -161,7 +161,7 @@
         let response = rig.ask("refused", kind.path, KEY, kind.tokens).await;
         assert_eq!(response.status.as_u16(), status);
         if status == 503 {
-            let after = response.come_back_after();
+            let after = response.retry_after_time();
             assert!((0.01..0.061).contains(&after), "{after} s");
         }
         let seen = target.seen().len();
@@ -195,7 +195,7 @@
         }
         let seen: usize = rig.targets().map(|t| t.seen().len()).sum();
         assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
-        let after = response.come_back_after();
+        let after = response.retry_after_time();
         assert!(
             (REST_PERIOD_S - 5.0..REST_PERIOD_S + 2.0).contains(&after),
             "{after} s"
--- a/crates/deckwind-testkit/tests/testsuite/rig.rs
+++ b/crates/deckwind-testkit/tests/testsuite/rig.rs
@@ -145,7 +145,7 @@
 
 impl Heard {
     /// Seconds until the caller may retry, from `Retry-After`.
-    pub fn come_back_after(&self) -> f64 {
+    pub fn retry_after_time(&self) -> f64 {
         let after = self
             .headers
             .get("retry-after")
--- a/crates/deckwind-testkit/tests/testsuite/shared_bound.rs
+++ b/crates/deckwind-testkit/tests/testsuite/shared_bound.rs
@@ -3,7 +3,7 @@
 
 use crate::repeat_rig::{Control, LIMITS, STARTED, USED_FRACTION};
 use deckwind_core::control::RetryGrant;
-use deckwind_core::routes::{Claim, RepeatBudgets};
+use deckwind_core::routes::{RequestClass, RetryBudgets};
 use deckwind_core::state::RouterProcess;
 use deckwind_core::time::Instant;
 use proptest::prelude::*;
@@ -86,7 +86,7 @@
 
 struct Router {
     holder: RouterProcess,
-    budgets: RepeatBudgets,
+    budgets: RetryBudgets,
     /// Time of the unanswered renewal.
     pending_since_ms: Option<u64>,
     /// Clock drift, parts per 1,000; positive for a fast clock.
@@ -100,7 +100,7 @@
                 vm: format!("r{number}").as_str().into(),
                 boot,
             },
-            budgets: RepeatBudgets::new(LIMITS, STARTED),
+            budgets: RetryBudgets::new(LIMITS, STARTED),
             pending_since_ms: None,
             clock_drift,
         }
@@ -234,19 +234,24 @@
         self.answers = later;
         let due: Vec<Answer> = due;
         for answer in due.iter().filter(|a| a.boot == router.holder.boot) {
-            router.budgets.told(answer.asked, LEASE, &answer.grants);
+            router
+                .budgets
+                .apply_grants(answer.asked, LEASE, &answer.grants);
             router.pending_since_ms = router.pending_since_ms.filter(|at| *at != answer.asked_ms);
         }
         let now = router.now(ms);
         if ms.is_multiple_of(1_000) {
-            router.budgets.of_pool(POOL).requested(now);
+            router.budgets.of_pool(POOL).record_request(now);
             self.sent.requests_ms.push(ms);
         }
         let demand = self.schedule.demand.at(i, ms);
         for _ in 0..demand {
             self.request += 1;
             let budget = router.budgets.of_pool(POOL);
-            if budget.spend(now, Claim::Begun, self.request).is_none() {
+            if budget
+                .spend(now, RequestClass::Begun, self.request)
+                .is_none()
+            {
                 break;
             }
             self.sent.retries_ms.push((i, ms));
@@ -259,7 +264,7 @@
             .report(now)
             .expect("the limits allow retries");
         let holder = router.holder.clone();
-        if router.budgets.runs_short(now) {
+        if router.budgets.needs_more(now) {
             self.control
                 .report_shortage(Instant::from_millis(1_000 + ms), &holder, &report);
         }
@@ -286,7 +291,7 @@
     for start in (0..RUN_MS - 10_000).step_by(100) {
         let window = start..start + 10_000;
         let requests = sent.requests_ms.iter().filter(|t| window.contains(t));
-        let limit = LIMITS.share * requests.count() as f64 + USED_FRACTION * LIMITS.beyond;
+        let limit = LIMITS.share * requests.count() as f64 + USED_FRACTION * LIMITS.extra;
         let retries = sent.retries_between(window.start, window.end);
         if retries as f64 > limit {
             return Err(format!(
@@ -369,7 +374,7 @@
     });
     assert_eq!(check(&sent), Ok(()));
     let used = sent.retries_between(40_000, 41_000) as u64;
-    let all = (USED_FRACTION * LIMITS.beyond) as u64;
+    let all = (USED_FRACTION * LIMITS.extra) as u64;
     assert!(used * 10 >= all * 5, "{used} of {all}");
 }
 
@@ -409,7 +414,7 @@
     });
     assert_eq!(check(&sent), Ok(()));
     let used = sent.retries_between(36_000, 38_000) as u64;
-    let all = (USED_FRACTION * LIMITS.beyond) as u64;
+    let all = (USED_FRACTION * LIMITS.extra) as u64;
     assert!(used * 10 >= all * 5, "{used} of {all}");
 }
 
--- a/crates/deckwind-testkit/tests/testsuite/silence.rs
+++ b/crates/deckwind-testkit/tests/testsuite/silence.rs
@@ -2,7 +2,7 @@
 //! Simulates a data centre with three chains, and the routers that have streams there,
 //! in virtual time.
 
-use deckwind_core::routes::silence::{Answer, SilenceWatch, StreamKey, explain};
+use deckwind_core::routes::stall_detection::{ProbeResult, StallDetector, StreamKey, explain};
 use deckwind_core::state::DataCentre;
 use deckwind_core::time::Instant;
 use rand::{RngExt, SeedableRng};
@@ -81,7 +81,7 @@
     rng: ChaCha8Rng,
     now: u64,
     data_centre: DataCentre,
-    routers: Vec<SilenceWatch>,
+    routers: Vec<StallDetector>,
     streams: Vec<Stream>,
     by_key: HashMap<(usize, StreamKey), usize>,
     queue: BinaryHeap<Reverse<(u64, Step)>>,
@@ -97,7 +97,7 @@
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: 1_000_000,
             data_centre: DataCentre::from("a"),
-            routers: vec![SilenceWatch::default(); routers],
+            routers: vec![StallDetector::default(); routers],
             streams: Vec::new(),
             by_key: HashMap::new(),
             queue: BinaryHeap::new(),
@@ -133,7 +133,7 @@
     fn begin_stream(&mut self, router: usize) {
         let path = self.random_path();
         let (now, data_centre) = (self.instant(), self.data_centre.clone());
-        let key = self.routers[router].begin(now, &data_centre, &path, MAX_PAUSE);
+        let key = self.routers[router].watch(now, &data_centre, &path, MAX_PAUSE);
         let i = self.streams.len();
         self.by_key.insert((router, key), i);
         self.streams.push(Stream {
@@ -184,7 +184,7 @@
         }
         let (router, key, last) = (stream.router, stream.key, stream.last);
         let now = self.instant();
-        self.routers[router].event(now, key);
+        self.routers[router].record_event(now, key);
         if path_change > 0 && last > 0 {
             self.outcome.pauses.push(self.now - last);
         }
@@ -199,7 +199,7 @@
     }
 
     fn schedule_check(&mut self, router: usize) {
-        let at = self.routers[router].look_at();
+        let at = self.routers[router].next_check_at();
         let at = at.map_or(self.now + EVENT_INTERVAL_US, |at| {
             at.as_micros().max(self.now + 500)
         });
@@ -208,11 +208,11 @@
 
     fn check(&mut self, router: usize) {
         let now = self.instant();
-        let found = self.routers[router].look(now, now);
+        let found = self.routers[router].check(now, now);
         for key in found.to_move {
             self.move_stream(router, key);
         }
-        for key in found.to_ask {
+        for key in found.to_probe {
             let at = self.now + PROBE_TIME.as_micros() as u64;
             let step = Step::ProbeEnded(router, key);
             self.queue.push(Reverse((at, step)));
@@ -226,17 +226,17 @@
         let stream = &self.streams[self.by_key[&(router, key)]];
         let gone = stream.path.iter().find(|e| self.crashed.contains_key(*e));
         let answer = match gone {
-            _ if !self.answers => Answer::Unknown,
-            Some(gone) => Answer::Gone(*gone),
-            None => Answer::AllThere,
+            _ if !self.answers => ProbeResult::Unknown,
+            Some(gone) => ProbeResult::Gone(*gone),
+            None => ProbeResult::AllThere,
         };
         self.outcome.needless_probes += usize::from(gone.is_none());
         let now = self.instant();
-        let Some(engine) = self.routers[router].answered(now, key, answer) else {
+        let Some(engine) = self.routers[router].record_probe(now, key, answer) else {
             return;
         };
         self.outcome.wrongly_suspected += usize::from(!self.crashed.contains_key(&engine));
-        let found = self.routers[router].look(now, now);
+        let found = self.routers[router].check(now, now);
         for key in found.to_move {
             self.move_stream(router, key);
         }
@@ -248,9 +248,9 @@
     fn report_suspicion(&mut self, engine: SocketAddr) {
         let now = self.instant();
         for router in 0..self.routers.len() {
-            self.routers[router].told(now, &[engine]);
-            if self.routers[router].look_at() == Some(now) {
-                let found = self.routers[router].look(now, now);
+            self.routers[router].suspect_reported(now, &[engine]);
+            if self.routers[router].next_check_at() == Some(now) {
+                let found = self.routers[router].check(now, now);
                 for key in found.to_move {
                     self.move_stream(router, key);
                 }
@@ -276,7 +276,7 @@
         stream.path_change += 1;
         stream.path = path.clone();
         let (router, key, path_change) = (stream.router, stream.key, stream.path_change);
-        self.routers[router].path_is(now, key, &path);
+        self.routers[router].replace_path(now, key, &path);
         let gap = self.random_interval();
         let step = Step::StreamEvent(i, path_change);
         self.queue.push(Reverse((self.now + gap, step)));
@@ -385,18 +385,18 @@
     assert_eq!(wrong, 0);
 }
 
-fn one_router(streams: usize) -> (SilenceWatch, Vec<StreamKey>) {
-    let mut watch = SilenceWatch::default();
+fn one_router(streams: usize) -> (StallDetector, Vec<StreamKey>) {
+    let mut watch = StallDetector::default();
     let data_centre = DataCentre::from("a");
     let start = Instant::from_millis(1_000);
     let begin = |i: usize| {
         let path = [engine(0, i % CHAINS), engine(1, 0), engine(2, i % 2)];
-        watch.begin(start, &data_centre, &path, MAX_PAUSE)
+        watch.watch(start, &data_centre, &path, MAX_PAUSE)
     };
     let keys: Vec<StreamKey> = (0..streams).map(begin).collect();
     for at in (1_050..=2_000).step_by(50) {
         let now = Instant::from_millis(at);
-        keys.iter().for_each(|k| drop(watch.event(now, *k)));
+        keys.iter().for_each(|k| drop(watch.record_event(now, *k)));
     }
     (watch, keys)
 }
@@ -406,10 +406,10 @@
     let (mut watch, _) = one_router(12);
     let due = Instant::from_millis(2_060);
     let late = Instant::from_millis(2_200);
-    assert_eq!(watch.look(late, due), Default::default());
-    let again = watch.look_at().expect("the time of the next check");
+    assert_eq!(watch.check(late, due), Default::default());
+    let again = watch.next_check_at().expect("the time of the next check");
     assert!(again > late);
-    assert!(!watch.look(again, again).to_ask.is_empty());
+    assert!(!watch.check(again, again).to_probe.is_empty());
 }
 
 #[test]
@@ -420,11 +420,11 @@
         let now = Instant::from_millis(at);
         // All streams are slow: an event every 140 ms.
         if at % 140 == 0 {
-            keys.iter().for_each(|k| drop(watch.event(now, *k)));
+            keys.iter().for_each(|k| drop(watch.record_event(now, *k)));
         }
-        for key in watch.look(now, now).to_ask {
+        for key in watch.check(now, now).to_probe {
             asked += 1;
-            assert_eq!(watch.answered(now, key, Answer::AllThere), None);
+            assert_eq!(watch.record_probe(now, key, ProbeResult::AllThere), None);
         }
     }
     assert!((1..=7).contains(&asked), "{asked}");
@@ -434,12 +434,12 @@
 fn an_event_through_a_suspect_clears_it() {
     let (mut watch, keys) = one_router(12);
     let now = Instant::from_millis(2_080);
-    let found = watch.look(now, now);
+    let found = watch.check(now, now);
     let gone = engine(1, 0);
-    let suspect = watch.answered(now, found.to_ask[0], Answer::Gone(gone));
+    let suspect = watch.record_probe(now, found.to_probe[0], ProbeResult::Gone(gone));
     assert_eq!(suspect, Some(gone));
-    assert!(watch.suspects(now, gone));
-    assert_eq!(watch.look(now, now).to_move.len(), keys.len());
-    assert_eq!(watch.event(now, keys[0]), [gone]);
-    assert!(!watch.suspects(now, gone));
+    assert!(watch.is_suspected(now, gone));
+    assert_eq!(watch.check(now, now).to_move.len(), keys.len());
+    assert_eq!(watch.record_event(now, keys[0]), [gone]);
+    assert!(!watch.is_suspected(now, gone));
 }
--- a/crates/deckwind-testkit/tests/testsuite/slow.rs
+++ b/crates/deckwind-testkit/tests/testsuite/slow.rs
@@ -8,7 +8,7 @@
 };
 use deckwind_core::membership::LeaseTiming;
 use deckwind_core::replication::{ReplicaConfig, ReplicaId};
-use deckwind_core::routes::{Claim, Room, TargetBook, choose_path};
+use deckwind_core::routes::{CapacityDemand, RequestClass, TargetRecords, choose_path};
 use deckwind_core::state::{Instance, Revision, RouterProcess};
 use deckwind_core::time::Instant;
 use deckwind_store::{MemoryDisk, Store};
@@ -185,17 +185,17 @@
     }
     let all = instances(&cards);
     let slow = all[1].address;
-    let mut book = TargetBook::default();
+    let mut book = TargetRecords::default();
     let reported_at = Instant::from_millis(1_000);
-    book.slow_are(
+    book.set_slow(
         reported_at + Duration::from_millis(1_600),
         [slow].into_iter(),
     );
     let now = reported_at + Duration::from_millis(after_ms);
     let uses_slow = |draw| {
-        let demand = Room {
+        let demand = CapacityDemand {
             tokens: 1_000,
-            claim: Claim::New,
+            claim: RequestClass::New,
             draw,
         };
         let own = all[0].data_centre.clone();
@@ -206,7 +206,7 @@
     assert_eq!(!(0..40).any(uses_slow), avoided);
 }
 
-fn chain_cards() -> Vec<deckwind_core::routing::placement::Card> {
+fn chain_cards() -> Vec<deckwind_core::routing::placement::EngineCard> {
     let mut cards = cards("a", 0, 4, 8);
     place(&mut cards);
     cards
--- a/crates/deckwind-testkit/tests/testsuite/slow_readers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/slow_readers.rs
@@ -5,7 +5,7 @@
 use crate::run;
 use deckwind_fakes::{FakeRunner, HOST, RunnerFault};
 use deckwind_testkit::{Layout, eventually_async};
-use deckwindd::collect::{CollectError, Grow, Room};
+use deckwindd::collect::{ByteBudget, CollectError, ReserveBytes};
 use http::StatusCode;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -149,13 +149,13 @@
         let caller = SlowCaller::stream(router, "r1", None).await;
         wait_until_written(&rig, "r1").await;
         let shared = rig.cluster.router(0).router().expect("a router").shared();
-        assert!(shared.routes.deliveries.held() > 0);
+        assert!(shared.routes.deliveries.held_bytes() > 0);
         assert!(shared.in_progress() > 0, "a planned stop waits for it");
         let read = caller.read().await;
         assert!(read.complete);
         assert_eq!(read.events, (1..=EVENTS).collect::<Vec<_>>());
         eventually_async("nothing is buffered any more", || async {
-            let held = shared.routes.deliveries.held();
+            let held = shared.routes.deliveries.held_bytes();
             (held == 0 && shared.in_progress() == 0).then_some(())
         })
         .await;
@@ -178,7 +178,7 @@
         assert_eq!(reader.events, (1..=500).collect::<Vec<_>>());
         eventually_async("the caller that does not read is disconnected", || async {
             let router = rig.cluster.router(0).router().expect("a router");
-            let disconnected = router.shared().routes.deliveries.cut();
+            let disconnected = router.shared().routes.deliveries.disconnected_count();
             (disconnected >= 1).then_some(())
         })
         .await;
@@ -224,11 +224,11 @@
         let shared = rig.cluster.router(0).router().expect("a router").shared();
         let deliveries = &shared.routes.deliveries;
         eventually_async("the answer is buffered", || async {
-            (deliveries.held() > 0).then_some(())
+            (deliveries.held_bytes() > 0).then_some(())
         })
         .await;
         eventually_async("the answer is dropped", || async {
-            (deliveries.cut() == 1 && deliveries.held() == 0).then_some(())
+            (deliveries.disconnected_count() == 1 && deliveries.held_bytes() == 0).then_some(())
         })
         .await;
         assert!(!caller.read().await.complete);
@@ -265,7 +265,7 @@
         drop(held);
         eventually_async("the memory is released", || async {
             let router = rig.cluster.router(0).router().expect("a router");
-            let held = router.shared().routes.deliveries.held();
+            let held = router.shared().routes.deliveries.held_bytes();
             (held < 1_000_000).then_some(())
         })
         .await;
@@ -346,15 +346,15 @@
 
 #[test]
 fn memory_of_all_requests_is_bounded_and_released() {
-    let budget = Room::new(1_000);
-    let mut first = budget.part();
-    let mut second = budget.part();
-    assert_eq!(first.grow(600), Ok(()));
-    assert_eq!(second.grow(500), Err(CollectError::NoRoom));
-    assert_eq!(second.grow(400), Ok(()));
-    assert_eq!(budget.held(), 1_000);
+    let budget = ByteBudget::new(1_000);
+    let mut first = budget.reservation();
+    let mut second = budget.reservation();
+    assert_eq!(first.reserve_bytes(600), Ok(()));
+    assert_eq!(second.reserve_bytes(500), Err(CollectError::OutOfMemory));
+    assert_eq!(second.reserve_bytes(400), Ok(()));
+    assert_eq!(budget.reserved(), 1_000);
     drop(first);
-    assert_eq!(second.grow(500), Ok(()));
+    assert_eq!(second.reserve_bytes(500), Ok(()));
     drop(second);
-    assert_eq!(budget.held(), 0);
+    assert_eq!(budget.reserved(), 0);
 }
--- a/crates/deckwind-testkit/tests/testsuite/support.rs
+++ b/crates/deckwind-testkit/tests/testsuite/support.rs
@@ -1,7 +1,7 @@
 //! Engines with the memory and speed of current deployments, for tests of
 //! placement and paths.
 
-use deckwind_core::routing::placement::{Card, Mend, plan_chain};
+use deckwind_core::routing::placement::{EngineCard, RepairMode, plan_chain};
 use deckwind_core::state::{EngineModel, Instance, InstanceChange, InstanceState, LayerRange};
 use deckwind_testkit::placing::model_over;
 use std::net::SocketAddr;
@@ -21,12 +21,12 @@
 
 /// Returns engines of one data centre without layers, as many of each kind as
 /// given.
-pub fn cards(data_centre: &str, fast: usize, middle: usize, small: usize) -> Vec<Card> {
+pub fn cards(data_centre: &str, fast: usize, middle: usize, small: usize) -> Vec<EngineCard> {
     let of_kind = |kind: usize, count| (0..count).map(move |i| (kind, i));
     let all = of_kind(0, fast)
         .chain(of_kind(1, middle))
         .chain(of_kind(2, small));
-    all.map(|(kind, i)| Card {
+    all.map(|(kind, i)| EngineCard {
         id: format!("{data_centre}-{}-{i}", KINDS[kind].0),
         data_centre: data_centre.into(),
         memory_mb: KINDS[kind].1,
@@ -37,15 +37,15 @@
 }
 
 /// Gives the engines the layers of one chain.
-pub fn place(cards: &mut [Card]) {
-    let plan = plan_chain(&model(), cards, Mend::Soon).expect("the engines can hold a chain");
+pub fn place(cards: &mut [EngineCard]) {
+    let plan = plan_chain(&model(), cards, RepairMode::Fast).expect("the engines can hold a chain");
     for (card, range) in cards.iter_mut().zip(plan) {
         card.held = range;
     }
 }
 
 /// Returns the announced instance of an engine at a port.
-fn instance(card: &Card, port: u16) -> Instance {
+fn instance(card: &EngineCard, port: u16) -> Instance {
     Instance {
         id: card.id.clone(),
         pool: "engines".to_string(),
@@ -68,7 +68,7 @@
 }
 
 /// Returns the announced instances of engines, each at its own port.
-pub fn instances(cards: &[Card]) -> Vec<Instance> {
+pub fn instances(cards: &[EngineCard]) -> Vec<Instance> {
     let numbered = cards.iter().zip(1..);
     numbered.map(|(c, port)| instance(c, port)).collect()
 }
--- a/crates/deckwind-testkit/tests/testsuite/suspended.rs
+++ b/crates/deckwind-testkit/tests/testsuite/suspended.rs
@@ -23,7 +23,7 @@
     let before = clock.now();
     time.was_suspended(SUSPENSION);
     assert!(clock.now().since(before) >= SUSPENSION);
-    assert!(clock.suspended() >= SUSPENSION);
+    assert!(clock.suspended_time() >= SUSPENSION);
 }
 
 /// A timeout that ended during a suspension ends the wait on resume, although its timer
--- a/crates/deckwind-testkit/tests/testsuite/target_periods.rs
+++ b/crates/deckwind-testkit/tests/testsuite/target_periods.rs
@@ -4,7 +4,7 @@
 use deckwind_core::state::InstanceState;
 use deckwind_testkit::fan_out::engine;
 use deckwind_testkit::{Lab, NetFaults};
-use deckwindd::context::period_of_targets;
+use deckwindd::context::announce_interval;
 use std::time::Duration;
 use yare::parameterized;
 
@@ -44,8 +44,8 @@
     an_hour = { 3_600_000, None },
 )]
 fn an_implausible_period_is_ignored(given_ms: u64, used_ms: Option<u64>) {
-    let used = period_of_targets(Some(Duration::from_millis(given_ms)));
+    let used = announce_interval(Some(Duration::from_millis(given_ms)));
     let default = Duration::from_millis(1_200);
     assert_eq!(used, used_ms.map_or(default, Duration::from_millis));
-    assert_eq!(period_of_targets(None), default);
+    assert_eq!(announce_interval(None), default);
 }
--- a/crates/deckwind-testkit/tests/testsuite/tries.rs
+++ b/crates/deckwind-testkit/tests/testsuite/tries.rs
@@ -1,7 +1,7 @@
 //! Number of targets that may run one request of a caller.
 
 use crate::support::{announced, cards, instances};
-use deckwind_core::routes::{InstanceIndex, Tries};
+use deckwind_core::routes::{AttemptedTargets, InstanceIndex};
 use deckwind_core::state::{
     Command, CommandBody, Instance, InstanceChange, InstanceState, StateMachine,
 };
@@ -42,17 +42,17 @@
     let (other, third) = (another("b-fast-0"), another("c-fast-0"));
     let running_index = index_after(&first, &[]);
     let ended_index = index_after(&first, &[announced_at_same_address("a-fast-0", Some(5))]);
-    let mut attempts = Tries::new(ATTEMPTS);
-    attempts.sent(first.address, first.incarnation());
-    assert!(attempts.left(&running_index), "one more attempt");
+    let mut attempts = AttemptedTargets::new(ATTEMPTS);
+    attempts.record_sent(first.address, first.incarnation());
+    assert!(attempts.may_send(&running_index), "one more attempt");
     for _ in 0..10 {
-        assert!(attempts.left(&ended_index), "two more attempts");
+        assert!(attempts.may_send(&ended_index), "two more attempts");
     }
-    attempts.sent(other.address, other.incarnation());
-    assert!(!attempts.left(&running_index), "both targets run");
-    assert!(attempts.left(&ended_index), "one target has ended");
-    attempts.sent(third.address, third.incarnation());
-    assert!(!attempts.left(&ended_index), "two targets run");
+    attempts.record_sent(other.address, other.incarnation());
+    assert!(!attempts.may_send(&running_index), "both targets run");
+    assert!(attempts.may_send(&ended_index), "one target has ended");
+    attempts.record_sent(third.address, third.incarnation());
+    assert!(!attempts.may_send(&ended_index), "two targets run");
     assert_eq!((attempts.count(), attempts.ended(&ended_index)), (3, 1));
 }
 
@@ -60,16 +60,16 @@
 fn a_target_that_did_not_run_a_request_does_not_count() {
     let first = target();
     let running_index = index_after(&first, &[]);
-    let mut attempts = Tries::new(ATTEMPTS);
-    attempts.sent(first.address, first.incarnation());
+    let mut attempts = AttemptedTargets::new(ATTEMPTS);
+    attempts.record_sent(first.address, first.incarnation());
     for _ in 0..3 {
         let refuses = another("b-fast-0");
-        attempts.sent(refuses.address, refuses.incarnation());
-        attempts.not_run();
+        attempts.record_sent(refuses.address, refuses.incarnation());
+        attempts.remove_last();
     }
     assert_eq!(attempts.count(), 1);
     assert!(
-        attempts.left(&running_index),
+        attempts.may_send(&running_index),
         "one target has run the request"
     );
 }
@@ -102,5 +102,5 @@
         at_ms: 1,
         body: CommandBody::Instances([&[announced(target.clone())], changes].concat()),
     });
-    InstanceIndex::of(machine.configuration())
+    InstanceIndex::new(machine.configuration())
 }
--- a/crates/deckwind/src/ops/burn.rs
+++ b/crates/deckwind/src/ops/burn.rs
@@ -23,7 +23,7 @@
     };
     for router in status.routers {
         match get_json::<BurnReport>(router.admin, "/v1/burn") {
-            Ok(report) => collected.report.absorb(report),
+            Ok(report) => collected.report.merge(report),
             Err(_) => collected.unanswered.push(router.vm),
         }
     }
--- a/crates/deckwindd/src/collect.rs
+++ b/crates/deckwindd/src/collect.rs
@@ -13,7 +13,7 @@
     /// The body exceeds its size limit.
     TooLong,
     /// The limit on the bytes of all bodies together is reached.
-    NoRoom,
+    OutOfMemory,
     /// The connection failed before the end of the body.
     Broken(String),
 }
@@ -22,20 +22,20 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             CollectError::TooLong => f.write_str("it is too long"),
-            CollectError::NoRoom => f.write_str("no memory for it"),
+            CollectError::OutOfMemory => f.write_str("no memory for it"),
             CollectError::Broken(why) => f.write_str(why),
         }
     }
 }
 
 /// Reservation of memory that can grow, and is released when it is dropped.
-pub trait Grow {
+pub trait ReserveBytes {
     /// Reserves more bytes.
     ///
     /// # Errors
     ///
     /// Fails, and reserves nothing, if the limit would be exceeded.
-    fn grow(&mut self, bytes: u64) -> Result<(), CollectError>;
+    fn reserve_bytes(&mut self, bytes: u64) -> Result<(), CollectError>;
 }
 
 /// Reads a complete body of at most `max_bytes` bytes. Memory is reserved from `held` as data
@@ -47,7 +47,7 @@
 pub async fn collect(
     mut body: Incoming,
     max_bytes: usize,
-    held: &mut impl Grow,
+    held: &mut impl ReserveBytes,
 ) -> Result<Bytes, CollectError> {
     let mut body_bytes = Bytes::new();
     let mut parts = BytesMut::new();
@@ -59,7 +59,7 @@
         if body_bytes.len() + parts.len() + data.len() > max_bytes {
             return Err(CollectError::TooLong);
         }
-        held.grow(data.len() as u64)?;
+        held.reserve_bytes(data.len() as u64)?;
         // Most bodies arrive in a single frame, which is returned without a copy.
         if body_bytes.is_empty() && parts.is_empty() {
             body_bytes = data;
@@ -75,54 +75,56 @@
 }
 
 /// Limit on the number of bytes that are reserved at the same time.
-pub struct Room {
+pub struct ByteBudget {
     max_bytes: u64,
-    held: AtomicU64,
+    reserved: AtomicU64,
 }
 
-impl Room {
+impl ByteBudget {
     /// Creates a limit of `max_bytes` bytes.
     pub fn new(max_bytes: u64) -> Arc<Self> {
         Arc::new(Self {
             max_bytes,
-            held: AtomicU64::new(0),
+            reserved: AtomicU64::new(0),
         })
     }
 
     /// Number of reserved bytes.
-    pub fn held(&self) -> u64 {
-        self.held.load(Ordering::Relaxed)
+    pub fn reserved(&self) -> u64 {
+        self.reserved.load(Ordering::Relaxed)
     }
 
     /// Creates an empty reservation.
-    pub fn part(self: &Arc<Self>) -> Part {
-        Part {
-            room: self.clone(),
+    pub fn reservation(self: &Arc<Self>) -> ByteReservation {
+        ByteReservation {
+            budget: self.clone(),
             bytes: 0,
         }
     }
 }
 
 /// Reservation of bytes, released when it is dropped.
-pub struct Part {
-    room: Arc<Room>,
+pub struct ByteReservation {
+    budget: Arc<ByteBudget>,
     bytes: u64,
 }
 
-impl Grow for Part {
-    fn grow(&mut self, bytes: u64) -> Result<(), CollectError> {
-        let before = self.room.held.fetch_add(bytes, Ordering::Relaxed);
-        if before + bytes > self.room.max_bytes {
-            self.room.held.fetch_sub(bytes, Ordering::Relaxed);
-            return Err(CollectError::NoRoom);
+impl ReserveBytes for ByteReservation {
+    fn reserve_bytes(&mut self, bytes: u64) -> Result<(), CollectError> {
+        let before = self.budget.reserved.fetch_add(bytes, Ordering::Relaxed);
+        if before + bytes > self.budget.max_bytes {
+            self.budget.reserved.fetch_sub(bytes, Ordering::Relaxed);
+            return Err(CollectError::OutOfMemory);
         }
         self.bytes += bytes;
         Ok(())
     }
 }
 
-impl Drop for Part {
+impl Drop for ByteReservation {
     fn drop(&mut self) {
-        self.room.held.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.budget
+            .reserved
+            .fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
--- a/crates/deckwindd/src/commands/mod.rs
+++ b/crates/deckwindd/src/commands/mod.rs
@@ -7,11 +7,11 @@
 
 /// Parses the arguments, runs the daemon and returns its exit code.
 pub fn main() -> ExitCode {
-    main_by(Clock::start())
+    main_with_clock(Clock::start())
 }
 
 /// Runs like [`main`], with the given clock.
-pub fn main_by(clock: Clock) -> ExitCode {
+pub fn main_with_clock(clock: Clock) -> ExitCode {
     match run::exec(&run::cli().get_matches(), clock) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
--- a/crates/deckwindd/src/commands/run.rs
+++ b/crates/deckwindd/src/commands/run.rs
@@ -75,7 +75,7 @@
     let mut settings_file = SettingsFile::new(file);
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
-    let daemon = Daemon::start_by(settings, clock).await?;
+    let daemon = Daemon::start_with_clock(settings, clock).await?;
     loop {
         tokio::select! {
             _ = term.recv() => break,
--- a/crates/deckwindd/src/context.rs
+++ b/crates/deckwindd/src/context.rs
@@ -80,7 +80,7 @@
 
 /// Returns the interval at which targets announce themselves: `given`, or the default if
 /// nothing is given or the value lies outside the accepted range.
-pub fn period_of_targets(given: Option<Duration>) -> Duration {
+pub fn announce_interval(given: Option<Duration>) -> Duration {
     match given {
         None => DEFAULT_ANNOUNCE_INTERVAL,
         Some(period) if ANNOUNCE_INTERVAL_RANGE.contains(&period) => period,
--- a/crates/deckwindd/src/control/calls.rs
+++ b/crates/deckwindd/src/control/calls.rs
@@ -8,14 +8,14 @@
 
 use super::handle::{ControlHandle, Input};
 use super::refusals::RefusalLog;
-use crate::collect::{CollectError, Grow, Part, Room, collect};
+use crate::collect::{ByteBudget, ByteReservation, CollectError, ReserveBytes, collect};
 use crate::context::Context;
 use crate::router::listen;
 use anyhow::{Context as _, Result};
 use bytes::Bytes;
 use deckwind_core::control::{AnnouncementFault, OperatorReply, OperatorRequest};
-use deckwind_net::edge::{BadInput, ControlCall, ControlDialect};
-use deckwind_net::targets::watch_over;
+use deckwind_net::edge::{ControlCall, ControlDialect, InvalidInput};
+use deckwind_net::targets::set_tcp_options;
 use http::{Request, Response, StatusCode, header};
 use http_body_util::{BodyExt, Full, combinators::BoxBody};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -55,7 +55,7 @@
 struct Calls {
     handle: ControlHandle,
     /// Limit on the bytes of bodies and documents in memory.
-    room: Arc<Room>,
+    room: Arc<ByteBudget>,
     dialect: Arc<dyn ControlDialect>,
     /// Address on which this replica accepts calls.
     address: SocketAddr,
@@ -78,7 +78,7 @@
     let listener = listen(address).with_context(|| format!("failed to bind TCP {address}"))?;
     let calls = Arc::new(Calls {
         handle,
-        room: Room::new(MAX_HELD_BYTES),
+        room: ByteBudget::new(MAX_HELD_BYTES),
         dialect: cx.dialects.control.clone(),
         address,
         port: cx.settings.seeds.is_some().then_some(address.port()),
@@ -95,7 +95,7 @@
                     continue;
                 }
             };
-            watch_over(&stream);
+            set_tcp_options(&stream);
             let calls = calls.clone();
             let service = service_fn(move |req| answer(calls.clone(), req));
             let serving = http1::Builder::new()
@@ -117,11 +117,11 @@
 ) -> Result<Response<AnswerBody>, Infallible> {
     let (head, body) = req.into_parts();
     let path = head.uri.path();
-    let mut reservation = calls.room.part();
+    let mut reservation = calls.room.reservation();
     let collecting = collect(body, MAX_BODY_BYTES, &mut reservation);
     let body = match tokio::time::timeout(BODY_TIMEOUT, collecting).await {
         Ok(Ok(body)) => body,
-        Ok(Err(CollectError::NoRoom)) => return Ok(calls.refuse_for_memory(path)),
+        Ok(Err(CollectError::OutOfMemory)) => return Ok(calls.refuse_for_memory(path)),
         Ok(Err(e)) => return Ok(refuse(path, StatusCode::BAD_REQUEST, &e.to_string())),
         Err(_) => {
             return Ok(refuse(
@@ -133,10 +133,10 @@
     };
     let call = match calls.dialect.read_call(&head.method, path, body) {
         Ok(call) => call,
-        Err(e @ BadInput::NoSuchCall(_)) => {
+        Err(e @ InvalidInput::UnknownCall(_)) => {
             return Ok(refuse(path, StatusCode::NOT_FOUND, &e.to_string()));
         }
-        Err(BadInput::Announcement { fault, why }) => {
+        Err(InvalidInput::Announcement { fault, why }) => {
             return Ok(calls.refuse_announcement(path, fault, &why));
         }
         Err(e) => return Ok(refuse(path, StatusCode::BAD_REQUEST, &e.to_string())),
@@ -156,11 +156,11 @@
     /// Answers with a document, whose bytes count as held until a slow caller has read
     /// them.
     fn document(&self, path: &str, document: Bytes) -> Response<AnswerBody> {
-        let mut reservation = self.room.part();
-        if reservation.grow(document.len() as u64).is_err() {
+        let mut reservation = self.room.reservation();
+        if reservation.reserve_bytes(document.len() as u64).is_err() {
             return self.refuse_for_memory(path);
         }
-        metrics::gauge!("deckwind_control_calls_held_bytes").set(self.room.held() as f64);
+        metrics::gauge!("deckwind_control_calls_held_bytes").set(self.room.reserved() as f64);
         let remaining = document;
         let counted = CountedBody {
             remaining,
@@ -200,7 +200,10 @@
             OperatorReply::Heard => {
                 // Only counted, not logged: every target announces itself once per interval.
                 metrics::counter!("deckwind_control_targets_heard_total").increment(1);
-                respond(StatusCode::OK, self.dialect.heard_at(self.address))
+                respond(
+                    StatusCode::OK,
+                    self.dialect.announcement_reply(self.address),
+                )
             }
             OperatorReply::NotTaken(fault) => self.refuse_announcement(path, fault, ""),
             OperatorReply::Unconfirmed => retry_later(path, "another life of it still speaks"),
@@ -299,7 +302,7 @@
 /// Body with a document that counts as held until the connection has taken all of it.
 struct CountedBody {
     remaining: Bytes,
-    _reservation: Part,
+    _reservation: ByteReservation,
 }
 
 impl Body for CountedBody {
--- a/crates/deckwindd/src/control/driver.rs
+++ b/crates/deckwindd/src/control/driver.rs
@@ -9,7 +9,7 @@
 use super::retry_metrics::RetryMetrics;
 use super::target_check;
 use super::{engine_pace, orders};
-use crate::context::{Context, period_of_targets};
+use crate::context::{Context, announce_interval};
 use anyhow::Result;
 use deckwind_config::ControlSettings;
 use deckwind_core::control::{
@@ -20,7 +20,7 @@
 use deckwind_core::replication::{Event, ReplicaConfig, Role, SeedDiscovery, Timing};
 use deckwind_net::clock::Clock;
 use deckwind_net::edge::EngineDialect;
-use deckwind_net::targets::KeptConnections;
+use deckwind_net::targets::ConnectionPool;
 use deckwind_store::{OpenedStore, Store};
 use deckwind_wire::ControlReply;
 use std::collections::{BTreeMap, HashMap};
@@ -54,7 +54,7 @@
     runtime: Handle,
     dialect: Arc<dyn EngineDialect>,
     /// Connections to engines whose pace is queried.
-    engine_connections: Arc<KeptConnections>,
+    engine_connections: Arc<ConnectionPool>,
     /// Receivers of the answers to routers' requests, by token.
     router_replies: HashMap<u64, ReplyReceiver>,
     /// Random number of this process, by which answers to requests that an earlier process
@@ -105,7 +105,7 @@
         if let Some(mbps) = cfg.link_mbps {
             limits.state_bytes_per_s = ControlLimits::state_rate_for_link(mbps);
         }
-        limits.announce_every = period_of_targets(cfg.announce_every);
+        limits.announce_every = announce_interval(cfg.announce_every);
         let node = ControlNode::new(replica, lease, limits, store, opened, cx.clock.now())?;
         Ok(Self {
             clock: cx.clock,
@@ -114,7 +114,7 @@
             handle,
             runtime: cx.runtime.clone(),
             dialect: cx.dialects.engines.clone(),
-            engine_connections: Arc::new(KeptConnections::new(cx.clock)),
+            engine_connections: Arc::new(ConnectionPool::new(cx.clock)),
             router_replies: HashMap::new(),
             process_id: rand::random(),
             forwarded_answers: BTreeMap::new(),
--- a/crates/deckwindd/src/control/engine_pace.rs
+++ b/crates/deckwindd/src/control/engine_pace.rs
@@ -2,7 +2,7 @@
 
 use super::handle::{ControlHandle, Input};
 use deckwind_net::edge::EngineDialect;
-use deckwind_net::targets::{KeptConnections, call_target};
+use deckwind_net::targets::{ConnectionPool, call_target};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 pub async fn query(
     address: SocketAddr,
     dialect: Arc<dyn EngineDialect>,
-    connections: Arc<KeptConnections>,
+    connections: Arc<ConnectionPool>,
     handle: ControlHandle,
 ) {
     let call = dialect.report();
--- a/crates/deckwindd/src/control/mod.rs
+++ b/crates/deckwindd/src/control/mod.rs
@@ -91,7 +91,7 @@
     }
 
     /// Replaces the seeds after a change of the settings.
-    pub fn take_seeds(&self, slots: Vec<u32>) {
+    pub fn set_seeds(&self, slots: Vec<u32>) {
         self.handle.send(Input::Seeds(slots));
     }
 
--- a/crates/deckwindd/src/control/placement_task.rs
+++ b/crates/deckwindd/src/control/placement_task.rs
@@ -5,7 +5,9 @@
 use deckwind_core::state::LayerRange;
 use deckwind_net::clock::Clock;
 use deckwind_net::edge::{EngineDialect, EngineReport};
-use deckwind_net::targets::{KeptConnections, TargetError, TargetReply, asked_rest, call_target};
+use deckwind_net::targets::{
+    ConnectionPool, TargetError, TargetResponse, call_target, requested_rest_period,
+};
 use http::StatusCode;
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -39,7 +41,7 @@
     let task = PlacementTask {
         order,
         dialect,
-        connections: KeptConnections::new(clock),
+        connections: ConnectionPool::new(clock),
     };
     let result = clock.timeout(task.order.order_timeout, task.run()).await;
     let held = match result {
@@ -62,7 +64,7 @@
 struct PlacementTask {
     order: PlacementOrder,
     dialect: Arc<dyn EngineDialect>,
-    connections: KeptConnections,
+    connections: ConnectionPool,
 }
 
 impl PlacementTask {
@@ -125,8 +127,8 @@
     /// # Errors
     ///
     /// Fails if the refusal asks for no rest period.
-    async fn wait_rest_period(&self, reply: &TargetReply) -> Result<(), String> {
-        let rest = asked_rest(reply.status, &reply.headers, SystemTime::now());
+    async fn wait_rest_period(&self, reply: &TargetResponse) -> Result<(), String> {
+        let rest = requested_rest_period(reply.status, &reply.headers, SystemTime::now());
         let rest = rest.map_err(|e| e.to_string())?;
         let rest = rest.ok_or_else(|| format!("refused with {}", reply.status))?;
         log::info!(
--- a/crates/deckwindd/src/control/target_check.rs
+++ b/crates/deckwindd/src/control/target_check.rs
@@ -4,7 +4,7 @@
 use deckwind_core::state::Incarnation;
 use deckwind_net::clock::Clock;
 use deckwind_net::edge::EngineDialect;
-use deckwind_net::targets::{KeptConnections, call_target};
+use deckwind_net::targets::{ConnectionPool, call_target};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -26,7 +26,7 @@
 ) {
     let call = dialect.report();
     let request = async || {
-        let connections = KeptConnections::new(clock);
+        let connections = ConnectionPool::new(clock);
         let calling = call_target(&connections, address, &call, CHECK_TIMEOUT);
         match tokio::time::timeout(CHECK_TIMEOUT, calling).await {
             Ok(Ok(reply)) => match dialect.read_report(&reply.body) {
--- a/crates/deckwindd/src/ops/daemon.rs
+++ b/crates/deckwindd/src/ops/daemon.rs
@@ -25,7 +25,7 @@
     ///
     /// Fails if a role cannot start, for example if an address cannot be bound.
     pub async fn start(settings: Settings) -> Result<Self> {
-        Self::start_by(settings, Clock::start()).await
+        Self::start_with_clock(settings, Clock::start()).await
     }
 
     /// Starts like [`Daemon::start`], with the given clock.
@@ -33,7 +33,7 @@
     /// # Errors
     ///
     /// Fails like [`Daemon::start`].
-    pub async fn start_by(settings: Settings, clock: Clock) -> Result<Self> {
+    pub async fn start_with_clock(settings: Settings, clock: Clock) -> Result<Self> {
         metrics_page::page();
         let cx = Context::new(settings, Handle::current(), clock);
         let control = match &cx.settings.control {
@@ -78,7 +78,7 @@
             return;
         }
         if let Some(control) = &self.control {
-            control.take_seeds(slots.clone());
+            control.set_seeds(slots.clone());
         }
         if let Some(router) = &self.router {
             router.set_seeds(slots);
--- a/crates/deckwindd/src/router/chat.rs
+++ b/crates/deckwindd/src/router/chat.rs
@@ -2,8 +2,8 @@
 
 use super::shared::RouterShared;
 use super::template_runs::TemplateRun;
-use deckwind_core::router::{ChatWork, Entered};
-use deckwind_core::routing::{ChainNeed, LoadReport, PlannedStage, PrefixHash, TargetKey};
+use deckwind_core::router::{ChatWork, CheckedRequest};
+use deckwind_core::routing::{ChainRequirements, LoadReport, PlannedStage, PrefixHash, TargetKey};
 use deckwind_core::session::{
     Activation, Chain, EndReason, Session, SessionAction, SessionEvent, SessionLimits, Stage,
     StageFault, StageKey, StepOrder, Token,
@@ -34,7 +34,7 @@
     /// ID of the request.
     pub id: String,
     /// Request that passed the first checks.
-    pub entered: Entered,
+    pub entered: CheckedRequest,
     /// Model and layers that the request needs.
     pub work: ChatWork,
     /// Digest of the request content, which stays the same when the request is sent again.
@@ -115,7 +115,7 @@
     async fn perform(&mut self, action: SessionAction) -> Option<SessionEvent> {
         match action {
             SessionAction::Plan { avoid, missing } => Some(self.plan(avoid, missing).await),
-            SessionAction::Open { key, with } => {
+            SessionAction::Open { key, stage: with } => {
                 self.open(key, with).await;
                 None
             }
@@ -133,7 +133,10 @@
             SessionAction::End(reason) => {
                 if reason == EndReason::Complete {
                     let now = self.shared.clock.now();
-                    self.shared.routes.suspects.served(now, self.job.content);
+                    self.shared
+                        .routes
+                        .poison_requests
+                        .record_served(now, self.job.content);
                 }
                 let ran = self.step_sent;
                 let _ = self.tx.send(ChatEvent::End { reason, ran }).await;
@@ -159,7 +162,7 @@
         };
         let deadline = self.shared.clock.now() + timeout;
         loop {
-            if self.shared.may_be_sent(&self.job.content).is_err() {
+            if self.shared.check_quarantine(&self.job.content).is_err() {
                 return SessionEvent::NoChain;
             }
             if let Some(chain) = self.plan_once(&avoid, missing) {
@@ -194,7 +197,7 @@
 
     fn plan_layers(&mut self, layers: LayerRange, avoid: BTreeSet<TargetName>) -> Option<Chain> {
         self.release_planned();
-        let need = ChainNeed {
+        let need = ChainRequirements {
             group: self.job.work.group.clone(),
             adapter: self.job.work.adapter.clone(),
             layers,
@@ -236,7 +239,7 @@
             Some(address) => {
                 let engine = self.shared.clients.engine(address);
                 let opening = engine.open(self.open_request(with.layers));
-                let limit = self.step_limit(planned.target, with.layers, 1);
+                let limit = self.step_timeout(planned.target, with.layers, 1);
                 let opened = tokio::time::timeout(limit, opening).await;
                 opened.unwrap_or(Err(TargetError::Late(limit)))
             }
@@ -261,11 +264,11 @@
         }
     }
 
-    fn step_limit(&self, target: TargetKey, layers: LayerRange, positions: usize) -> Duration {
+    fn step_timeout(&self, target: TargetKey, layers: LayerRange, positions: usize) -> Duration {
         let now = self.shared.clock.now();
         self.shared
             .core()
-            .step_limit(now, target, layers, positions)
+            .step_timeout(now, target, layers, positions)
     }
 
     async fn step(&mut self, key: StageKey, order: StepOrder) -> SessionEvent {
@@ -276,7 +279,7 @@
         };
         let (target, layers) = (stage.target, stage.layers);
         let positions = order.inputs.len();
-        let limit = self.step_limit(target, layers, positions);
+        let limit = self.step_timeout(target, layers, positions);
         let sent_at = self.shared.clock.now();
         self.step_sent = true;
         let stage = self.stages.get_mut(&key).expect("checked above");
--- a/crates/deckwindd/src/router/chat_response.rs
+++ b/crates/deckwindd/src/router/chat_response.rs
@@ -8,7 +8,7 @@
 use super::template_answers::{self as answers, Body, CallerError, Ran, response};
 use super::template_callers::MAX_BUFFERED_TOKENS;
 use bytes::Bytes;
-use deckwind_core::router::Entered;
+use deckwind_core::router::CheckedRequest;
 use deckwind_core::session::EndReason;
 use deckwind_core::state::Outcome;
 use http::{HeaderValue, Response, StatusCode, header};
@@ -25,7 +25,7 @@
     pub shared: Arc<RouterShared>,
     pub id: String,
     pub chat: ChatRequest,
-    pub entered: Entered,
+    pub entered: CheckedRequest,
     pub held: Option<HeldClaim>,
     pub rx: mpsc::Receiver<ChatEvent>,
     pub first: Option<ChatEvent>,
--- a/crates/deckwindd/src/router/control_client.rs
+++ b/crates/deckwindd/src/router/control_client.rs
@@ -117,17 +117,17 @@
 
     /// Sets the replicas as named by the leader.
     pub fn set_replicas(&self, slots: &[u32]) {
-        self.choice().members_are(slots);
+        self.choice().set_members(slots);
     }
 
     /// Replaces the seeds after a change of the settings.
     pub fn set_seeds(&self, slots: Vec<u32>) {
-        self.choice().seeds_are(slots);
+        self.choice().set_seeds(slots);
     }
 
     /// Returns whether no replica has answered for a while, leader or not. This router is
     /// then partitioned from the replicas, and other routers serve callers better.
-    pub fn is_cut_off(&self) -> bool {
+    pub fn is_partitioned(&self) -> bool {
         let last_answer_at = *self.last_answer_at.lock().expect("no holder panics");
         self.cx.clock.now().since(last_answer_at) > PARTITION_TIMEOUT
     }
@@ -156,23 +156,23 @@
                 decode::<ControlReply>(&bytes)?
             }
             Ok(Err(e)) => {
-                self.choice().failed(now, slot);
+                self.choice().record_failure(now, slot);
                 return Err(e);
             }
             Err(_) => {
                 match timeout < RENEWAL_TIMEOUT {
-                    true => self.choice().was_slow(now, slot),
-                    false => self.choice().failed(now, slot),
+                    true => self.choice().record_slow(now, slot),
+                    false => self.choice().record_failure(now, slot),
                 }
                 bail!("control replica {address} did not answer within {timeout:?}");
             }
         };
         if let ControlReply::NotLeader { leader } = answer {
-            self.choice().not_passed_on(now, slot, leader);
+            self.choice().record_not_forwarded(now, slot, leader);
             return Ok(answer);
         }
-        self.choice().answered(slot);
-        self.peer.keep_only(address);
+        self.choice().record_success(slot);
+        self.peer.close_others(address);
         Ok(answer)
     }
 
@@ -206,7 +206,7 @@
         let Ok(Some(Ok((slot, asked, reply)))) = found else {
             bail!("no control replica answered as the leader within {timeout:?}");
         };
-        self.choice().answered(slot);
+        self.choice().record_success(slot);
         Ok((asked, reply))
     }
 
--- a/crates/deckwindd/src/router/lease.rs
+++ b/crates/deckwindd/src/router/lease.rs
@@ -46,7 +46,7 @@
 /// Reports failing targets to the leader as they fail. Never returns.
 pub async fn report_failing(shared: Arc<RouterShared>) {
     loop {
-        let failing = shared.routes.failing().await;
+        let failing = shared.routes.failed_targets().await;
         let request = ControlRequest::Failing(failing);
         if let Err(e) = shared.control.ask(&request, REPORT_TIMEOUT).await {
             log::debug!("event=failing_not_told error={:?}", e.to_string());
@@ -57,7 +57,7 @@
 /// Reports engines that refuse requests for lack of capacity to the leader. Never returns.
 pub async fn report_full(shared: Arc<RouterShared>) {
     loop {
-        let full = shared.routes.full(FULL_COLLECT_TIME).await;
+        let full = shared.routes.refusing_engines(FULL_COLLECT_TIME).await;
         let request = ControlRequest::Full(shared.holder(), full);
         if let Err(e) = shared.control.ask(&request, REPORT_TIMEOUT).await {
             log::debug!("event=full_not_told error={:?}", e.to_string());
@@ -69,9 +69,9 @@
 /// retries in its answer to the renewal that it holds open.
 pub async fn report_retries_short(shared: Arc<RouterShared>) {
     loop {
-        shared.routes.repeats_short().await;
+        shared.routes.retries_short().await;
         tokio::time::sleep(RETRY_COLLECT_TIME).await;
-        let Some(report) = shared.routes.repeat_report(shared.clock.now()) else {
+        let Some(report) = shared.routes.retry_report(shared.clock.now()) else {
             continue;
         };
         let request = ControlRequest::Repeats(shared.holder(), report);
@@ -85,10 +85,14 @@
 async fn renew(shared: &RouterShared) -> bool {
     let sent_at = shared.clock.now();
     let (in_use, use_known, failing) = {
-        let book = shared.routes.book();
-        (book.own_use(), book.use_known(), book.failing(sent_at))
+        let book = shared.routes.target_records();
+        (
+            book.own_engine_load(),
+            book.load_position(),
+            book.down_targets(sent_at),
+        )
     };
-    let repeats = shared.routes.repeat_report(sent_at);
+    let repeats = shared.routes.retry_report(sent_at);
     let request = {
         let mut core = shared.core();
         ControlRequest::Renew(Renewal {
@@ -100,7 +104,7 @@
             in_use: in_use.clone(),
             use_known,
             failing,
-            held_bytes: shared.routes.deliveries.held(),
+            held_bytes: shared.routes.deliveries.held_bytes(),
             repeats,
             limits: shared.routes.limit_report(sent_at),
         })
@@ -116,12 +120,12 @@
     let lease_duration = shared.cfg.lease;
     shared
         .routes
-        .others_told(sent_at, now, lease_duration, &in_use, &grant);
+        .apply_grant(sent_at, now, lease_duration, &in_use, &grant);
     let lease = grant.lease(sent_at);
     let old_revision = shared.core().lease().applied();
     shared
         .core()
-        .granted(lease, now, delta, grant.shares, grant.routers);
+        .apply_grant(lease, now, delta, grant.shares, grant.routers);
     let applied = shared.core().lease().applied();
     if applied > old_revision {
         drop_unused_clients(shared);
--- a/crates/deckwindd/src/router/mod.rs
+++ b/crates/deckwindd/src/router/mod.rs
@@ -38,7 +38,7 @@
 use deckwind_config::RouterSettings;
 use deckwind_net::quic::QuicPeer;
 use deckwind_wire::{ControlRequest, MAX_MESSAGE_BYTES};
-use routes::LetIn;
+use routes::AdmissionLevel;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -94,13 +94,13 @@
             tokio::spawn(lease::report_retries_short(shared.clone())),
             tokio::spawn(lease::report_full(shared.clone())),
             tokio::spawn(routes::watch_streams(shared.clone())),
-            tokio::spawn(routes::tell_slow(shared.clone())),
-            tokio::spawn(routes::tell_cut_runs(shared.clone())),
-            tokio::spawn(routes::ask_for_permits(shared.clone())),
+            tokio::spawn(routes::report_slow_engines(shared.clone())),
+            tokio::spawn(routes::report_interrupted_runs(shared.clone())),
+            tokio::spawn(routes::request_permits(shared.clone())),
             tokio::spawn(template_callers::expire_waiting(shared.clone())),
             tokio::spawn(reports::poll_targets(shared.clone())),
             tokio::spawn(reports::poll_platform(shared.clone())),
-            tokio::spawn(shared.routes.deliveries.clone().watch()),
+            tokio::spawn(shared.routes.deliveries.clone().monitor()),
         ];
         let mut callers = None;
         if let Some(address) = cfg.callers {
@@ -112,7 +112,7 @@
             )));
         }
         if let Some(address) = cfg.ready {
-            let accepting = routes::accept_ready(bind(address)?, shared.clone());
+            let accepting = routes::accept_readiness_checks(bind(address)?, shared.clone());
             tasks.push(tokio::spawn(accepting));
         }
         if let Some(address) = cfg.routes {
@@ -153,12 +153,12 @@
         let deadline = started_at + self.drain_timeout();
         if self.shared.cfg.routes.is_some() {
             let steps = [
-                (FULL_ACCEPT_DURATION, LetIn::NoStreams),
-                (MAX_ACCEPT_DURATION, LetIn::Nothing),
+                (FULL_ACCEPT_DURATION, AdmissionLevel::NoStreams),
+                (MAX_ACCEPT_DURATION, AdmissionLevel::Nothing),
             ];
-            for (after, let_in) in steps {
+            for (after, admission_level) in steps {
                 tokio::time::sleep_until((started_at + after).min(deadline)).await;
-                self.shared.routes.restrict(let_in);
+                self.shared.routes.set_admission_level(admission_level);
             }
         }
         while self.shared.in_progress() > 0 && tokio::time::Instant::now() < deadline {
--- a/crates/deckwindd/src/router/routes/delivery.rs
+++ b/crates/deckwindd/src/router/routes/delivery.rs
@@ -10,7 +10,7 @@
 use super::responses::{BodyError, RouteBody};
 use crate::router::shared::InProgress;
 use bytes::Bytes;
-use deckwind_core::routes::{AnswerKey, Behind};
+use deckwind_core::routes::{AnswerKey, LaggingCaller};
 use deckwind_core::time::Instant;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, SizeHint};
@@ -277,13 +277,13 @@
     }
 
     /// Returns how far the caller is behind, if anything is queued for it.
-    pub fn lagging(&self, key: AnswerKey) -> Option<Behind> {
+    pub fn lagging(&self, key: AnswerKey) -> Option<LaggingCaller> {
         let queue = self.lock();
-        Some(Behind {
+        Some(LaggingCaller {
             key,
             account: xxh3_64(self.account.as_bytes()),
             bytes: queue.bytes,
-            pieces: queue.chunks.len() as u32,
+            chunks: queue.chunks.len() as u32,
             since: queue.waiting_since?,
         })
     }
@@ -295,7 +295,7 @@
 
     /// Disconnects the caller: what is queued is dropped at once, and the connection
     /// closes as soon as the caller reads or its socket times out.
-    pub fn disconnect_caller(&self, lagging: &Behind, why: &str) {
+    pub fn disconnect_caller(&self, lagging: &LaggingCaller, why: &str) {
         let bytes = self.discard(DisconnectReason::ByRouter);
         self.deliveries.count_disconnect();
         let labels = [("why", why.to_string())];
@@ -304,9 +304,9 @@
             "event=caller_cut request={} account={:?} bytes={bytes} pieces={} behind_ms={} held={} why={why}",
             self.request,
             self.account,
-            lagging.pieces,
+            lagging.chunks,
             self.deliveries.now().since(lagging.since).as_millis(),
-            self.deliveries.held()
+            self.deliveries.held_bytes()
         );
     }
 }
--- a/crates/deckwindd/src/router/routes/held_bytes.rs
+++ b/crates/deckwindd/src/router/routes/held_bytes.rs
@@ -4,9 +4,9 @@
 //! and the bodies of requests in progress.
 
 use super::delivery::Delivery;
-use crate::collect::{CollectError, Grow};
+use crate::collect::{CollectError, ReserveBytes};
 use deckwind_config::RouterSettings;
-use deckwind_core::routes::{AnswerArena, AnswerKey, Behind, HoldLimits, Way};
+use deckwind_core::routes::{AnswerArena, AnswerKey, BufferLimits, DisconnectOrder, LaggingCaller};
 use deckwind_core::time::Instant;
 use deckwind_net::clock::Clock;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -35,7 +35,7 @@
 
 /// Which callers are disconnected first; docs/design/slow-readers.md compares the
 /// choices.
-const DISCONNECT_ORDER: Way = Way::LongestUnread;
+const DISCONNECT_ORDER: DisconnectOrder = DisconnectOrder::LongestUnread;
 
 /// What buffered bytes belong to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,7 +49,7 @@
 /// The answers on their way to callers, and the count of all buffered bytes.
 pub struct Deliveries {
     clock: Clock,
-    limits: HoldLimits,
+    limits: BufferLimits,
     answers: AtomicU64,
     requests: AtomicU64,
     /// Time of the last scan for callers to disconnect, in milliseconds.
@@ -65,7 +65,7 @@
         log::info!("event=held_bound bytes={limit} memory_mb={:?}", cfg.memory);
         Self {
             clock,
-            limits: HoldLimits::of(limit),
+            limits: BufferLimits::of(limit),
             answers: AtomicU64::new(0),
             requests: AtomicU64::new(0),
             last_scan_ms: AtomicU64::new(0),
@@ -80,13 +80,13 @@
     }
 
     /// Returns the number of bytes that are buffered in total.
-    pub fn held(&self) -> u64 {
+    pub fn held_bytes(&self) -> u64 {
         self.counter(Side::Answers).load(Ordering::Relaxed)
             + self.counter(Side::Requests).load(Ordering::Relaxed)
     }
 
     /// Returns the number of callers that were disconnected.
-    pub fn cut(&self) -> u64 {
+    pub fn disconnected_count(&self) -> u64 {
         self.disconnected.load(Ordering::Relaxed)
     }
 
@@ -104,10 +104,10 @@
     /// Whether `more` further bytes would exceed the limit. Disconnects slow callers
     /// first.
     pub fn is_full(&self, more: u64) -> bool {
-        if self.held() + more > self.limits.cut_above {
+        if self.held_bytes() + more > self.limits.cut_above {
             self.disconnect_slow_callers();
         }
-        self.held() + more > self.limits.refuse_above
+        self.held_bytes() + more > self.limits.refuse_above
     }
 
     /// Counts bytes that have to be buffered, without checking the limit.
@@ -117,7 +117,7 @@
 
     /// Disconnects callers if too many bytes are buffered.
     pub fn enforce_limit(&self) {
-        if self.held() > self.limits.cut_above {
+        if self.held_bytes() > self.limits.cut_above {
             self.disconnect_slow_callers();
         }
     }
@@ -150,7 +150,7 @@
         self.active().remove(key);
     }
 
-    fn lagging(&self) -> Vec<(Arc<Delivery>, Behind)> {
+    fn lagging(&self) -> Vec<(Arc<Delivery>, LaggingCaller)> {
         let active = self.active();
         let all = active.iter();
         all.filter_map(|(key, d)| Some((d.clone(), d.lagging(key)?)))
@@ -166,8 +166,10 @@
         }
         self.last_scan_ms.store(now, Ordering::Relaxed);
         let all = self.lagging();
-        let only: Vec<Behind> = all.iter().map(|(_, b)| *b).collect();
-        let to_disconnect = self.limits.cut(DISCONNECT_ORDER, self.held(), &only);
+        let only: Vec<LaggingCaller> = all.iter().map(|(_, b)| *b).collect();
+        let to_disconnect = self
+            .limits
+            .select(DISCONNECT_ORDER, self.held_bytes(), &only);
         for key in &to_disconnect {
             if let Some((delivery, lagging)) = all.iter().find(|(_, b)| b.key == *key) {
                 delivery.disconnect_caller(lagging, "memory");
@@ -180,7 +182,7 @@
 
     /// Disconnects, in an endless loop, callers that have not read their answer some
     /// time after their deadline, and updates the metrics.
-    pub async fn watch(self: Arc<Self>) {
+    pub async fn monitor(self: Arc<Self>) {
         loop {
             tokio::time::sleep(DEADLINE_CHECK_INTERVAL).await;
             let now = self.clock.now();
@@ -222,10 +224,10 @@
     }
 }
 
-impl Grow for HeldBytes {
-    fn grow(&mut self, bytes: u64) -> Result<(), CollectError> {
+impl ReserveBytes for HeldBytes {
+    fn reserve_bytes(&mut self, bytes: u64) -> Result<(), CollectError> {
         if self.deliveries.is_full(bytes) {
-            return Err(CollectError::NoRoom);
+            return Err(CollectError::OutOfMemory);
         }
         self.deliveries.add(self.side, bytes);
         self.bytes += bytes;
--- a/crates/deckwindd/src/router/routes/http_server.rs
+++ b/crates/deckwindd/src/router/routes/http_server.rs
@@ -9,11 +9,11 @@
 use crate::collect::{CollectError, collect};
 use crate::router::shared::RouterShared;
 use bytes::Bytes;
-use deckwind_core::routes::{Choice, Permit, ReleaseIndex};
+use deckwind_core::routes::{Permit, ReleaseIndex, TargetChoice};
 use deckwind_core::state::{CallerLimits, ContentDigest, Pool, Route, RouteKind};
 use deckwind_core::time::Instant;
-use deckwind_net::edge::{CallerHead, TargetHead};
-use deckwind_net::targets::{watch_over, watch_over_for};
+use deckwind_net::edge::{CallerRequestHead, TargetRequestHead};
+use deckwind_net::targets::{set_tcp_options, set_tcp_options_with_timeout};
 use http::request::Parts;
 use http::{HeaderMap, HeaderValue, Method, Request, Response, StatusCode, header};
 use http_body_util::Full;
@@ -55,7 +55,7 @@
     /// State that all tasks share.
     pub shared: Arc<RouterShared>,
     /// The parsed head of the request.
-    pub head: CallerHead,
+    pub head: CallerRequestHead,
     /// Method, path, and headers without those of the connection.
     pub parts: Parts,
     /// Body of the request.
@@ -107,14 +107,17 @@
     /// Whether the request may be sent to a target: its content is not quarantined.
     pub fn may_be_sent(&self) -> bool {
         let now = self.shared.clock.now();
-        self.shared.routes.suspects.may_send(now, &self.content)
+        self.shared
+            .routes
+            .poison_requests
+            .may_send(now, &self.content)
     }
 
     /// Applies what a target's answer reports about the target, whatever the status of
     /// the answer.
     pub fn apply_answer(
         &self,
-        choice: &Choice,
+        choice: &TargetChoice,
         permit: Option<Permit>,
         status: StatusCode,
         headers: &HeaderMap,
@@ -132,7 +135,7 @@
     ///
     /// # Errors
     /// If no permit is available.
-    pub async fn acquire_permit(&self, choice: &Choice) -> Result<Option<Permit>, NoPermit> {
+    pub async fn acquire_permit(&self, choice: &TargetChoice) -> Result<Option<Permit>, NoPermit> {
         let routes = &self.shared.routes;
         routes
             .acquire_permit(&self.head.id, &choice.limit_key())
@@ -141,7 +144,7 @@
 
     /// Whether the chosen target accepts nothing new by now, or nothing without a valid
     /// permit.
-    pub fn is_blocked(&self, choice: &Choice, permit: Option<&Permit>) -> bool {
+    pub fn is_blocked(&self, choice: &TargetChoice, permit: Option<&Permit>) -> bool {
         let now = self.shared.clock.now();
         self.shared.routes.is_blocked(now, choice, permit)
     }
@@ -149,7 +152,7 @@
     /// Creates the request to a target, to be resumed after `last_event`.
     pub fn target_request(
         &self,
-        choice: &Choice,
+        choice: &TargetChoice,
         last_event: Option<u64>,
     ) -> http::Result<Request<Full<Bytes>>> {
         let uri = self.parts.uri.path_and_query().map_or("/", |p| p.as_str());
@@ -158,12 +161,12 @@
             .uri(uri)
             .body(Full::new(self.body.clone()))?;
         *req.headers_mut() = self.parts.headers.clone();
-        let target = TargetHead {
+        let target = TargetRequestHead {
             instance: &choice.instance,
             account: self.account.as_deref(),
-            left: Some(self.time_left()),
+            time_left: Some(self.time_left()),
             path: choice.path.as_ref().map(|p| p.stages.as_slice()),
-            rank: self.rank,
+            priority: self.rank,
             last_event,
         };
         let dialect = &self.shared.cx.dialects.callers;
@@ -177,7 +180,7 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                watch_over_for(&stream, MAX_UNREAD_TIME);
+                set_tcp_options_with_timeout(&stream, MAX_UNREAD_TIME);
                 tokio::spawn(serve(stream, shared.clone()));
             }
             Err(e) => {
@@ -223,7 +226,7 @@
     req: Request<Incoming>,
 ) -> Result<Response<RouteBody>, BodyError> {
     let arrived = shared.clock.now();
-    let _in_progress = shared.begin();
+    let _in_progress = shared.begin_request();
     let (parts, body) = req.into_parts();
     let read = shared.cx.dialects.callers.read_head(&parts);
     let head = match read {
@@ -269,7 +272,7 @@
 /// Finds the route, the account and the pool, and reads the body.
 async fn prepare(
     shared: &Arc<RouterShared>,
-    head: CallerHead,
+    head: CallerRequestHead,
     parts: &Parts,
     body: Incoming,
     arrived: Instant,
@@ -295,7 +298,7 @@
     let mut parts = parts.clone();
     strip_connection_headers(&mut parts.headers);
     parts.headers.remove(header::CONTENT_LENGTH);
-    let patience = head.patience.unwrap_or(route.timeout());
+    let patience = head.wait_time.unwrap_or(route.timeout());
     let uri = parts.uri.path_and_query().map_or("/", |p| p.as_str());
     let content = ContentDigest::of(parts.method.as_str(), uri, account.as_deref(), &body);
     Ok(Job {
@@ -317,8 +320,8 @@
 
 /// Waits for the first release if the router has just started: a lease takes a round
 /// trip, or an election.
-async fn await_first_release(shared: &RouterShared, head: &CallerHead) {
-    let max_wait = head.patience.unwrap_or(FIRST_RELEASE_TIMEOUT) / PATIENCE_DIVISOR;
+async fn await_first_release(shared: &RouterShared, head: &CallerRequestHead) {
+    let max_wait = head.wait_time.unwrap_or(FIRST_RELEASE_TIMEOUT) / PATIENCE_DIVISOR;
     let deadline = shared.clock.now() + FIRST_RELEASE_TIMEOUT.min(max_wait);
     while shared.routes.release().is_none() && shared.clock.now() < deadline {
         tokio::time::sleep(FIRST_RELEASE_POLL_INTERVAL).await;
@@ -336,7 +339,7 @@
 }
 
 fn lease_failure(shared: &RouterShared) -> Failure {
-    match shared.control.is_cut_off() {
+    match shared.control.is_partitioned() {
         true => Failure::CutOff,
         false => Failure::NoLease,
     }
@@ -347,7 +350,7 @@
 fn authorize(
     shared: &RouterShared,
     release: &ReleaseIndex,
-    head: &CallerHead,
+    head: &CallerRequestHead,
     parts: &Parts,
 ) -> Result<Authorized, Failure> {
     if !shared.core().lease().is_live(shared.clock.now()) {
@@ -384,7 +387,7 @@
         Err(_) => Err(Failure::BodyLate),
         Ok(Ok(body)) => Ok((body, held)),
         Ok(Err(CollectError::TooLong)) => Err(Failure::TooLarge),
-        Ok(Err(CollectError::NoRoom)) => Err(Failure::NoMemory),
+        Ok(Err(CollectError::OutOfMemory)) => Err(Failure::NoMemory),
         Ok(Err(CollectError::Broken(why))) => Err(Failure::BadRequest(why)),
     }
 }
@@ -397,13 +400,13 @@
 }
 
 /// Serves the readiness check of balancers in an endless loop.
-pub async fn accept_ready(listener: TcpListener, shared: Arc<RouterShared>) {
+pub async fn accept_readiness_checks(listener: TcpListener, shared: Arc<RouterShared>) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
-        watch_over(&stream);
+        set_tcp_options(&stream);
         let shared = shared.clone();
         let service = service_fn(move |req| {
             let res = ready(&shared, &req);
@@ -427,7 +430,7 @@
     let serves = live
         && shared.routes.release().is_some()
         && !shared.routes.is_draining()
-        && !shared.control.is_cut_off();
+        && !shared.control.is_partitioned();
     let status = match (known, serves) {
         (false, _) => StatusCode::NOT_FOUND,
         (true, true) => StatusCode::OK,
--- a/crates/deckwindd/src/router/routes/mod.rs
+++ b/crates/deckwindd/src/router/routes/mod.rs
@@ -24,24 +24,24 @@
 mod target_run;
 
 pub use held_bytes::Deliveries;
-pub use http_server::{accept, accept_ready};
-pub use permits::ask_for_permits;
-pub use poison_requests::{CutRun, tell_cut_runs};
-pub use stall_detection::{tell_slow, watch_streams};
+pub use http_server::{accept, accept_readiness_checks};
+pub use permits::request_permits;
+pub use poison_requests::{InterruptedRun, report_interrupted_runs};
+pub use stall_detection::{report_slow_engines, watch_streams};
 
-use crate::context::{Context, period_of_targets};
+use crate::context::{Context, announce_interval};
 use arc_swap::{ArcSwap, ArcSwapOption};
 use deckwind_config::RouterSettings;
 use deckwind_core::control::{EngineFull, EngineStreamLoad, Grant, LimitReport, RetryReport};
 use deckwind_core::routes::{
-    Claim, InstanceIndex, LifeOver, Paid, Patience, ReleaseIndex, RepeatBudgets, RepeatLimits,
-    Started, TargetBook, TargetFault,
+    EndedIncarnation, InstanceIndex, ProcessStart, ReleaseIndex, RequestClass, RetryBudgets,
+    RetryLimits, RetrySource, ReturningCallers, TargetFault, TargetRecords,
 };
 use deckwind_core::state::{Configuration, Instance, Pool, Revision, Route, RouteKind};
 use deckwind_core::time::Instant;
 use deckwind_net::clock::Clock;
 use deckwind_net::edge::CallerDialect;
-use deckwind_net::targets::KeptConnections;
+use deckwind_net::targets::ConnectionPool;
 use permits::PermitQueue;
 use poison_requests::PoisonRequests;
 use stall_detection::WatchedStreams;
@@ -67,13 +67,13 @@
 pub struct Routes {
     release: ArcSwapOption<ReleaseIndex>,
     instances: ArcSwap<InstanceIndex>,
-    book: Mutex<TargetBook>,
-    retry_budgets: Mutex<RepeatBudgets>,
+    target_records: Mutex<TargetRecords>,
+    retry_budgets: Mutex<RetryBudgets>,
     clock: Clock,
     /// Protocol in which targets report about themselves.
     dialect: Arc<dyn CallerDialect>,
     /// Connections to targets.
-    pub connections: KeptConnections,
+    pub connections: ConnectionPool,
     /// Number of routers with a lease, as last reported by the leader.
     routers: AtomicU32,
     /// Answers on their way to callers, and the count of buffered bytes.
@@ -83,30 +83,30 @@
     /// Streams that are watched for stalls.
     pub watched_streams: WatchedStreams,
     /// Request contents that targets crash on.
-    pub suspects: PoisonRequests,
+    pub poison_requests: PoisonRequests,
     /// Failed targets that have not been reported to the leader yet.
-    failing: Mutex<Vec<SocketAddr>>,
+    failed_targets: Mutex<Vec<SocketAddr>>,
     failing_changed: Notify,
     /// Time of the last grant with information about the other routers.
     granted_at: Mutex<Instant>,
-    returning_callers: Mutex<Patience>,
+    returning_callers: Mutex<ReturningCallers>,
     /// Refusals by engines that have not been reported to the leader yet.
-    full: Mutex<Vec<EngineFull>>,
+    refusing_engines: Mutex<Vec<EngineFull>>,
     full_changed: Notify,
     /// Requests that wait for permits.
     permits: PermitQueue,
     /// Notified when a retry budget runs short and the leader has to be asked for more.
-    repeats_short: Notify,
+    retries_short: Notify,
     /// Notified when the leader has granted retries.
     retries_granted: Notify,
     draining: AtomicBool,
-    /// Requests that are still admitted during a planned stop; see [`LetIn`].
-    let_in: AtomicU8,
+    /// Requests that are still admitted during a planned stop; see [`AdmissionLevel`].
+    admission_level: AtomicU8,
 }
 
 /// Requests that are admitted while the router stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum LetIn {
+pub enum AdmissionLevel {
     /// All requests.
     All = 0,
     /// Only requests with a whole answer: a stream could outlast the process.
@@ -118,40 +118,40 @@
 impl Routes {
     /// Creates the state without a release.
     pub fn new(cx: &Context, cfg: &RouterSettings) -> Self {
-        let limits = RepeatLimits {
+        let limits = RetryLimits {
             share: cfg.repeats.share,
-            beyond: cfg.repeats.beyond,
+            extra: cfg.repeats.beyond,
             window: cfg.repeats.window,
         };
         let seeds = cx.settings.seeds.as_ref();
-        let started = Started {
+        let started = ProcessStart {
             at: cx.clock.now(),
             first: seeds.is_some_and(|s| s.first_start),
         };
         Self {
             release: ArcSwapOption::empty(),
             instances: ArcSwap::default(),
-            book: Mutex::default(),
-            retry_budgets: Mutex::new(RepeatBudgets::new(limits, started)),
+            target_records: Mutex::default(),
+            retry_budgets: Mutex::new(RetryBudgets::new(limits, started)),
             clock: cx.clock,
             dialect: cx.dialects.callers.clone(),
-            connections: KeptConnections::new(cx.clock),
+            connections: ConnectionPool::new(cx.clock),
             routers: AtomicU32::new(1),
             deliveries: Arc::new(Deliveries::new(cx.clock, cfg)),
             stall_reports: StallReports::new(cx.dialects.engines.clone()),
             watched_streams: WatchedStreams::default(),
-            suspects: PoisonRequests::new(period_of_targets(cfg.announce_every)),
-            failing: Mutex::default(),
+            poison_requests: PoisonRequests::new(announce_interval(cfg.announce_every)),
+            failed_targets: Mutex::default(),
             failing_changed: Notify::new(),
             granted_at: Mutex::new(Instant::ZERO),
             returning_callers: Mutex::default(),
-            full: Mutex::default(),
+            refusing_engines: Mutex::default(),
             full_changed: Notify::new(),
             permits: PermitQueue::default(),
-            repeats_short: Notify::new(),
+            retries_short: Notify::new(),
             retries_granted: Notify::new(),
             draining: AtomicBool::new(false),
-            let_in: AtomicU8::new(LetIn::All as u8),
+            admission_level: AtomicU8::new(AdmissionLevel::All as u8),
         }
     }
 
@@ -172,8 +172,8 @@
     }
 
     /// Locks the records of targets. Hold the lock for one call only.
-    pub fn book(&self) -> MutexGuard<'_, TargetBook> {
-        self.book.lock().expect("no holder panics")
+    pub fn target_records(&self) -> MutexGuard<'_, TargetRecords> {
+        self.target_records.lock().expect("no holder panics")
     }
 
     /// Counts a request for a pool.
@@ -182,7 +182,7 @@
             .lock()
             .expect("no holder panics")
             .of_pool(pool)
-            .requested(now);
+            .record_request(now);
     }
 
     /// Whether a request of this route is already late: its caller, who still waits for
@@ -195,22 +195,22 @@
 
     /// Spends a retry of a pool's budget on a request with this claim; false if none is
     /// left. Asks the leader for more if the budget runs short.
-    pub fn spend_retry(&self, now: Instant, pool: &str, claim: Claim, id: &str) -> bool {
+    pub fn spend_retry(&self, now: Instant, pool: &str, claim: RequestClass, id: &str) -> bool {
         let mut hasher = DefaultHasher::new();
         id.hash(&mut hasher);
         let mut budgets = self.retry_budgets();
         let budget = budgets.of_pool(pool);
         let paid = budget.spend(now, claim, hasher.finish());
-        let available = budget.leased().left(now);
-        let (requests, spent) = budget.counts(now);
-        let is_short = budgets.runs_short(now);
+        let available = budget.granted().available(now);
+        let (requests, spent) = budget.window_counts(now);
+        let is_short = budgets.needs_more(now);
         drop(budgets);
         if is_short {
-            self.repeats_short.notify_one();
+            self.retries_short.notify_one();
         }
         let source = match paid {
-            Some(Paid::Share) => "share",
-            Some(Paid::Leased) => "leased",
+            Some(RetrySource::Share) => "share",
+            Some(RetrySource::Granted) => "leased",
             None => "none",
         };
         metrics::counter!("deckwind_route_repeats_total", "paid" => source).increment(1);
@@ -228,19 +228,22 @@
     }
 
     /// Returns the report on retry budgets for the leader.
-    pub fn repeat_report(&self, now: Instant) -> Option<RetryReport> {
+    pub fn retry_report(&self, now: Instant) -> Option<RetryReport> {
         self.retry_budgets().report(now)
     }
 
     /// Waits until a retry budget runs short.
-    pub async fn repeats_short(&self) {
-        self.repeats_short.notified().await;
+    pub async fn retries_short(&self) {
+        self.retries_short.notified().await;
     }
 
     /// Whether the leader may grant a retry for a request with this claim when it is
     /// asked.
-    pub fn retry_may_be_granted(&self, pool: &str, claim: Claim) -> bool {
-        self.retry_budgets().of_pool(pool).leased().may_come(claim)
+    pub fn retry_may_be_granted(&self, pool: &str, claim: RequestClass) -> bool {
+        self.retry_budgets()
+            .of_pool(pool)
+            .granted()
+            .may_be_granted(claim)
     }
 
     /// Returns a future that resolves when the leader next grants retries after this
@@ -249,7 +252,7 @@
         self.retries_granted.notified()
     }
 
-    fn retry_budgets(&self) -> MutexGuard<'_, RepeatBudgets> {
+    fn retry_budgets(&self) -> MutexGuard<'_, RetryBudgets> {
         self.retry_budgets.lock().expect("no holder panics")
     }
 
@@ -257,7 +260,7 @@
     pub fn configuration_changed(&self, now: Instant, cfg: &Configuration) {
         let before = self.release().map(|r| r.revision());
         if before != Some(cfg.release_revision()) {
-            let index = ReleaseIndex::of(cfg);
+            let index = ReleaseIndex::new(cfg);
             if let Some(index) = &index {
                 log::info!(
                     "event=release_in_force version={} revision={}",
@@ -276,25 +279,27 @@
             }
             self.release.store(index.map(Arc::new));
         }
-        let index = InstanceIndex::of(cfg);
+        let index = InstanceIndex::new(cfg);
         let before = self.instances();
         log_target_changes(&before, &index, cfg.revision());
-        self.suspects.lives_over(now, index.lives_cut(&before));
-        self.suspects.apply_list(now, cfg.suspects());
+        self.poison_requests
+            .record_ended(now, index.crashed_incarnations(&before));
+        self.poison_requests.apply_list(now, cfg.suspects());
         self.reset_ended_targets(now, &before, &index);
         let addresses: HashSet<SocketAddr> = index.iter().map(|i| i.address).collect();
         self.connections.retain(|a| addresses.contains(a));
-        self.book().retain(now, |a| addresses.contains(a));
+        self.target_records().retain(now, |a| addresses.contains(a));
         self.instances.store(Arc::new(index));
     }
 
     /// Resets what is known of addresses whose incarnation has ended. Streams that pass
     /// through them take another path as soon as they stall.
     fn reset_ended_targets(&self, now: Instant, before: &InstanceIndex, index: &InstanceIndex) {
-        for over in index.lives_over(before) {
-            let LifeOver { address, life, by } = over;
-            self.connections.forget(address);
-            self.book().life_over(now + DOWN_REPORT_TTL, address);
+        for over in index.ended_incarnations(before) {
+            let EndedIncarnation { address, life, by } = over;
+            self.connections.close_idle(address);
+            self.target_records()
+                .reset_target(now + DOWN_REPORT_TTL, address);
             metrics::counter!("deckwind_route_lives_ended_total").increment(1);
             let by = by.map_or("-".to_string(), |life| life.to_string());
             log::info!("event=life_over target={address} life={life} by={by}");
@@ -303,7 +308,7 @@
 
     /// Applies a grant that was requested at `asked`: the state of the other routers,
     /// and retries, which last as long as a lease.
-    pub fn others_told(
+    pub fn apply_grant(
         &self,
         asked: Instant,
         now: Instant,
@@ -311,16 +316,19 @@
         reported: &[EngineStreamLoad],
         grant: &Grant,
     ) {
-        if self.retry_budgets().told(asked, lasts, &grant.repeats) {
+        if self
+            .retry_budgets()
+            .apply_grants(asked, lasts, &grant.repeats)
+        {
             self.retries_granted.notify_waiters();
         }
         self.routers.store(grant.routers, Ordering::Relaxed);
         self.apply_limits(asked, now, grant);
-        let mut book = self.book();
-        book.use_told(reported, grant.in_use.as_ref());
-        book.doubt(now + DOWN_REPORT_TTL, &grant.failing);
-        book.are_full(now, &grant.full);
-        book.slow_are(now + SLOW_REPORT_TTL, grant.slow.iter().map(|p| p.address));
+        let mut book = self.target_records();
+        book.apply_load_update(reported, grant.in_use.as_ref());
+        book.mark_unconfirmed(now + DOWN_REPORT_TTL, &grant.failing);
+        book.record_full_engines(now, &grant.full);
+        book.set_slow(now + SLOW_REPORT_TTL, grant.slow.iter().map(|p| p.address));
         metrics::gauge!("deckwind_route_targets_resting").set(book.notices.resting(now) as f64);
         drop(book);
         self.watched_streams.record_failing(now, &grant.failing);
@@ -329,21 +337,21 @@
 
     /// Returns the report on limits for the leader.
     pub fn limit_report(&self, now: Instant) -> LimitReport {
-        self.book().limits.report(now)
+        self.target_records().limits.report(now)
     }
 
     /// Applies the leader's list of limited targets, if the grant has one.
     fn apply_limits(&self, asked: Instant, now: Instant, grant: &Grant) {
-        let mut book = self.book();
+        let mut book = self.target_records();
         let list = grant.limits.as_ref();
-        let changes = book.limits.told(asked, now, grant.term, list);
-        let limited = book.limits.limited();
+        let changes = book.limits.apply_list(asked, now, grant.term, list);
+        let limited = book.limits.limited_count();
         drop(book);
         metrics::gauge!("deckwind_route_targets_limited").set(limited as f64);
-        for target in changes.begin {
+        for target in changes.begun {
             log::info!("event=limit_told {target}");
         }
-        for target in changes.over {
+        for target in changes.ended {
             log::info!("event=limit_over {target}");
         }
     }
@@ -356,12 +364,12 @@
     /// Records a failure of a target: it is avoided for a while, and if it is down,
     /// this is reported to the other routers.
     pub fn target_failed(&self, now: Instant, address: SocketAddr, fault: TargetFault, why: &str) {
-        let mut book = self.book();
+        let mut book = self.target_records();
         let is_new = match fault {
             TargetFault::Down => !book.is_down(now, address),
-            TargetFault::Answer => !book.avoids(now, address),
+            TargetFault::Answer => !book.is_in_backoff(now, address),
         };
-        let wait = book.failed(now, address, fault);
+        let wait = book.record_failure(now, address, fault);
         drop(book);
         if !is_new {
             return;
@@ -378,33 +386,37 @@
 
     /// Queues a failed target for the report to the leader.
     fn report_down(&self, address: SocketAddr) {
-        let mut failing = self.failing.lock().expect("no holder panics");
+        let mut failing = self.failed_targets.lock().expect("no holder panics");
         failing.push(address);
         self.failing_changed.notify_one();
     }
 
     /// Records that the engines on a stream's path have answered.
     pub fn record_answered(&self, addresses: &[SocketAddr]) {
-        let mut book = self.book();
-        addresses.iter().for_each(|a| book.answered(*a));
+        let mut book = self.target_records();
+        addresses.iter().for_each(|a| book.record_success(*a));
     }
 
     /// Records that an engine has refused a request for lack of free capacity: it is
     /// avoided for a moment, and the refusal is reported to the other routers.
     pub fn record_refusal(&self, now: Instant, address: SocketAddr) {
-        let full = self.book().had_no_room(now, address);
+        let full = self.target_records().record_refusal(now, address);
         metrics::counter!("deckwind_route_target_refusals_total").increment(1);
-        self.full.lock().expect("no holder panics").push(full);
+        self.refusing_engines
+            .lock()
+            .expect("no holder panics")
+            .push(full);
         self.full_changed.notify_one();
     }
 
     /// Waits for refusals by engines that have not been reported to the leader, then
     /// collects further ones for `collect`.
-    pub async fn full(&self, collect: Duration) -> Vec<EngineFull> {
+    pub async fn refusing_engines(&self, collect: Duration) -> Vec<EngineFull> {
         loop {
             self.full_changed.notified().await;
             tokio::time::sleep(collect).await;
-            let full = std::mem::take(&mut *self.full.lock().expect("no holder panics"));
+            let full =
+                std::mem::take(&mut *self.refusing_engines.lock().expect("no holder panics"));
             // Only the last refusal of each engine counts.
             let last: HashMap<SocketAddr, EngineFull> =
                 full.into_iter().map(|f| (f.address, f)).collect();
@@ -415,10 +427,10 @@
     }
 
     /// Waits for failed targets that have not been reported to the leader.
-    pub async fn failing(&self) -> Vec<SocketAddr> {
+    pub async fn failed_targets(&self) -> Vec<SocketAddr> {
         loop {
             self.failing_changed.notified().await;
-            let mut failing = self.failing.lock().expect("no holder panics");
+            let mut failing = self.failed_targets.lock().expect("no holder panics");
             if !failing.is_empty() {
                 return std::mem::take(&mut failing);
             }
@@ -436,22 +448,23 @@
     }
 
     /// Restricts the requests that are admitted from now on.
-    pub fn restrict(&self, let_in: LetIn) {
-        self.let_in.store(let_in as u8, Ordering::Relaxed);
+    pub fn set_admission_level(&self, admission_level: AdmissionLevel) {
+        self.admission_level
+            .store(admission_level as u8, Ordering::Relaxed);
     }
 
     /// Whether requests of this kind are admitted.
     pub fn admits(&self, kind: RouteKind) -> bool {
         let refused_from = match kind.is_stream() {
-            true => LetIn::NoStreams,
-            false => LetIn::Nothing,
+            true => AdmissionLevel::NoStreams,
+            false => AdmissionLevel::Nothing,
         };
-        self.let_in.load(Ordering::Relaxed) < refused_from as u8
+        self.admission_level.load(Ordering::Relaxed) < refused_from as u8
     }
 
     /// Whether connections are closed after their next answer.
     pub fn is_closing(&self) -> bool {
-        self.let_in.load(Ordering::Relaxed) > LetIn::All as u8
+        self.admission_level.load(Ordering::Relaxed) > AdmissionLevel::All as u8
     }
 }
 
--- a/crates/deckwindd/src/router/routes/non_streaming.rs
+++ b/crates/deckwindd/src/router/routes/non_streaming.rs
@@ -10,7 +10,10 @@
 use super::target_run::{RunEnd, TargetRun};
 use crate::collect::collect;
 use bytes::Bytes;
-use deckwind_core::routes::{Came, Choice, Claim, TargetFault, Told, choose_plain, told};
+use deckwind_core::routes::{
+    AttemptOutcome, AttemptResult, RequestClass, TargetChoice, TargetFault, attempt_result,
+    choose_target,
+};
 use deckwind_core::state::RouteKind;
 use deckwind_net::targets::TargetError;
 use http::{HeaderMap, Response, StatusCode};
@@ -91,7 +94,7 @@
     match result {
         Ok(answered) => {
             let job = &attempts.job;
-            let in_progress = job.shared.begin();
+            let in_progress = job.shared.begin_request();
             let deliveries = &job.shared.routes.deliveries;
             let to = job.recipient();
             let body = delivery::whole(deliveries, &to, Some(in_progress), answered.body);
@@ -206,8 +209,8 @@
     fn record_refusal(&self, address: SocketAddr) {
         let shared = &self.job.shared;
         let now = shared.clock.now();
-        let mut book = shared.routes.book();
-        let wait = book.failed(now, address, TargetFault::Answer);
+        let mut book = shared.routes.target_records();
+        let wait = book.record_failure(now, address, TargetFault::Answer);
         drop(book);
         log::info!(
             "event=target_refused target={address} request={} avoided_ms={}",
@@ -216,11 +219,11 @@
         );
     }
 
-    fn choose_target(&self) -> Result<Choice, Failure> {
+    fn choose_target(&self) -> Result<TargetChoice, Failure> {
         let shared = &self.job.shared;
         let instances = shared.routes.instances();
-        let book = shared.routes.book();
-        let choice = choose_plain(
+        let book = shared.routes.target_records();
+        let choice = choose_target(
             instances.of_pool(&self.job.pool.name),
             &book,
             &shared.cx.settings.data_centre,
@@ -244,7 +247,7 @@
         let has_tries = self.tries < self.job.route.attempts;
         let routes = &self.job.shared.routes;
         let (pool, id) = (&self.job.pool.name, &self.job.head.id);
-        has_time && has_tries && routes.spend_retry(now, pool, Claim::New, id)
+        has_time && has_tries && routes.spend_retry(now, pool, RequestClass::New, id)
     }
 
     /// Returns the timeout of the current attempt.
@@ -258,7 +261,7 @@
         left.min((objective * TRY_TIMEOUT_OBJECTIVES).max(MIN_TRY_TIMEOUT))
     }
 
-    async fn send(&mut self, choice: &Choice) -> Result<WholeAnswer, AttemptError> {
+    async fn send(&mut self, choice: &TargetChoice) -> Result<WholeAnswer, AttemptError> {
         self.tries += 1;
         let within = self.attempt_timeout();
         let job = &self.job;
@@ -295,7 +298,7 @@
         let checked = self.check(head.status, head.headers, body, held);
         if !matches!(checked, Err(AttemptError::MayHaveRun(_))) {
             let max_idle_connections = job.shared.routes.max_idle_connections(&job.pool);
-            connections.give_back(connection, &connection_headers, max_idle_connections);
+            connections.return_connection(connection, &connection_headers, max_idle_connections);
         }
         checked
     }
@@ -314,21 +317,25 @@
             return Err(broken("the answer is another request's".to_string()));
         }
         let outcome = match answer.not_run {
-            true => Came::NotRun(status.as_u16()),
-            false => Came::Own(status.as_u16()),
+            true => AttemptOutcome::NotRun(status.as_u16()),
+            false => AttemptOutcome::Answered(status.as_u16()),
         };
-        match told(self.job.route.kind, outcome) {
-            Told::NotRun => return Err(AttemptError::NotRun),
-            Told::MayHaveRun => {
+        match attempt_result(self.job.route.kind, outcome) {
+            AttemptResult::NotRun => return Err(AttemptError::NotRun),
+            AttemptResult::MayHaveRun => {
                 return Err(AttemptError::MayHaveRun(Failure::without_guarantee(status)));
             }
-            Told::PassOn => {}
+            AttemptResult::PassOn => {}
         }
         if status.is_success() && (!answer.signed || answer.encoded) {
             return Err(broken("the answer is not the target's own".to_string()));
         }
         if let Some(address) = self.target {
-            self.job.shared.routes.book().answered(address);
+            self.job
+                .shared
+                .routes
+                .target_records()
+                .record_success(address);
         }
         strip_connection_headers(&mut headers);
         Ok(WholeAnswer {
