--- a/crates/deckwindd/src/router/routes/opening/attempt.rs
+++ b/crates/deckwindd/src/router/routes/opening/attempt.rs
@@ -7,7 +7,7 @@
 use super::super::target_run::{RunEnd, TargetRun};
 use super::{OpenOutcome, OpenedStream, StreamOpener};
 use crate::collect::collect;
-use deckwind_core::routes::{Came, Choice, Told, told};
+use deckwind_core::routes::{AttemptOutcome, AttemptResult, TargetChoice, attempt_result};
 use deckwind_net::targets::{TargetConnection, TargetError};
 use http::{Response, StatusCode};
 use hyper::body::Incoming;
@@ -47,7 +47,7 @@
     /// Sends the request to one choice, and waits until its answer has begun.
     pub(super) async fn attempt(
         &mut self,
-        choice: &Choice,
+        choice: &TargetChoice,
         last_event: Option<u64>,
     ) -> Result<OpenOutcome, AttemptError> {
         let reservation = Reservation::new(&self.job, choice, self.counted_tokens());
@@ -63,7 +63,7 @@
             return Err(AttemptError::Blocked);
         }
         self.send_delay = self.chosen_at.elapsed();
-        self.tries.sent(choice.address, choice.life());
+        self.tries.record_sent(choice.address, choice.life());
         self.target = Some(choice.address);
         self.log_extra_attempt();
         let run = TargetRun::begin(&self.job, choice);
@@ -149,16 +149,16 @@
             ));
         }
         let outcome = match answer.not_run {
-            true => Came::NotRun(head.status.as_u16()),
-            false => Came::Own(head.status.as_u16()),
+            true => AttemptOutcome::NotRun(head.status.as_u16()),
+            false => AttemptOutcome::Answered(head.status.as_u16()),
         };
-        match told(self.job.route.kind, outcome) {
-            Told::NotRun => {
-                self.tries.not_run();
-                return Err(AttemptError::NotRun(answer.at_fault));
+        match attempt_result(self.job.route.kind, outcome) {
+            AttemptResult::NotRun => {
+                self.tries.remove_last();
+                return Err(AttemptError::NotRun(answer.failed_stage));
             }
-            Told::MayHaveRun => return Err(AttemptError::NoGuarantee(head.status)),
-            Told::PassOn => {}
+            AttemptResult::MayHaveRun => return Err(AttemptError::NoGuarantee(head.status)),
+            AttemptResult::PassOn => {}
         }
         if head.status.is_success() && (!answer.signed || answer.encoded) {
             let why = "the answer is not the target's own".to_string();
@@ -183,7 +183,7 @@
             Err(_) => RunEnd::Broke,
         });
         let body = collected.map_err(|e| AttemptError::Broken(e.to_string()))?;
-        shared.routes.connections.give_back(
+        shared.routes.connections.return_connection(
             connection,
             &head.headers,
             shared.routes.max_idle_connections(&self.job.pool),
--- a/crates/deckwindd/src/router/routes/opening/mod.rs
+++ b/crates/deckwindd/src/router/routes/opening/mod.rs
@@ -13,7 +13,8 @@
 use attempt::AttemptError;
 use bytes::Bytes;
 use deckwind_core::routes::{
-    Choice, Claim, NoChoice, Room, TargetFault, Tries, choose_path, choose_plain,
+    AttemptedTargets, CapacityDemand, ChoiceError, RequestClass, TargetChoice, TargetFault,
+    choose_path, choose_target,
 };
 use deckwind_net::targets::TargetConnection;
 use http::{HeaderMap, Response, StatusCode};
@@ -67,7 +68,7 @@
     /// The request.
     pub job: Job,
     /// Targets that may have run the request.
-    pub tries: Tries,
+    pub tries: AttemptedTargets,
     refused: u32,
     excluded: HashSet<SocketAddr>,
     /// Whether the next retry has already been taken from the budget.
@@ -83,7 +84,7 @@
 /// Runs one request to its end.
 pub async fn run(job: Job) -> Response<RouteBody> {
     let mut opener = StreamOpener {
-        tries: Tries::new(job.route.attempts),
+        tries: AttemptedTargets::new(job.route.attempts),
         job,
         refused: 0,
         excluded: HashSet::new(),
@@ -98,7 +99,7 @@
         Ok(OpenOutcome::Whole(status, headers, body)) => {
             opener.log_end(status, "answered", None);
             let job = &opener.job;
-            let in_progress = job.shared.begin();
+            let in_progress = job.shared.begin_request();
             let deliveries = &job.shared.routes.deliveries;
             let body = delivery::whole(deliveries, &job.recipient(), Some(in_progress), body);
             let mut res = Response::new(body);
@@ -249,7 +250,7 @@
 
     /// Whether the request may be sent to another target.
     pub fn tries_left(&self) -> bool {
-        self.tries.left(&self.job.shared.routes.instances())
+        self.tries.may_send(&self.job.shared.routes.instances())
     }
 
     /// Logs a request that goes to more targets than its route allows, because others
@@ -276,7 +277,7 @@
         let shared = &self.job.shared;
         let now = shared.clock.now();
         shared.routes.record_refusal(now, address);
-        let held = shared.routes.book().held(address);
+        let held = shared.routes.target_records().load(address);
         log::info!(
             "event=target_refused target={address} request={} sent_after_ms={} layer_tokens={} begun={}",
             self.job.head.id,
@@ -299,30 +300,34 @@
     fn counted_tokens(&self) -> u64 {
         let g = self.job.head.generation.unwrap_or_default();
         let usual = self.job.pool.engine.as_ref().map(|e| e.usual_answer);
-        let answer = g.likely.or(usual).unwrap_or(g.most).min(g.most.max(1));
+        let answer = g
+            .estimated_answer_tokens
+            .or(usual)
+            .unwrap_or(g.max_answer_tokens)
+            .min(g.max_answer_tokens.max(1));
         let kept = g.prompt + answer * MEAN_ANSWER_PERCENT / 100;
         kept * COUNTED_LOAD_PERCENT / 100
     }
 
-    fn claim(&self) -> Claim {
+    fn claim(&self) -> RequestClass {
         match (self.tries.count(), self.job.is_late) {
-            (0, true) => Claim::Late,
-            (0, false) => Claim::New,
-            _ => Claim::Begun,
+            (0, true) => RequestClass::Late,
+            (0, false) => RequestClass::New,
+            _ => RequestClass::Begun,
         }
     }
 
-    fn choose_target(&self) -> Result<Choice, Failure> {
+    fn choose_target(&self) -> Result<TargetChoice, Failure> {
         let shared = &self.job.shared;
         let instances = shared.routes.instances();
         let instances = instances.of_pool(&self.job.pool.name);
-        let book = shared.routes.book();
+        let book = shared.routes.target_records();
         let own = &shared.cx.settings.data_centre;
         let now = shared.clock.now();
         let choice = match self.job.pool.engine.as_ref().filter(|e| e.layers > 0) {
             Some(model) => {
                 let tokens = self.counted_tokens();
-                let room = Room {
+                let room = CapacityDemand {
                     tokens,
                     claim: self.claim(),
                     draw: rand::random(),
@@ -331,7 +336,7 @@
             }
             None => {
                 let at = rand::random();
-                choose_plain(instances, &book, own, &self.excluded, at, now)
+                choose_target(instances, &book, own, &self.excluded, at, now)
             }
         };
         drop(book);
@@ -342,10 +347,10 @@
     }
 
     /// Logs which engine limited the choice if all were full.
-    fn log_no_choice(&self, error: &NoChoice) {
+    fn log_no_choice(&self, error: &ChoiceError) {
         let shared = &self.job.shared;
-        if let NoChoice::Full(fullest) = error {
-            let held = shared.routes.book().held(fullest.address);
+        if let ChoiceError::Full(fullest) = error {
+            let held = shared.routes.target_records().load(fullest.address);
             log::info!(
                 "event=no_room request={} claim={:?} wanted={} fullest={} used={:.2} layer_tokens={} begun={} revision={} told_ms_ago={}",
                 self.job.head.id,
--- a/crates/deckwindd/src/router/routes/permits.rs
+++ b/crates/deckwindd/src/router/routes/permits.rs
@@ -83,7 +83,7 @@
         request: &str,
         target: &LimitKey,
     ) -> Result<Option<Permit>, NoPermit> {
-        if !self.book().limits.is_limited(target) {
+        if !self.target_records().limits.is_limited(target) {
             return Ok(None);
         }
         let verdict = self
@@ -118,7 +118,7 @@
         let mut waiters = waiters.into_iter();
         match verdict {
             PermitVerdict::Unlimited => {
-                if self.book().limits.is_over(asked, target) {
+                if self.target_records().limits.remove_ended(asked, target) {
                     log::info!("event=limit_over {target}");
                 }
                 waiters.for_each(|w| send_verdict(w, Verdict::NotNeeded));
@@ -142,9 +142,9 @@
         wait: Duration,
     ) {
         if waiters.len() > 0 {
-            self.book()
+            self.target_records()
                 .limits
-                .denied(now, target, wait.max(DENIED_BACKOFF));
+                .record_denial(now, target, wait.max(DENIED_BACKOFF));
         }
         waiters.for_each(|w| send_verdict(w, Verdict::Denied));
     }
@@ -158,7 +158,7 @@
 }
 
 /// Requests permits from the leader in an endless loop, as requests need them.
-pub async fn ask_for_permits(shared: Arc<RouterShared>) {
+pub async fn request_permits(shared: Arc<RouterShared>) {
     let routes = &shared.routes;
     loop {
         routes.permits.wanted.notified().await;
@@ -176,7 +176,10 @@
     let mut requests = Vec::new();
     let mut requesters = Vec::new();
     for (target, waiters) in waiting {
-        let heard = routes.book().limits.heard_of(asked, &target);
+        let heard = routes
+            .target_records()
+            .limits
+            .limit_report_for(asked, &target);
         let Some(heard) = heard else {
             waiters
                 .into_iter()
--- a/crates/deckwindd/src/router/routes/poison_requests.rs
+++ b/crates/deckwindd/src/router/routes/poison_requests.rs
@@ -4,7 +4,7 @@
 
 use crate::router::shared::RouterShared;
 use deckwind_core::control::CutReport;
-use deckwind_core::routes::CutRuns;
+use deckwind_core::routes::InterruptedRuns;
 use deckwind_core::state::{ContentDigest, Incarnation, SuspectChange, SuspectList};
 use deckwind_core::time::Instant;
 use deckwind_wire::{ControlReply, ControlRequest};
@@ -26,7 +26,7 @@
 const MAX_BROKEN_TARGETS: usize = 512;
 
 /// A run that was interrupted.
-pub struct CutRun<'a> {
+pub struct InterruptedRun<'a> {
     /// Content of the request.
     pub content: ContentDigest,
     /// Address of the target.
@@ -34,15 +34,15 @@
     /// Incarnation of the target.
     pub life: &'a Incarnation,
     /// Time since the first event of the run; `None` if there was none.
-    pub ran: Option<Duration>,
+    pub run_time: Option<Duration>,
     /// Whether the target broke the run off.
-    pub broke: bool,
+    pub broken_off: bool,
 }
 
 /// What this router knows of request contents and of targets that crashed on them.
 #[derive(Default)]
 pub struct PoisonRequests {
-    runs: Mutex<CutRuns>,
+    runs: Mutex<InterruptedRuns>,
     /// Targets whose answers broke off and that have not been reported to the leader
     /// yet.
     broken_targets: Mutex<Vec<SocketAddr>>,
@@ -53,12 +53,12 @@
     /// Creates an empty record; targets announce themselves every `period`.
     pub fn new(period: Duration) -> Self {
         Self {
-            runs: Mutex::new(CutRuns::with_period(period)),
+            runs: Mutex::new(InterruptedRuns::with_period(period)),
             ..Self::default()
         }
     }
 
-    fn runs(&self) -> MutexGuard<'_, CutRuns> {
+    fn runs(&self) -> MutexGuard<'_, InterruptedRuns> {
         self.runs.lock().expect("no holder panics")
     }
 
@@ -68,10 +68,10 @@
     }
 
     /// Records that a target has served a request with this content and did not crash.
-    pub fn served(&self, now: Instant, content: ContentDigest) {
+    pub fn record_served(&self, now: Instant, content: ContentDigest) {
         let mut runs = self.runs();
-        runs.served(now, content);
-        let has_changes = runs.has_news();
+        runs.record_served(now, content);
+        let has_changes = runs.has_unreported_changes();
         drop(runs);
         if has_changes {
             self.report_due.notify_one();
@@ -79,9 +79,11 @@
     }
 
     /// Records an interrupted run.
-    pub fn cut(&self, now: Instant, cut: &CutRun) {
-        let is_suspect = self.runs().cut(now, cut.content, cut.life, cut.ran);
-        if is_suspect && cut.broke {
+    pub fn record_interrupted(&self, now: Instant, cut: &InterruptedRun) {
+        let is_suspect = self
+            .runs()
+            .record_interrupted(now, cut.content, cut.life, cut.run_time);
+        if is_suspect && cut.broken_off {
             let mut broke = self.broken_targets.lock().expect("no holder panics");
             if broke.len() < MAX_BROKEN_TARGETS && !broke.contains(&cut.address) {
                 broke.push(cut.address);
@@ -91,11 +93,11 @@
     }
 
     /// Records that these incarnations have ended unplanned.
-    pub fn lives_over(&self, now: Instant, lives: Vec<Incarnation>) {
+    pub fn record_ended(&self, now: Instant, lives: Vec<Incarnation>) {
         if lives.is_empty() {
             return;
         }
-        let ended = self.runs().lives_over(now, lives);
+        let ended = self.runs().record_ended_incarnations(now, lives);
         for (content, life) in &ended {
             metrics::counter!("deckwind_route_ended_targets_total").increment(1);
             log::warn!("event=target_ended_under content={content} life={life}");
@@ -108,8 +110,8 @@
     /// Applies the list of suspected request contents that the replicas have agreed on.
     pub fn apply_list(&self, now: Instant, list: Arc<SuspectList>) {
         let mut runs = self.runs();
-        let before = runs.agreed(now, list.clone());
-        let has_changes = runs.has_news();
+        let before = runs.set_agreed(now, list.clone());
+        let has_changes = runs.has_unreported_changes();
         drop(runs);
         if has_changes {
             self.report_due.notify_one();
@@ -125,7 +127,7 @@
             self.report_due.notified().await;
             tokio::time::sleep(BATCH_WINDOW).await;
             let broke = std::mem::take(&mut *self.broken_targets.lock().expect("no holder panics"));
-            let changes = self.runs().take_news();
+            let changes = self.runs().take_unreported_changes();
             if !(broke.is_empty() && changes.is_empty()) {
                 return CutReport { broke, changes };
             }
@@ -135,7 +137,7 @@
     /// Queues changes again that could not be reported, to be sent with later ones.
     fn requeue(&self, changes: Vec<SuspectChange>) {
         if !changes.is_empty() {
-            self.runs().put_back(changes);
+            self.runs().requeue(changes);
             self.report_due.notify_one();
         }
     }
@@ -158,9 +160,9 @@
 }
 
 /// Reports interrupted runs to the leader in an endless loop.
-pub async fn tell_cut_runs(shared: Arc<RouterShared>) {
+pub async fn report_interrupted_runs(shared: Arc<RouterShared>) {
     loop {
-        let report = shared.routes.suspects.next_report().await;
+        let report = shared.routes.poison_requests.next_report().await;
         let request = ControlRequest::CutRuns(report.clone());
         let asked = shared.control.ask(&request, REPORT_TIMEOUT).await;
         if !matches!(asked, Ok(ControlReply::Done)) {
@@ -168,7 +170,7 @@
                 "event=cut_runs_not_told changes={} answer={asked:?}",
                 report.changes.len()
             );
-            shared.routes.suspects.requeue(report.changes);
+            shared.routes.poison_requests.requeue(report.changes);
         }
     }
 }
--- a/crates/deckwindd/src/router/routes/relay/mod.rs
+++ b/crates/deckwindd/src/router/routes/relay/mod.rs
@@ -8,7 +8,7 @@
 use super::responses::{Failure, RouteBody, strip_connection_headers};
 use super::target_run::{RunEnd, TargetRun};
 use bytes::Bytes;
-use deckwind_core::routes::EventCutter;
+use deckwind_core::routes::EventSplitter;
 use http::{Response, header};
 use http_body_util::BodyExt;
 use reroute::should_move;
@@ -71,7 +71,7 @@
 /// on.
 pub fn start(opener: StreamOpener, opened: OpenedStream) -> Response<RouteBody> {
     let job = &opener.job;
-    let in_progress = job.shared.begin();
+    let in_progress = job.shared.begin_request();
     let deliveries = &job.shared.routes.deliveries;
     let (outbox, body) = delivery::open(deliveries, &job.recipient(), Some(in_progress));
     let mut res = Response::new(body);
@@ -229,7 +229,7 @@
         } = opened;
         let caller = self.outbox.caller();
         let shared = self.opener.job.shared.clone();
-        let mut splitter = EventCutter::default();
+        let mut splitter = EventSplitter::default();
         let watch = self.watch(&reservation);
         let mut last_event_at = Instant::now();
         let mut next_check = last_event_at + STALL_AFTER;
@@ -295,12 +295,12 @@
         }
         run.close(RunEnd::Served);
         reservation.record_answered();
-        shared.routes.connections.give_back(
+        shared.routes.connections.return_connection(
             connection,
             &head.headers,
             shared.routes.max_idle_connections(&self.opener.job.pool),
         );
-        let remaining = splitter.rest();
+        let remaining = splitter.into_remaining();
         if !remaining.is_empty() && self.send(remaining).is_err() {
             return SegmentEnd::CallerLeft;
         }
@@ -309,7 +309,7 @@
 
     fn pass_on_chunk(
         &mut self,
-        splitter: &mut EventCutter,
+        splitter: &mut EventSplitter,
         data: &Bytes,
         run: &mut TargetRun,
     ) -> Option<SegmentEnd> {
--- a/crates/deckwindd/src/router/routes/relay/reroute.rs
+++ b/crates/deckwindd/src/router/routes/relay/reroute.rs
@@ -139,7 +139,7 @@
             let (status, refused_by) = match &called {
                 Ok(reply) => (
                     reply.status.as_u16(),
-                    dialect.path_refused_by(reply.status, &reply.body),
+                    dialect.refusing_engine(reply.status, &reply.body),
                 ),
                 Err(_) => (0, None),
             };
@@ -163,7 +163,10 @@
                 Some(watch) => watch.record_stage_gone(refused_by),
                 None => {
                     let now = job.shared.clock.now();
-                    job.shared.routes.book().had_no_room(now, refused_by);
+                    job.shared
+                        .routes
+                        .target_records()
+                        .record_refusal(now, refused_by);
                 }
             }
             avoid.insert(refused_by);
--- a/crates/deckwindd/src/router/routes/reservation.rs
+++ b/crates/deckwindd/src/router/routes/reservation.rs
@@ -2,8 +2,8 @@
 
 use super::http_server::Job;
 use crate::router::shared::RouterShared;
-use deckwind_core::routes::{Choice, Claim, InstanceIndex, Room};
-use deckwind_core::routing::paths::{EnginePath, Stage, path_from, path_round};
+use deckwind_core::routes::{CapacityDemand, InstanceIndex, RequestClass, TargetChoice};
+use deckwind_core::routing::paths::{EnginePath, Stage, path_from, replace_stages};
 use deckwind_core::state::{DataCentre, Instance, InstanceState};
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 
 impl Reservation {
     /// Reserves load for an attempt on this choice that keeps `tokens` tokens.
-    pub fn new(job: &Job, choice: &Choice, tokens: u64) -> Self {
+    pub fn new(job: &Job, choice: &TargetChoice, tokens: u64) -> Self {
         let path = choice.path.as_ref();
         let stages = path.map_or(Vec::new(), |p| p.stages.clone());
         let data_centre = path.map(|p| p.data_centre.clone());
@@ -47,9 +47,9 @@
             true => vec![first],
             false => stages.iter().map(|s| s.address).collect(),
         };
-        let mut book = job.shared.routes.book();
-        book.began(&addresses);
-        book.takes(&stages, tokens);
+        let mut book = job.shared.routes.target_records();
+        book.record_start(&addresses);
+        book.add_load(&stages, tokens);
         drop(book);
         Self {
             shared: job.shared.clone(),
@@ -74,13 +74,13 @@
     /// one, or suspected.
     pub fn is_unreliable(&self) -> bool {
         let now = self.shared.clock.now();
-        let book = self.shared.routes.book();
-        self.addresses.iter().any(|a| book.doubts(now, *a))
+        let book = self.shared.routes.target_records();
+        self.addresses.iter().any(|a| book.is_unconfirmed(now, *a))
     }
 
     /// Whether a target on the path other than the first no longer takes new requests.
     pub fn has_leaving_target(&self, instances: &InstanceIndex) -> bool {
-        let book = self.shared.routes.book();
+        let book = self.shared.routes.target_records();
         let takes_work = |i: &Instance| i.state == InstanceState::Ready && !book.notices.leaves(i);
         let ready = |a: &SocketAddr| {
             let mut all = instances.iter();
@@ -93,7 +93,10 @@
     /// suspected.
     pub fn is_first_unreliable(&self) -> bool {
         let now = self.shared.clock.now();
-        self.shared.routes.book().doubts(now, self.first())
+        self.shared
+            .routes
+            .target_records()
+            .is_unconfirmed(now, self.first())
     }
 
     /// Returns the stages of the path; empty where a target serves alone.
@@ -121,24 +124,27 @@
         let instances = self.shared.routes.instances();
         let instances = instances.of_pool(&job.pool.name);
         let now = self.shared.clock.now();
-        let room = Room {
+        let room = CapacityDemand {
             tokens: self.tokens,
-            claim: Claim::Begun,
+            claim: RequestClass::Begun,
             draw: rand::random(),
         };
-        let book = self.shared.routes.book();
+        let book = self.shared.routes.target_records();
         let view = book.at(now, avoid);
         let need = room.need();
         let first = self.stages.first()?;
         let find = |a: SocketAddr| instances.iter().find(|i| i.address == a);
         let takes_work = |i: &Instance| i.state == InstanceState::Ready && !book.notices.leaves(i);
         let ready = |a| find(a).is_some_and(takes_work);
-        let must_replace = |a| book.doubts(now, a) || avoid.contains(&a) || !ready(a);
+        let must_replace = |a| book.is_unconfirmed(now, a) || avoid.contains(&a) || !ready(a);
         let to_replace = |a| a != first.address && must_replace(a);
         let all = || instances.iter();
-        let path = path_round(model, all(), &view, &need, &self.stages, &to_replace)
+        let path = replace_stages(model, all(), &view, &need, &self.stages, &to_replace)
             .or_else(|| path_from(model, all(), &view, &need, first, data_centre))?;
-        let is_reliable = path.stages.iter().all(|s| !book.doubts(now, s.address));
+        let is_reliable = path
+            .stages
+            .iter()
+            .all(|s| !book.is_unconfirmed(now, s.address));
         (is_reliable && path.stages != self.stages).then_some(path)
     }
 
@@ -158,8 +164,8 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        let mut book = self.shared.routes.book();
-        book.ended(&self.addresses);
-        book.gives_back(&self.stages, self.tokens);
+        let mut book = self.shared.routes.target_records();
+        book.record_end(&self.addresses);
+        book.remove_load(&self.stages, self.tokens);
     }
 }
--- a/crates/deckwindd/src/router/routes/responses.rs
+++ b/crates/deckwindd/src/router/routes/responses.rs
@@ -1,7 +1,7 @@
 //! Responses that the router creates itself, and types of response bodies.
 
 use bytes::Bytes;
-use deckwind_core::routes::{NoChoice, Refusal};
+use deckwind_core::routes::{ChoiceError, RefusalReason};
 use http::{HeaderMap, HeaderName, HeaderValue, Response, StatusCode, header};
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full};
@@ -124,16 +124,18 @@
 
     /// Returns why the request has not run; `None` where it may have run, or where a
     /// retry is of no use.
-    fn refusal(&self) -> Option<Refusal> {
+    fn refusal(&self) -> Option<RefusalReason> {
         match self {
-            Failure::NoLease => Some(Refusal::NoLease),
-            Failure::Stopping | Failure::CutOff | Failure::NoMemory => Some(Refusal::OtherRouter),
-            Failure::NoRepeat => Some(Refusal::NoRepeat),
-            Failure::NotTaken => Some(Refusal::NotTaken),
-            Failure::NoTarget | Failure::Refused => Some(Refusal::NoTarget),
-            Failure::Full => Some(Refusal::Full),
-            Failure::Resting(left) => Some(Refusal::Resting(*left)),
-            Failure::Quarantined => Some(Refusal::Quarantined),
+            Failure::NoLease => Some(RefusalReason::NoLease),
+            Failure::Stopping | Failure::CutOff | Failure::NoMemory => {
+                Some(RefusalReason::OtherRouter)
+            }
+            Failure::NoRepeat => Some(RefusalReason::NoRepeat),
+            Failure::NotTaken => Some(RefusalReason::NotTaken),
+            Failure::NoTarget | Failure::Refused => Some(RefusalReason::NoTarget),
+            Failure::Full => Some(RefusalReason::Full),
+            Failure::Resting(left) => Some(RefusalReason::Resting(*left)),
+            Failure::Quarantined => Some(RefusalReason::Quarantined),
             _ => None,
         }
     }
@@ -153,7 +155,7 @@
         *res.status_mut() = self.status();
         let after = self
             .refusal()
-            .map(|r| r.come_back_after(rand::random_range(0.0..1.0)));
+            .map(|r| r.retry_after_time(rand::random_range(0.0..1.0)));
         if let Some(after) = after
             && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", after.as_secs_f64()))
         {
@@ -163,12 +165,12 @@
     }
 }
 
-impl From<NoChoice> for Failure {
-    fn from(none: NoChoice) -> Self {
+impl From<ChoiceError> for Failure {
+    fn from(none: ChoiceError) -> Self {
         match none {
-            NoChoice::NoTarget => Failure::NoTarget,
-            NoChoice::Full(_) => Failure::Full,
-            NoChoice::Resting(left) => Failure::Resting(left),
+            ChoiceError::NoTarget => Failure::NoTarget,
+            ChoiceError::Full(_) => Failure::Full,
+            ChoiceError::Resting(left) => Failure::Resting(left),
         }
     }
 }
--- a/crates/deckwindd/src/router/routes/stall_detection.rs
+++ b/crates/deckwindd/src/router/routes/stall_detection.rs
@@ -7,7 +7,9 @@
 
 use super::reservation::Reservation;
 use crate::router::shared::RouterShared;
-use deckwind_core::routes::silence::{Answer, Found, SUSPECTED_FOR, SilenceWatch, StreamKey};
+use deckwind_core::routes::stall_detection::{
+    ProbeResult, SUSPICION_TIMEOUT, StallCheck, StallDetector, StreamKey,
+};
 use deckwind_core::routing::paths::Stage;
 use deckwind_core::time::Instant;
 use deckwind_wire::ControlRequest;
@@ -45,7 +47,7 @@
 
 #[derive(Default)]
 struct Inner {
-    detector: SilenceWatch,
+    detector: StallDetector,
     streams: HashMap<StreamKey, Entry>,
 }
 
@@ -77,7 +79,7 @@
         let mut inner = watched_streams.inner();
         let key = inner
             .detector
-            .begin(now, data_centre, reservation.addresses(), pause);
+            .watch(now, data_centre, reservation.addresses(), pause);
         let entry = Entry {
             wake: wake.clone(),
             request: request.to_string(),
@@ -102,7 +104,7 @@
             return;
         }
         let mut inner = self.inner();
-        inner.detector.told(now, failing);
+        inner.detector.suspect_reported(now, failing);
         drop(inner);
         self.check_due.notify_one();
     }
@@ -110,7 +112,7 @@
     /// Queues engines that may be slow for the report to the leader: a stream pauses
     /// though all stages of its path are there.
     fn record_slow(&self, now: Instant, key: StreamKey) {
-        let candidates = self.inner().detector.perhaps_slow(now, key);
+        let candidates = self.inner().detector.slow_candidates(now, key);
         let mut slow = self.slow.lock().expect("no holder panics");
         slow.extend(candidates);
         self.slow_changed.notify_one();
@@ -127,9 +129,9 @@
         }
     }
 
-    fn check(&self, now: Instant, due: Instant) -> Found {
+    fn check(&self, now: Instant, due: Instant) -> StallCheck {
         let mut inner = self.inner();
-        let found = inner.detector.look(now, due);
+        let found = inner.detector.check(now, due);
         let to_move = found.to_move.iter();
         for entry in to_move.filter_map(|key| inner.streams.get(key)) {
             entry.wake.notify_one();
@@ -139,8 +141,13 @@
 
     /// Records what a first engine said about a stream's path, probed or on its own.
     /// Returns the engine that is suspected because of it.
-    fn record_probe(&self, now: Instant, key: StreamKey, answer: Answer) -> Option<SocketAddr> {
-        let suspect = self.inner().detector.answered(now, key, answer);
+    fn record_probe(
+        &self,
+        now: Instant,
+        key: StreamKey,
+        answer: ProbeResult,
+    ) -> Option<SocketAddr> {
+        let suspect = self.inner().detector.record_probe(now, key, answer);
         self.check_due.notify_one();
         suspect
     }
@@ -158,9 +165,13 @@
     pub fn record_event(&self) {
         let routes = &self.shared.routes;
         let now = self.shared.clock.now();
-        let cleared = routes.watched_streams.inner().detector.event(now, self.key);
+        let cleared = routes
+            .watched_streams
+            .inner()
+            .detector
+            .record_event(now, self.key);
         for engine in cleared {
-            routes.book().cleared(engine);
+            routes.target_records().clear_suspicion(engine);
             metrics::counter!("deckwind_route_suspicions_total", "outcome" => "cleared")
                 .increment(1);
             log::info!("event=suspicion_cleared target={engine}");
@@ -173,7 +184,7 @@
         let mut inner = self.shared.routes.watched_streams.inner();
         inner
             .detector
-            .path_is(now, self.key, reservation.addresses());
+            .replace_path(now, self.key, reservation.addresses());
         if let Some(entry) = inner.streams.get_mut(&self.key) {
             entry.stages = reservation.stages().to_vec();
         }
@@ -181,7 +192,12 @@
 
     /// Records that the stream's first engine reports a stage of the path as gone.
     pub fn record_stage_gone(&self, stage: SocketAddr) {
-        handle_probe(&self.shared, self.key, Answer::Gone(stage), "path refused");
+        handle_probe(
+            &self.shared,
+            self.key,
+            ProbeResult::Gone(stage),
+            "path refused",
+        );
     }
 
     /// Waits until the stream should leave an engine on its path.
@@ -193,7 +209,7 @@
 impl Drop for StreamWatch {
     fn drop(&mut self) {
         let mut inner = self.shared.routes.watched_streams.inner();
-        inner.detector.end(self.key);
+        inner.detector.unwatch(self.key);
         inner.streams.remove(&self.key);
     }
 }
@@ -203,7 +219,7 @@
     let watched_streams = &shared.routes.watched_streams;
     let mut last = shared.clock.now();
     loop {
-        let at = watched_streams.inner().detector.look_at();
+        let at = watched_streams.inner().detector.next_check_at();
         let now = shared.clock.now();
         let at = at
             .unwrap_or(now + IDLE_CHECK_INTERVAL)
@@ -217,7 +233,7 @@
         tokio::task::yield_now().await;
         last = shared.clock.now();
         let found = watched_streams.check(last, at);
-        for key in found.to_ask {
+        for key in found.to_probe {
             tokio::spawn(probe(shared.clone(), key));
         }
     }
@@ -242,10 +258,10 @@
     let called = shared.routes.call_target(first, &call, PROBE_TIMEOUT).await;
     let answer = match &called {
         Ok(reply) if reply.status == StatusCode::CONFLICT => dialect
-            .path_refused_by(reply.status, &reply.body)
-            .map_or(Answer::Unknown, Answer::Gone),
-        Ok(_) => Answer::AllThere,
-        Err(_) => Answer::Unknown,
+            .refusing_engine(reply.status, &reply.body)
+            .map_or(ProbeResult::Unknown, ProbeResult::Gone),
+        Ok(_) => ProbeResult::AllThere,
+        Err(_) => ProbeResult::Unknown,
     };
     log::info!(
         "event=path_asked request={} first={first} status={} answer={answer:?}",
@@ -256,7 +272,7 @@
 }
 
 /// Reports engines that may be slow to the leader in an endless loop.
-pub async fn tell_slow(shared: Arc<RouterShared>) {
+pub async fn report_slow_engines(shared: Arc<RouterShared>) {
     loop {
         let engines = shared.routes.watched_streams.next_slow().await;
         let request = ControlRequest::PerhapsSlow(engines);
@@ -268,25 +284,27 @@
 
 /// Handles the result of a probe. An engine that is suspected because of it is avoided
 /// and reported to the leader.
-fn handle_probe(shared: &RouterShared, key: StreamKey, answer: Answer, why: &str) {
+fn handle_probe(shared: &RouterShared, key: StreamKey, answer: ProbeResult, why: &str) {
     let now = shared.clock.now();
     let routes = &shared.routes;
-    if answer == Answer::AllThere {
+    if answer == ProbeResult::AllThere {
         routes.watched_streams.record_slow(now, key);
     }
     let outcome = match answer {
-        Answer::Gone(_) => "confirmed",
-        Answer::AllThere => "wrong",
-        Answer::Unknown => "unanswered",
+        ProbeResult::Gone(_) => "confirmed",
+        ProbeResult::AllThere => "wrong",
+        ProbeResult::Unknown => "unanswered",
     };
     metrics::counter!("deckwind_route_suspicions_total", "outcome" => outcome).increment(1);
     let Some(engine) = routes.watched_streams.record_probe(now, key, answer) else {
         return;
     };
-    routes.book().suspect(now + SUSPECTED_FOR, engine);
+    routes
+        .target_records()
+        .mark_suspected(now + SUSPICION_TIMEOUT, engine);
     routes.report_down(engine);
     log::warn!(
         "event=target_suspected target={engine} answer={outcome} why={why:?} for_ms={}",
-        SUSPECTED_FOR.as_millis()
+        SUSPICION_TIMEOUT.as_millis()
     );
 }
--- a/crates/deckwindd/src/router/routes/target_notices.rs
+++ b/crates/deckwindd/src/router/routes/target_notices.rs
@@ -4,11 +4,11 @@
 use super::Routes;
 use deckwind_core::control::LimitKey;
 use deckwind_core::rate::Rate;
-use deckwind_core::routes::{Choice, Permit, TargetNotice};
+use deckwind_core::routes::{Permit, TargetChoice, TargetNotice};
 use deckwind_core::state::{Incarnation, Instance};
 use deckwind_core::time::Instant;
 use deckwind_net::edge::TargetCall;
-use deckwind_net::targets::{TargetError, TargetReply, call_target};
+use deckwind_net::targets::{TargetError, TargetResponse, call_target};
 use http::{HeaderMap, StatusCode};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -37,7 +37,7 @@
         address: SocketAddr,
         call: &TargetCall,
         within: Duration,
-    ) -> Result<TargetReply, TargetError> {
+    ) -> Result<TargetResponse, TargetError> {
         let incarnation = self.incarnation_at(address);
         let reply = call_target(&self.connections, address, call, within).await?;
         if let Some(life) = &incarnation {
@@ -93,8 +93,11 @@
             metrics::counter!("deckwind_route_rests_asked_total").increment(1);
             metrics::histogram!("deckwind_route_rest_seconds").record(rest.as_secs_f64());
         }
-        let change = self.book().notices.hear(now, *address, life, notice);
-        if let Some(until) = change.rests_until {
+        let change = self
+            .target_records()
+            .notices
+            .record(now, *address, life, notice);
+        if let Some(until) = change.rest_ends_at {
             log::info!(
                 "event=target_asks_rest target={address} life={life} to={in_reply_to} rest_ms={}",
                 until.since(now).as_millis()
@@ -108,8 +111,8 @@
 
     /// Records that a target has named a limit, or has answered without one.
     fn record_limit(&self, now: Instant, source: &AnswerSource, rate: Option<Rate>) {
-        let mut book = self.book();
-        if rate.is_none() && book.limits.limited() == 0 {
+        let mut book = self.target_records();
+        if rate.is_none() && book.limits.limited_count() == 0 {
             return;
         }
         let target = LimitKey {
@@ -117,7 +120,7 @@
             life: source.life.clone(),
         };
         let permitted = source.permit.map(|p| p.issued);
-        let begins = book.limits.hear(now, &target, rate, permitted);
+        let begins = book.limits.record_limit(now, &target, rate, permitted);
         drop(book);
         if let Some(rate) = rate {
             metrics::counter!("deckwind_route_limits_named_total").increment(1);
@@ -133,12 +136,12 @@
     /// Whether a target accepts nothing new by now, or takes only permitted requests
     /// and this one has no permit or an expired one. Checked just before each send,
     /// because the target may have reported it since it was chosen.
-    pub fn is_blocked(&self, now: Instant, choice: &Choice, permit: Option<&Permit>) -> bool {
+    pub fn is_blocked(&self, now: Instant, choice: &TargetChoice, permit: Option<&Permit>) -> bool {
         let target = choice.limit_key();
-        let book = self.book();
+        let book = self.target_records();
         let lacks_permit =
-            book.limits.is_limited(&target) && !permit.is_some_and(|p| p.is_good(now));
-        let is_blocked = lacks_permit || book.notices.turns_away(now, target.address, &target.life);
+            book.limits.is_limited(&target) && !permit.is_some_and(|p| p.is_valid(now));
+        let is_blocked = lacks_permit || book.notices.is_blocked(now, target.address, &target.life);
         drop(book);
         if is_blocked {
             metrics::counter!("deckwind_route_sends_held_back_total").increment(1);
--- a/crates/deckwindd/src/router/routes/target_run.rs
+++ b/crates/deckwindd/src/router/routes/target_run.rs
@@ -1,9 +1,9 @@
 //! One run of a request at one target, and how it ended.
 
 use super::http_server::Job;
-use super::poison_requests::CutRun;
+use super::poison_requests::InterruptedRun;
 use crate::router::shared::RouterShared;
-use deckwind_core::routes::Choice;
+use deckwind_core::routes::TargetChoice;
 use deckwind_core::state::{ContentDigest, Incarnation};
 use deckwind_core::time::Instant;
 use std::net::SocketAddr;
@@ -54,7 +54,7 @@
 
 impl TargetRun {
     /// Begins a run, just before the request is sent to the chosen target.
-    pub fn begin(job: &Job, choice: &Choice) -> Self {
+    pub fn begin(job: &Job, choice: &TargetChoice) -> Self {
         Self {
             shared: job.shared.clone(),
             request: job.head.id.clone(),
@@ -89,8 +89,8 @@
             RunEnd::Served => {
                 let routes = &self.shared.routes;
                 routes
-                    .suspects
-                    .served(self.shared.clock.now(), self.content);
+                    .poison_requests
+                    .record_served(self.shared.clock.now(), self.content);
             }
             RunEnd::Broke | RunEnd::Abandoned => self.report_interrupted(end),
             RunEnd::NotRun | RunEnd::Failed => {}
@@ -100,14 +100,17 @@
     fn report_interrupted(&self, end: RunEnd) {
         self.log_interrupted(end);
         let now = self.shared.clock.now();
-        let interrupted = CutRun {
+        let interrupted = InterruptedRun {
             content: self.content,
             address: self.address,
             life: &self.life,
-            ran: self.first_event.map(|at| now.since(at)),
-            broke: end == RunEnd::Broke,
+            run_time: self.first_event.map(|at| now.since(at)),
+            broken_off: end == RunEnd::Broke,
         };
-        self.shared.routes.suspects.cut(now, &interrupted);
+        self.shared
+            .routes
+            .poison_requests
+            .record_interrupted(now, &interrupted);
     }
 
     /// Logs a run that was not answered whole: which content ran where, and for how
--- a/crates/deckwindd/src/router/service.rs
+++ b/crates/deckwindd/src/router/service.rs
@@ -5,8 +5,8 @@
 use super::template_answers::{CallerError, Ran};
 use super::template_runs::TemplateRun;
 use deckwind_core::admission::RetryPolicy;
-use deckwind_core::router::{Entered, ServiceWork};
-use deckwind_core::routes::is_promise;
+use deckwind_core::router::{CheckedRequest, ServiceWork};
+use deckwind_core::routes::guarantees_not_run;
 use deckwind_core::state::ContentDigest;
 use deckwind_net::targets::{ServiceAnswer, ServiceCall, TargetError};
 use http::StatusCode;
@@ -22,7 +22,7 @@
 /// fails. The error tells whether the call may have run.
 pub async fn run(
     shared: &Arc<RouterShared>,
-    entered: &Entered,
+    entered: &CheckedRequest,
     work: &ServiceWork,
     content: ContentDigest,
     mut call: ServiceCall,
@@ -31,7 +31,7 @@
     let mut attempts = 0;
     let mut may_have_run = false;
     loop {
-        match shared.may_be_sent(&content) {
+        match shared.check_quarantine(&content) {
             Err(denied) if may_have_run => return Err(outcome_unknown(denied.code.to_string())),
             may_be_sent => may_be_sent?,
         }
@@ -59,13 +59,13 @@
         let error = match result {
             // A target that explicitly states that it did not run the call yields
             // `TargetError::Refused`. With only such a status, the call may have run.
-            Ok(answer) if is_promise(answer.status) && !entered.repeatable => {
+            Ok(answer) if guarantees_not_run(answer.status) && !entered.repeatable => {
                 let message = format!("{name} answered {} without a promise", answer.status);
                 return Err(outcome_unknown(message));
             }
             Ok(answer) => {
                 run.record_served();
-                shared.core().retries().succeeded();
+                shared.core().retries().record_success();
                 return Ok(answer);
             }
             Err(e) => e,
@@ -80,7 +80,7 @@
             entered.template,
             error.to_string()
         );
-        may_have_run |= !error.certainly_not_run();
+        may_have_run |= !error.is_certainly_not_run();
         if !may_retry(shared, entered, attempts, &error) {
             return Err(all_attempts_failed(&error, may_have_run));
         }
@@ -97,10 +97,15 @@
     Some((t.name.clone(), t.address))
 }
 
-fn may_retry(shared: &RouterShared, entered: &Entered, attempts: u32, error: &TargetError) -> bool {
+fn may_retry(
+    shared: &RouterShared,
+    entered: &CheckedRequest,
+    attempts: u32,
+    error: &TargetError,
+) -> bool {
     let now = shared.clock.now();
     let time_left = entered.start_by.since(now);
-    let not_run = error.certainly_not_run();
+    let not_run = error.is_certainly_not_run();
     let allowed = RetryPolicy::default().allows(attempts, entered.repeatable, not_run, time_left);
     allowed && shared.core().retries().spend(now)
 }
--- a/crates/deckwindd/src/router/shared.rs
+++ b/crates/deckwindd/src/router/shared.rs
@@ -7,8 +7,8 @@
 use deckwind_config::RouterSettings;
 use deckwind_core::admission::{AdmissionConfig, TicketId};
 use deckwind_core::membership::LeaseTiming;
-use deckwind_core::router::{Admitted, Denied, DeniedCode, RouterConfig, RouterCore};
-use deckwind_core::routes::Refusal;
+use deckwind_core::router::{Denied, DeniedCode, QueueOutcome, RouterConfig, RouterCore};
+use deckwind_core::routes::RefusalReason;
 use deckwind_core::routing::TargetKey;
 use deckwind_core::state::{ContentDigest, DataCentre, Revision, RouterProcess, VmName};
 use deckwind_net::clock::Clock;
@@ -94,12 +94,12 @@
                 ttl: cfg.lease,
                 ..LeaseTiming::default()
             },
-            costs: cfg
+            layer_costs_us: cfg
                 .accelerators
                 .iter()
                 .map(|(k, d)| (k.clone(), micros(d)))
                 .collect(),
-            links: cfg
+            link_latencies_us: cfg
                 .links
                 .iter()
                 .map(|(k, d)| (DataCentre::from(k.as_str()), micros(d)))
@@ -138,7 +138,7 @@
     pub fn start_rest_period(&self, key: TargetKey, rest: Duration) {
         let now = self.clock.now();
         let mut core = self.core();
-        core.target_rests(now, key, rest);
+        core.set_target_rest_period(now, key, rest);
         let name = core.fleet().get(key).map(|t| t.name.to_string());
         drop(core);
         metrics::counter!("deckwind_router_rests_asked_total").increment(1);
@@ -154,14 +154,14 @@
     /// # Errors
     ///
     /// Fails if the content is quarantined because targets crashed while running it.
-    pub fn may_be_sent(&self, content: &ContentDigest) -> Result<(), Denied> {
-        let suspects = &self.routes.suspects;
+    pub fn check_quarantine(&self, content: &ContentDigest) -> Result<(), Denied> {
+        let suspects = &self.routes.poison_requests;
         if suspects.may_send(self.clock.now(), content) {
             return Ok(());
         }
         metrics::counter!("deckwind_route_quarantined_total").increment(1);
-        let after = Refusal::Quarantined.come_back_after(rand::random_range(0.0..1.0));
-        Err(Denied::for_now(DeniedCode::Quarantined, after))
+        let after = RefusalReason::Quarantined.retry_after_time(rand::random_range(0.0..1.0));
+        Err(Denied::retryable(DeniedCode::Quarantined, after))
     }
 
     /// Locks the router core, which makes the decisions. The lock must be held for a single
@@ -186,7 +186,7 @@
     }
 
     /// Counts a request as in progress until the returned guard is dropped.
-    pub fn begin(self: &Arc<Self>) -> InProgress {
+    pub fn begin_request(self: &Arc<Self>) -> InProgress {
         self.in_progress.fetch_add(1, Ordering::Relaxed);
         InProgress(self.clone())
     }
@@ -207,11 +207,11 @@
     }
 
     /// Notifies queued requests whether they start or are denied.
-    pub fn notify_waiters(&self, admitted: Vec<Admitted>) {
+    pub fn notify_waiters(&self, admitted: Vec<QueueOutcome>) {
         for decision in admitted {
             let (id, outcome) = match decision {
-                Admitted::Start(id) => (id, Ok(())),
-                Admitted::Denied(id, denied) => (id, Err(denied)),
+                QueueOutcome::Start(id) => (id, Ok(())),
+                QueueOutcome::Denied(id, denied) => (id, Err(denied)),
             };
             let waiter = self.waiters.lock().expect("no holder panics").remove(&id);
             let was_notified = waiter.is_some_and(|tx| tx.send(outcome).is_ok());
@@ -224,7 +224,7 @@
     /// Releases a ticket, and its slot if it has one.
     pub fn release_ticket(&self, id: TicketId) {
         self.waiters.lock().expect("no holder panics").remove(&id);
-        let admitted = self.core().leave(self.clock.now(), id);
+        let admitted = self.core().release_slot(self.clock.now(), id);
         self.notify_waiters(admitted);
     }
 }
--- a/crates/deckwindd/src/router/template_callers.rs
+++ b/crates/deckwindd/src/router/template_callers.rs
@@ -13,7 +13,7 @@
     self as answers, Body, CallerError, REQUEST_ID_HEADER, Ran, response,
 };
 use bytes::Bytes;
-use deckwind_core::router::{Denied, DeniedCode, Entered, Placed, Work};
+use deckwind_core::router::{CheckedRequest, Denied, DeniedCode, SlotOutcome, Work};
 use deckwind_core::routing::prefix_hashes;
 use deckwind_core::state::{AccountName, ContentDigest, Outcome, TemplateName};
 use deckwind_net::targets::ServiceCall;
@@ -261,28 +261,32 @@
     shared: &Arc<RouterShared>,
     account: &AccountName,
     template: &TemplateName,
-) -> Result<(Entered, HeldTicket), CallerError> {
+) -> Result<(CheckedRequest, HeldTicket), CallerError> {
     let now = shared.clock.now();
-    let entered = shared.core().enter(now, account, template)?;
+    let entered = shared.core().check_request(now, account, template)?;
     let waiting = shared.register_waiter(entered.id);
-    let placed = shared.core().place(now, &entered);
+    let placed = shared.core().request_slot(now, &entered);
     let ticket = HeldTicket::new(shared, entered.id);
     match placed {
-        Ok(Placed::Start) => Ok((entered, ticket)),
-        Ok(Placed::Wait) => match waiting.await {
+        Ok(SlotOutcome::Start) => Ok((entered, ticket)),
+        Ok(SlotOutcome::Wait) => match waiting.await {
             Ok(Ok(())) => Ok((entered, ticket)),
             Ok(Err(denied)) => refuse(shared, &entered, denied),
             Err(_) => refuse(
                 shared,
                 &entered,
-                Denied::for_now(DeniedCode::Deadline, EXPIRE_INTERVAL),
+                Denied::retryable(DeniedCode::Deadline, EXPIRE_INTERVAL),
             ),
         },
         Err(denied) => refuse(shared, &entered, denied),
     }
 }
 
-fn refuse<T>(shared: &RouterShared, entered: &Entered, denied: Denied) -> Result<T, CallerError> {
+fn refuse<T>(
+    shared: &RouterShared,
+    entered: &CheckedRequest,
+    denied: Denied,
+) -> Result<T, CallerError> {
     let now = shared.clock.now();
     shared.core().answered(now, entered, None);
     Err(denied.into())
@@ -295,7 +299,7 @@
     template: TemplateName,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, CallerError> {
-    let _in_progress = shared.begin();
+    let _in_progress = shared.begin_request();
     let key = idempotency_key(req.headers())?;
     let content_type = req.headers().get(header::CONTENT_TYPE);
     let content_type = content_type.and_then(|v| v.to_str().ok());
@@ -307,10 +311,10 @@
     let (method, uri) = (req.method().clone(), req.uri().clone());
     let body = read_body(shared, req.into_body()).await?;
     let content = content_digest(&method, &uri, &account, &body);
-    shared.may_be_sent(&content)?;
+    shared.check_quarantine(&content)?;
     let (entered, _ticket) = admit(shared, &account, &template).await?;
     let Work::Service(work) = entered.work.clone() else {
-        return Err(Denied::for_good(DeniedCode::WrongTemplate).into());
+        return Err(Denied::permanent(DeniedCode::WrongTemplate).into());
     };
     let held = match claim_if_needed(shared, &entered, key.as_deref(), &body).await? {
         NeededClaim::Answer(res) => return Ok(*res),
@@ -358,7 +362,7 @@
 
 async fn claim_if_needed(
     shared: &Arc<RouterShared>,
-    entered: &Entered,
+    entered: &CheckedRequest,
     key: Option<&str>,
     body: &[u8],
 ) -> Result<NeededClaim, CallerError> {
@@ -377,18 +381,18 @@
     account: AccountName,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, CallerError> {
-    let in_progress = shared.begin();
+    let in_progress = shared.begin_request();
     let key = idempotency_key(req.headers())?;
     let received_tokens = count_received_tokens(req.headers())?;
     let (method, uri) = (req.method().clone(), req.uri().clone());
     let body = read_body(shared, req.into_body()).await?;
     let content = content_digest(&method, &uri, &account, &body);
-    shared.may_be_sent(&content)?;
+    shared.check_quarantine(&content)?;
     let chat = parse_chat(&body)?;
     let template = TemplateName::from(chat.model.as_str());
     let (entered, ticket) = admit(shared, &account, &template).await?;
     let Work::Chat(work) = entered.work.clone() else {
-        return Err(Denied::for_good(DeniedCode::WrongTemplate).into());
+        return Err(Denied::permanent(DeniedCode::WrongTemplate).into());
     };
     let held = match claim_if_needed(shared, &entered, key.as_deref(), &body).await? {
         NeededClaim::Answer(res) => return Ok(*res),
--- a/crates/deckwindd/src/router/template_runs.rs
+++ b/crates/deckwindd/src/router/template_runs.rs
@@ -5,7 +5,7 @@
 //! connections. As with published routes (`deckwind_core::routes::CutRuns`), a request
 //! content is quarantined after three crashes, and no router sends it any more.
 
-use super::routes::CutRun;
+use super::routes::InterruptedRun;
 use super::shared::RouterShared;
 use deckwind_core::state::{ContentDigest, Incarnation};
 use deckwind_core::time::Instant;
@@ -108,24 +108,27 @@
             return;
         }
         let now = self.shared.clock.now();
-        let cut = CutRun {
+        let cut = InterruptedRun {
             content: self.content,
             address: self.address,
             life: &life,
-            ran: self.first_progress_at.map(|at| now.since(at)),
+            run_time: self.first_progress_at.map(|at| now.since(at)),
             // The leader cannot probe configured targets, since it does not track them.
-            broke: false,
+            broken_off: false,
         };
-        let suspects = &self.shared.routes.suspects;
-        suspects.cut(now, &cut);
+        let suspects = &self.shared.routes.poison_requests;
+        suspects.record_interrupted(now, &cut);
         self.shared.crash_counts.record(self.address, self.number);
-        suspects.lives_over(now, vec![life]);
+        suspects.record_ended(now, vec![life]);
     }
 
     /// Records that the target has served the request and is still running.
     pub fn record_served(&self) {
         let now = self.shared.clock.now();
-        self.shared.routes.suspects.served(now, self.content);
+        self.shared
+            .routes
+            .poison_requests
+            .record_served(now, self.content);
     }
 }
 
--- a/crates/deckwindd/src/suspension.rs
+++ b/crates/deckwindd/src/suspension.rs
@@ -13,10 +13,10 @@
 
 /// Logs each suspension. Never returns.
 pub async fn watch(clock: Clock) {
-    let mut known = clock.suspended();
+    let mut known = clock.suspended_time();
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
-        let suspended = clock.suspended();
+        let suspended = clock.suspended_time();
         let duration = suspended.saturating_sub(known);
         if duration < MIN_SUSPENSION {
             continue;
