--- a/crates/deckwind-core/examples/policies/run.rs
+++ b/crates/deckwind-core/examples/policies/run.rs
@@ -99,7 +99,7 @@
 struct RunningSession {
     class: usize,
     router: usize,
-    entered: CheckedRequest,
+    checked_request: CheckedRequest,
     session: Session,
     stages: BTreeMap<StageKey, OpenStage>,
     planned: Vec<PlannedStage>,
@@ -117,7 +117,7 @@
 struct QueuedRequest {
     class: usize,
     router: usize,
-    entered: CheckedRequest,
+    checked_request: CheckedRequest,
     conversation: u32,
 }
 
@@ -380,21 +380,21 @@
         let c = self.class(class);
         let now = self.now;
         let core = &mut self.routers[router];
-        let entered = core.check_request(now, &c.account.into(), &c.template.into());
-        let Ok(entered) = entered else {
+        let checked_request = core.check_request(now, &c.account.into(), &c.template.into());
+        let Ok(checked_request) = checked_request else {
             self.refuse(class, now);
             return;
         };
         let request = QueuedRequest {
             class,
             router,
-            entered,
+            checked_request,
             conversation,
         };
-        match core.request_slot(now, &request.entered) {
+        match core.request_slot(now, &request.checked_request) {
             Ok(SlotOutcome::Start) => self.start(request),
             Ok(SlotOutcome::Wait) => {
-                let key = (router, request.entered.id);
+                let key = (router, request.checked_request.id);
                 self.queued.insert(key, request);
             }
             Err(_) => self.refuse(class, now),
@@ -418,7 +418,7 @@
                 }
                 QueueOutcome::Denied(id, _) => {
                     if let Some(w) = self.queued.remove(&(router, id)) {
-                        self.refuse(w.class, w.entered.arrived);
+                        self.refuse(w.class, w.checked_request.arrived);
                     }
                 }
             }
--- a/crates/deckwind-core/examples/policies/run/sessions.rs
+++ b/crates/deckwind-core/examples/policies/run/sessions.rs
@@ -40,7 +40,7 @@
         let mut running = RunningSession {
             class: request.class,
             router: request.router,
-            entered: request.entered,
+            checked_request: request.checked_request,
             session: Session::new(LAYERS, prompt, limits),
             stages: BTreeMap::new(),
             planned: Vec::new(),
@@ -75,7 +75,7 @@
                     }
                     self.replan(id);
                 }
-                SessionAction::Open { key, stage: with } => self.open(id, key, &with),
+                SessionAction::Open { key, stage } => self.open(id, key, &stage),
                 SessionAction::Step { key, order } => self.send_order(id, key, &order),
                 SessionAction::Deliver { .. } => self.deliver(id),
                 SessionAction::Close { key } => self.close(id, key),
@@ -132,7 +132,7 @@
             core.stage_ended(self.now, p.target, p.layers);
         }
         let c = self.scenario.classes[running.class];
-        let Work::Chat(work) = &running.entered.work else {
+        let Work::Chat(work) = &running.checked_request.work else {
             return None;
         };
         let need = ChainRequirements {
@@ -163,22 +163,26 @@
         Chain::new(stages, LAYERS).ok()
     }
 
-    pub(super) fn open(&mut self, id: u64, key: StageKey, with: &Stage) {
-        let runner = self.by_name[&with.target];
+    pub(super) fn open(&mut self, id: u64, key: StageKey, stage: &Stage) {
+        let runner = self.by_name[&stage.target];
         let Some(running) = self.sessions.get_mut(&id) else {
             return;
         };
-        let Some(i) = running.planned.iter().position(|p| p.layers == with.layers) else {
+        let Some(i) = running
+            .planned
+            .iter()
+            .position(|p| p.layers == stage.layers)
+        else {
             return;
         };
         let planned = running.planned.remove(i);
-        self.runners[runner].load += with.layers.len();
+        self.runners[runner].load += stage.layers.len();
         running.stages.insert(
             key,
             OpenStage {
                 target: planned.target,
                 runner,
-                layers: with.layers,
+                layers: stage.layers,
                 order_sent: self.now,
             },
         );
@@ -308,7 +312,7 @@
         let mut work = 1.0;
         match running.last_token {
             None => {
-                let took = now.since(running.entered.arrived);
+                let took = now.since(running.checked_request.arrived);
                 class_stats.first.saturating_record(micros(took));
                 let c = self.scenario.classes[running.class];
                 work += f64::from(c.prompt) * PREFILL_COST;
@@ -352,7 +356,7 @@
             EndReason::Complete => result.finished += 1,
             _ => result.failed += 1,
         }
-        let admitted = core.release_slot(self.now, running.entered.id);
+        let admitted = core.release_slot(self.now, running.checked_request.id);
         self.handle_admitted(running.router, admitted);
     }
 }
--- a/crates/deckwind-core/src/admission/queue.rs
+++ b/crates/deckwind-core/src/admission/queue.rs
@@ -293,7 +293,7 @@
 
     fn refusal(
         &self,
-        why: AdmissionRefusal,
+        reason: AdmissionRefusal,
         now: Instant,
         wait: Duration,
         start_by: Instant,
@@ -301,7 +301,7 @@
         let budget = start_by.since(now);
         let retry_after = wait.saturating_sub(budget);
         Refused {
-            reason: why,
+            reason,
             retry_after: retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER),
         }
     }
--- a/crates/deckwind-core/src/router/pools.rs
+++ b/crates/deckwind-core/src/router/pools.rs
@@ -78,19 +78,19 @@
     pub fn request_slot(
         &mut self,
         now: Instant,
-        entered: &CheckedRequest,
+        checked_request: &CheckedRequest,
     ) -> Result<SlotOutcome, Denied> {
-        let pool = match &entered.work {
+        let pool = match &checked_request.work {
             Work::Chat(chat) => PoolKey::Chat(chat.group.clone()),
-            Work::Service(_) => PoolKey::Service(entered.template.clone()),
+            Work::Service(_) => PoolKey::Service(checked_request.template.clone()),
         };
-        let account = self.configuration().account(&entered.account);
+        let account = self.configuration().account(&checked_request.account);
         let ticket = Ticket {
-            id: entered.id,
-            account: entered.account.clone(),
+            id: checked_request.id,
+            account: checked_request.account.clone(),
             weight: account.map_or(1, |a| a.limits.weight),
-            priority: entered.priority,
-            start_by: entered.start_by,
+            priority: checked_request.priority,
+            start_by: checked_request.start_by,
             cost: 1.0,
         };
         let Some(admission) = self.pools.get_mut(&pool) else {
@@ -104,10 +104,10 @@
             offer => {
                 let state = TicketState {
                     pool,
-                    priority: entered.priority,
+                    priority: checked_request.priority,
                     since: now,
                 };
-                self.tickets.insert(entered.id, state);
+                self.tickets.insert(checked_request.id, state);
                 let start = offer == Offer::Start;
                 Ok(if start {
                     SlotOutcome::Start
--- a/crates/deckwind-core/src/router/router_core.rs
+++ b/crates/deckwind-core/src/router/router_core.rs
@@ -266,12 +266,12 @@
                 RETRY_ELSEWHERE_AFTER,
             ));
         }
-        let entered = self.resolve(now, account, found)?;
+        let checked_request = self.resolve(now, account, found)?;
         if let Err(wait) = self.limiter.take(now, account) {
             return Err(Denied::retryable(DeniedCode::OverLimit, wait));
         }
         self.next_ticket += 1;
-        Ok(entered)
+        Ok(checked_request)
     }
 
     fn resolve(
@@ -432,13 +432,22 @@
 
     /// Counts an answer towards the service level objectives. `took` is `None` if the
     /// request failed.
-    pub fn answered(&mut self, now: Instant, entered: &CheckedRequest, took: Option<Duration>) {
-        let template = self.configuration().template(&entered.template);
+    pub fn answered(
+        &mut self,
+        now: Instant,
+        checked_request: &CheckedRequest,
+        took: Option<Duration>,
+    ) {
+        let template = self.configuration().template(&checked_request.template);
         let objective = template.map(|t| t.objective).unwrap_or_default();
         let within = Duration::from_millis(objective.within_ms);
         let good = took.is_some_and(|t| t <= within);
-        self.burn
-            .record(now, &entered.template, &entered.account, good);
+        self.burn.record(
+            now,
+            &checked_request.template,
+            &checked_request.account,
+            good,
+        );
     }
 
     /// Returns the report on service levels.
--- a/crates/deckwind-core/src/routes/choice.rs
+++ b/crates/deckwind-core/src/routes/choice.rs
@@ -138,19 +138,19 @@
 pub fn choose_path(
     model: &EngineModel,
     instances: &[Instance],
-    book: &TargetRecords,
+    records: &TargetRecords,
     own: &DataCentre,
-    room: CapacityDemand,
+    demand: CapacityDemand,
     avoid: &HashSet<SocketAddr>,
     now: Instant,
 ) -> Result<TargetChoice, ChoiceError> {
-    let need = room.need();
+    let need = demand.need();
     let find = |avoid: &HashSet<SocketAddr>| {
-        let view = book.at(now, avoid);
+        let view = records.at(now, avoid);
         find_paths(model, instances.iter(), &view, &need)
     };
     let find_any = |avoid: &HashSet<SocketAddr>| {
-        let view = book.with_faulty_at(now, avoid);
+        let view = records.with_faulty_at(now, avoid);
         find_paths(model, instances.iter(), &view, &need)
     };
     let mut found = find(avoid);
@@ -161,13 +161,13 @@
         found = find_any(&HashSet::new());
     }
     let found = found.map_err(|none| match none {
-        PathError::Broken => match time_until_chain(model, instances, book, now) {
+        PathError::Broken => match time_until_chain(model, instances, records, now) {
             Some(rest) => ChoiceError::Resting(rest),
             None => ChoiceError::NoTarget,
         },
         PathError::Full(fullest) => ChoiceError::Full(fullest),
     })?;
-    let path = draw_data_centre(found, own, room.draw).ok_or(ChoiceError::NoTarget)?;
+    let path = draw_data_centre(found, own, demand.draw).ok_or(ChoiceError::NoTarget)?;
     let first = instances.iter().find(|i| i.id == path.first_id);
     Ok(TargetChoice {
         address: path.stages[0].address,
@@ -182,14 +182,14 @@
 fn time_until_chain(
     model: &EngineModel,
     instances: &[Instance],
-    book: &TargetRecords,
+    records: &TargetRecords,
     now: Instant,
 ) -> Option<Duration> {
-    let mut ends = rest_ends(instances, book, now);
+    let mut ends = rest_ends(instances, records, now);
     ends.sort_unstable();
     let none = HashSet::new();
     let lacks_chain = |then: &Instant| {
-        let view = book.rested_by(now, *then, &none);
+        let view = records.rested_by(now, *then, &none);
         !has_chain(model, instances.iter(), &view)
     };
     let end = ends.get(ends.partition_point(lacks_chain))?;
@@ -197,16 +197,16 @@
 }
 
 /// Returns the ends of the rest periods of these targets.
-fn rest_ends(instances: &[Instance], book: &TargetRecords, now: Instant) -> Vec<Instant> {
-    let accepts_work = |i: &&Instance| accepts_work(i, book);
+fn rest_ends(instances: &[Instance], records: &TargetRecords, now: Instant) -> Vec<Instant> {
+    let accepts_work = |i: &&Instance| accepts_work(i, records);
     let accepts_work = instances.iter().filter(accepts_work);
-    let ends = accepts_work.filter_map(|i| book.rest_ends_at(now, i));
+    let ends = accepts_work.filter_map(|i| records.rest_ends_at(now, i));
     ends.collect()
 }
 
 /// Whether a target accepts new work, as far as is known. It may still be in a rest period.
-fn accepts_work(instance: &Instance, book: &TargetRecords) -> bool {
-    instance.state != InstanceState::Draining && !book.notices.leaves(instance)
+fn accepts_work(instance: &Instance, records: &TargetRecords) -> bool {
+    instance.state != InstanceState::Draining && !records.notices.leaves(instance)
 }
 
 /// Picks the path in the router's own data centre if it has capacity to spare, otherwise
@@ -233,18 +233,18 @@
 /// Returns [`ChoiceError`] if there is no target or all targets are resting.
 pub fn choose_target(
     instances: &[Instance],
-    book: &TargetRecords,
+    records: &TargetRecords,
     own: &DataCentre,
     avoid: &HashSet<SocketAddr>,
     draw: f64,
     now: Instant,
 ) -> Result<TargetChoice, ChoiceError> {
-    let accepts_work = |i: &&Instance| accepts_work(i, book);
-    let rests = |i: &Instance| book.rest_ends_at(now, i).is_some();
+    let accepts_work = |i: &&Instance| accepts_work(i, records);
+    let rests = |i: &Instance| records.rest_ends_at(now, i).is_some();
     let ready = instances.iter().filter(accepts_work).filter(|i| !rests(i));
     let ready: Vec<&Instance> = ready.collect();
     if ready.is_empty()
-        && let Some(end) = rest_ends(instances, book, now).into_iter().min()
+        && let Some(end) = rest_ends(instances, records, now).into_iter().min()
     {
         return Err(ChoiceError::Resting(end.since(now)));
     }
@@ -253,8 +253,9 @@
     let start = (draw * usable.len() as f64) as usize;
     let rotated = usable.iter().cycle().skip(start).take(usable.len());
     let cost = |i: &Instance| {
-        let is_unconfirmed = i.state == InstanceState::Silent || book.is_in_backoff(now, i.address);
-        let load = book.in_flight(i.address) * 1_000 / i.slots.max(1);
+        let is_unconfirmed =
+            i.state == InstanceState::Silent || records.is_in_backoff(now, i.address);
+        let load = records.in_flight(i.address) * 1_000 / i.slots.max(1);
         (is_unconfirmed, load, i.data_centre != *own)
     };
     let best = rotated
--- a/crates/deckwind-core/src/routes/limits.rs
+++ b/crates/deckwind-core/src/routes/limits.rs
@@ -204,15 +204,15 @@
     ) -> LimitListChanges {
         let same = self.list_revision.is_none_or(|l| l.term == term);
         self.reported_until = if same { asked } else { Instant::ZERO };
-        let mut told = LimitListChanges::default();
+        let mut changes = LimitListChanges::default();
         let Some(list) = list else {
-            return told;
+            return changes;
         };
         self.list_revision = Some(list.revision);
         for limit in &list.limits {
             if !self.known.contains_key(&limit.target) {
                 self.insert(&limit.target, limit.rate, now - limit.ago, None);
-                told.begun.push(limit.target.clone());
+                changes.begun.push(limit.target.clone());
             }
         }
         let reported_until = self.reported_until;
@@ -220,11 +220,11 @@
             let holds = known.last_received_at >= reported_until
                 || list.limits.iter().any(|l| l.target == *target);
             if !holds {
-                told.ended.push(target.clone());
+                changes.ended.push(target.clone());
             }
             holds
         });
-        told
+        changes
     }
 
     /// Removes the limits of targets that `keep` rejects.
--- a/crates/deckwind-core/src/routes/target_records.rs
+++ b/crates/deckwind-core/src/routes/target_records.rs
@@ -94,7 +94,7 @@
 
 /// View of a [`TargetRecords`] at one moment, for one request.
 pub struct TargetRecordsAt<'a> {
-    book: &'a TargetRecords,
+    records: &'a TargetRecords,
     now: Instant,
     /// Targets through which this request must not be sent.
     avoid: &'a HashSet<SocketAddr>,
@@ -108,27 +108,30 @@
     fn is_avoided(&self, instance: &Instance) -> bool {
         let address = instance.address;
         let avoided = match self.allow_faulty {
-            true => self.book.is_down(self.now, address),
-            false => self.book.is_in_backoff(self.now, address),
+            true => self.records.is_down(self.now, address),
+            false => self.records.is_in_backoff(self.now, address),
         };
-        let notices = &self.book.notices;
-        let is_blocked =
-            notices.leaves(instance) || self.book.rest_ends_at(self.rested_by, instance).is_some();
+        let notices = &self.records.notices;
+        let is_blocked = notices.leaves(instance)
+            || self
+                .records
+                .rest_ends_at(self.rested_by, instance)
+                .is_some();
         avoided || is_blocked || self.avoid.contains(&address)
     }
 
     fn load(&self, address: SocketAddr) -> StreamLoad {
-        self.book.load(address)
+        self.records.load(address)
     }
 
     fn load_when_refused(&self, address: SocketAddr) -> Option<u64> {
-        let refused = self.book.refused.get(&address);
+        let refused = self.records.refused.get(&address);
         let lately = refused.filter(|r| r.until > self.now);
         lately.map(|r| r.layer_tokens)
     }
 
     fn is_suspected(&self, address: SocketAddr) -> bool {
-        self.book.is_suspected(self.now, address) || self.book.is_slow(self.now, address)
+        self.records.is_suspected(self.now, address) || self.records.is_slow(self.now, address)
     }
 }
 
@@ -137,7 +140,7 @@
     /// in `avoid`.
     pub fn at<'a>(&'a self, now: Instant, avoid: &'a HashSet<SocketAddr>) -> TargetRecordsAt<'a> {
         TargetRecordsAt {
-            book: self,
+            records: self,
             now,
             avoid,
             allow_faulty: false,
--- a/crates/deckwind-core/src/routing/paths.rs
+++ b/crates/deckwind-core/src/routing/paths.rs
@@ -303,8 +303,8 @@
 }
 
 fn least_utilized(paths: impl Iterator<Item = EnginePath>) -> Option<Bottleneck> {
-    let fullest = paths.map(|p| p.bottleneck);
-    fullest.min_by(|a, b| a.used.total_cmp(&b.used))
+    let bottleneck = paths.map(|p| p.bottleneck);
+    bottleneck.min_by(|a, b| a.used.total_cmp(&b.used))
 }
 
 /// Returns a path that begins with `first`, for a request that already runs there. The
@@ -345,11 +345,11 @@
     // Takes the first valid path instead of the least utilized: all streams of a failed
     // stage move at once, and there are few alternatives.
     let mut sampled = (0..PATH_SAMPLES).filter_map(|sample| {
-        let mut draws = SeededRng::new(need.path_seed, sample);
+        let mut rng = SeededRng::new(need.path_seed, sample);
         let mut reroute = Reroute::default();
         for stage in path {
             match replaced(stage.address) {
-                true => reroute.replace_stage(&others, need, stage.layers, &mut draws)?,
+                true => reroute.replace_stage(&others, need, stage.layers, &mut rng)?,
                 false => reroute.stages.push(stage.clone()),
             }
         }
@@ -357,7 +357,7 @@
     });
     let reroute = sampled.next()?;
     Some(EnginePath {
-        bottleneck: reroute.fullest?,
+        bottleneck: reroute.bottleneck?,
         stages: reroute.stages,
         data_centre: first.data_centre.clone(),
         first_id: first.id.clone(),
@@ -369,12 +369,12 @@
 struct Reroute {
     stages: Vec<Stage>,
     /// The most utilized of the new stages.
-    fullest: Option<Bottleneck>,
+    bottleneck: Option<Bottleneck>,
 }
 
 impl Reroute {
     fn utilization(&self) -> f64 {
-        self.fullest.map_or(0.0, |f| f.used)
+        self.bottleneck.map_or(0.0, |f| f.used)
     }
 
     /// Assigns `layers` to other engines, sampled by free capacity and by how fast they
@@ -384,12 +384,12 @@
         others: &[Candidate],
         need: &PathRequirements,
         layers: LayerRange,
-        draws: &mut SeededRng,
+        rng: &mut SeededRng,
     ) -> Option<()> {
         let mut next = layers.first;
         while next < layers.last {
             let weight = |c: &Candidate, layers| c.sampling_weight(need, layers) / c.read_factor;
-            let (candidate, held) = sample_stage(others, need, next, draws, weight)?;
+            let (candidate, held) = sample_stage(others, need, next, rng, weight)?;
             let address = candidate.instance.address;
             let runs = LayerRange::new(next, held.last.min(layers.last));
             // An engine can appear on a path only once.
@@ -398,7 +398,7 @@
             }
             let used = candidate.utilization(need, runs);
             if used >= self.utilization() {
-                self.fullest = Some(Bottleneck { address, used });
+                self.bottleneck = Some(Bottleneck { address, used });
             }
             self.stages.push(Stage {
                 address,
@@ -429,21 +429,21 @@
     start: u32,
     sample: u64,
 ) -> Option<EnginePath> {
-    let mut draws = SeededRng::new(need.path_seed, sample);
+    let mut rng = SeededRng::new(need.path_seed, sample);
     let mut picked: Vec<(&Candidate, LayerRange)> = Vec::new();
     let mut next = start;
     while next < model.layers {
         let weight = |c: &Candidate, layers| c.sampling_weight(need, layers);
-        let (candidate, layers) = sample_stage(candidates, need, next, &mut draws, weight)?;
+        let (candidate, layers) = sample_stage(candidates, need, next, &mut rng, weight)?;
         picked.push((candidate, layers));
         next = layers.last;
     }
     let (first, _) = picked.first()?;
-    let fullest = picked.iter().map(|(c, layers)| Bottleneck {
+    let bottleneck = picked.iter().map(|(c, layers)| Bottleneck {
         address: c.instance.address,
         used: c.utilization(need, *layers),
     });
-    let fullest = fullest.max_by(|a, b| a.used.total_cmp(&b.used))?;
+    let bottleneck = bottleneck.max_by(|a, b| a.used.total_cmp(&b.used))?;
     let stage = |(c, layers): &(&Candidate, LayerRange)| Stage {
         address: c.instance.address,
         layers: *layers,
@@ -452,7 +452,7 @@
         data_centre: first.instance.data_centre.clone(),
         first_id: first.instance.id.clone(),
         stages: picked.iter().map(stage).collect(),
-        bottleneck: fullest,
+        bottleneck,
     })
 }
 
@@ -461,7 +461,7 @@
     candidates: &'c [Candidate<'a>],
     need: &PathRequirements,
     first: u32,
-    draws: &mut SeededRng,
+    rng: &mut SeededRng,
     weight: impl Fn(&Candidate, LayerRange) -> f64,
 ) -> Option<(&'c Candidate<'a>, LayerRange)> {
     let eligible = candidates.iter().map(|c| (c, c.layers_from(first)));
@@ -469,6 +469,6 @@
         eligible.filter(|(c, layers)| !layers.is_empty() && c.has_capacity(need, *layers));
     let eligible: Vec<(&Candidate, LayerRange)> = eligible.collect();
     let weights = eligible.iter().map(|(c, layers)| weight(c, *layers));
-    let index = draws.weighted_index(weights);
+    let index = rng.weighted_index(weights);
     eligible.get(index?).copied()
 }
--- a/crates/deckwind-testkit/tests/testsuite/crowding.rs
+++ b/crates/deckwind-testkit/tests/testsuite/crowding.rs
@@ -38,7 +38,7 @@
     engines: Vec<Instance>,
     capacity: HashMap<SocketAddr, f64>,
     load: HashMap<SocketAddr, f64>,
-    books: Vec<TargetRecords>,
+    records: Vec<TargetRecords>,
     data_centres: Vec<DataCentre>,
     streams: Vec<(Instant, usize, Vec<Stage>)>,
 }
@@ -59,7 +59,7 @@
             capacity: engines.iter().map(capacity).collect(),
             engines,
             load: HashMap::new(),
-            books: vec![TargetRecords::default(); ROUTERS],
+            records: vec![TargetRecords::default(); ROUTERS],
             data_centres: (0..ROUTERS).map(centre).collect(),
             streams: Vec::new(),
         }
@@ -71,9 +71,9 @@
             claim: RequestClass::New,
             draw,
         };
-        let (book, own) = (&self.books[router], &self.data_centres[router]);
+        let (records, own) = (&self.records[router], &self.data_centres[router]);
         let none = HashSet::new();
-        choose_path(&model(), &self.engines, book, own, demand, &none, now).ok()
+        choose_path(&model(), &self.engines, records, own, demand, &none, now).ok()
     }
 
     /// Begins a stream.
@@ -98,7 +98,7 @@
         for s in &stages {
             *self.load.entry(s.address).or_default() += tokens_needed(s);
         }
-        self.books[router].add_load(&stages, COUNTED_TOKENS);
+        self.records[router].add_load(&stages, COUNTED_TOKENS);
         self.streams.push((until, router, stages));
         Ok(())
     }
@@ -111,21 +111,21 @@
                 let tokens_needed = HELD_TOKENS as f64 * f64::from(s.layers.len());
                 *self.load.entry(s.address).or_default() -= tokens_needed;
             }
-            self.books[router].remove_load(&stages, COUNTED_TOKENS);
+            self.records[router].remove_load(&stages, COUNTED_TOKENS);
         }
     }
 
     /// Sends each router the current load of the others' streams.
     fn send_load_updates(&mut self) {
         let mut totals: HashMap<SocketAddr, StreamLoad> = HashMap::new();
-        for one in self.books.iter().flat_map(TargetRecords::own_engine_load) {
+        for one in self.records.iter().flat_map(TargetRecords::own_engine_load) {
             let total = totals.entry(one.address).or_default();
             total.layer_tokens += one.layer_tokens;
             total.begun += one.begun;
         }
-        for book in &mut self.books {
+        for records in &mut self.records {
             let mut others = totals.clone();
-            for one in book.own_engine_load() {
+            for one in records.own_engine_load() {
                 let total = others.entry(one.address).or_default();
                 total.layer_tokens -= one.layer_tokens;
                 total.begun -= one.begun;
@@ -133,7 +133,7 @@
             let uses = others
                 .into_iter()
                 .map(|(a, load)| EngineStreamLoad::new(a, load));
-            book.set_others_load(&uses.collect::<Vec<_>>());
+            records.set_others_load(&uses.collect::<Vec<_>>());
         }
     }
 }
@@ -249,7 +249,7 @@
         while pending_notices.front().is_some_and(|(at, _)| *at <= now) {
             let (_, full) = pending_notices.pop_front().expect("the queue is not empty");
             simulation
-                .books
+                .records
                 .iter_mut()
                 .for_each(|b| b.record_full_engines(now, &[full]));
         }
@@ -270,9 +270,9 @@
             rejections += 1.0;
             let can_retry = budget >= 1.0;
             match notice {
-                RefusalNotice::OneRouter => simulation.books[router].avoid_full_engine(now, full),
+                RefusalNotice::OneRouter => simulation.records[router].avoid_full_engine(now, full),
                 RefusalNotice::AllRoutersAfter(delay) => {
-                    let full = simulation.books[router].record_refusal(now, full);
+                    let full = simulation.records[router].record_refusal(now, full);
                     pending_notices.push_back((now + delay, full));
                 }
             }
--- a/crates/deckwind-testkit/tests/testsuite/engine_use.rs
+++ b/crates/deckwind-testkit/tests/testsuite/engine_use.rs
@@ -63,24 +63,24 @@
 /// is the load of other routers.
 #[test]
 fn a_router_counts_its_own_streams_once() {
-    let mut book = TargetRecords::default();
+    let mut records = TargetRecords::default();
     let own = [EngineStreamLoad::new(engine_address(1), load(300, 1))];
     let all = vec![EngineStreamLoad::new(engine_address(1), load(1_000, 3))];
-    book.apply_load_update(&own, Some(&update(1, true, all)));
+    records.apply_load_update(&own, Some(&update(1, true, all)));
     // The router's own streams have ended since its report.
-    assert_eq!(book.load(engine_address(1)), load(700, 2));
+    assert_eq!(records.load(engine_address(1)), load(700, 2));
     // The router reported nothing, and the load of the others is unchanged.
-    book.apply_load_update(&[], None);
-    assert_eq!(book.load(engine_address(1)), load(1_000, 3));
+    records.apply_load_update(&[], None);
+    assert_eq!(records.load(engine_address(1)), load(1_000, 3));
 }
 
 /// Engines that an update doesn't name keep their load, unless it is a full update, such
 /// as the first one of another leader.
 #[test]
 fn engines_keep_their_load_until_an_update_names_them_or_is_full() {
-    let mut book = TargetRecords::default();
+    let mut records = TargetRecords::default();
     let engine_load = |port, tokens| EngineStreamLoad::new(engine_address(port), load(tokens, 0));
-    book.apply_load_update(
+    records.apply_load_update(
         &[],
         Some(&update(
             1,
@@ -88,7 +88,7 @@
             vec![engine_load(1, 10), engine_load(2, 20)],
         )),
     );
-    book.apply_load_update(
+    records.apply_load_update(
         &[],
         Some(&update(
             2,
@@ -96,12 +96,13 @@
             vec![engine_load(2, 25), engine_load(3, 30)],
         )),
     );
-    let tokens =
-        |book: &TargetRecords| [1, 2, 3].map(|port| book.load(engine_address(port)).layer_tokens);
-    assert_eq!(tokens(&book), [10, 25, 30]);
-    book.apply_load_update(&[], Some(&update(3, false, vec![engine_load(2, 0)])));
-    assert_eq!(tokens(&book), [10, 0, 30]);
-    book.apply_load_update(&[], Some(&update(1, true, vec![engine_load(3, 5)])));
-    assert_eq!(tokens(&book), [0, 0, 5]);
-    assert_eq!(book.load_position().map(|known| known.number), Some(1));
+    let tokens = |records: &TargetRecords| {
+        [1, 2, 3].map(|port| records.load(engine_address(port)).layer_tokens)
+    };
+    assert_eq!(tokens(&records), [10, 25, 30]);
+    records.apply_load_update(&[], Some(&update(3, false, vec![engine_load(2, 0)])));
+    assert_eq!(tokens(&records), [10, 0, 30]);
+    records.apply_load_update(&[], Some(&update(1, true, vec![engine_load(3, 5)])));
+    assert_eq!(tokens(&records), [0, 0, 5]);
+    assert_eq!(records.load_position().map(|known| known.number), Some(1));
 }
--- a/crates/deckwind-testkit/tests/testsuite/held_back.rs
+++ b/crates/deckwind-testkit/tests/testsuite/held_back.rs
@@ -185,14 +185,14 @@
     all: &mut AnswerArena<()>,
     account: u64,
     bytes: u64,
-    pieces: u32,
+    chunks: u32,
     since: u64,
 ) -> LaggingCaller {
     LaggingCaller {
         key: all.insert(()),
         account,
         bytes,
-        chunks: pieces,
+        chunks,
         since: Instant::from_millis(since),
     }
 }
--- a/crates/deckwind-testkit/tests/testsuite/lives_at_routers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/lives_at_routers.rs
@@ -157,27 +157,27 @@
     let address = ([127, 0, 0, 1], 9).into();
     let now = Instant::from_millis(1_000);
     let later = now + Duration::from_millis(100);
-    let mut book = TargetRecords::default();
-    book.record_start(&[address]);
+    let mut records = TargetRecords::default();
+    records.record_start(&[address]);
     for i in 0..4 {
         let at = now + Duration::from_secs(i * 10);
-        book.record_failure(at, address, TargetFault::Down);
+        records.record_failure(at, address, TargetFault::Down);
     }
     let now = now + Duration::from_secs(30);
-    assert!(book.is_in_backoff(now, address) && book.is_down(now, address));
-    assert_eq!(book.down_targets(now), [address]);
-    book.reset_target(later + Duration::from_secs(31), address);
-    assert!(!book.is_in_backoff(now, address) && !book.is_down(now, address));
+    assert!(records.is_in_backoff(now, address) && records.is_down(now, address));
+    assert_eq!(records.down_targets(now), [address]);
+    records.reset_target(later + Duration::from_secs(31), address);
+    assert!(!records.is_in_backoff(now, address) && !records.is_down(now, address));
     assert!(
-        book.down_targets(now).is_empty(),
+        records.down_targets(now).is_empty(),
         "the failure is no longer reported to other routers"
     );
-    assert!(book.is_unconfirmed(now, address));
+    assert!(records.is_unconfirmed(now, address));
     assert_eq!(
-        book.in_flight(address),
+        records.in_flight(address),
         1,
         "requests in flight are still counted"
     );
-    let first = book.record_failure(now, address, TargetFault::Down);
+    let first = records.record_failure(now, address, TargetFault::Down);
     assert_eq!(first, Duration::from_millis(500), "the backoff starts over");
 }
--- a/crates/deckwind-testkit/tests/testsuite/notices.rs
+++ b/crates/deckwind-testkit/tests/testsuite/notices.rs
@@ -200,12 +200,12 @@
 }
 
 fn choose(
-    book: &TargetRecords,
+    records: &TargetRecords,
     targets: &[Instance],
     avoid: &[u32],
 ) -> Result<TargetChoice, ChoiceError> {
     let avoid = avoid.iter().map(|n| address(*n)).collect();
-    choose_target(targets, book, &"a".into(), &avoid, 0.0, START)
+    choose_target(targets, records, &"a".into(), &avoid, 0.0, START)
 }
 
 /// Arguments: rest periods of three targets in ms, targets that leave, targets that the request
@@ -226,21 +226,22 @@
     expected: Result<&[u32], Option<u64>>,
 ) {
     let targets: Vec<Instance> = (1..=3).map(|n| target(n, 7)).collect();
-    let mut book = TargetRecords::default();
+    let mut records = TargetRecords::default();
     for (instance, ms) in targets.iter().zip(rests) {
         let notice = if ms > 0 {
             rest(ms)
         } else {
             TargetNotice::default()
         };
-        book.notices
+        records
+            .notices
             .record(START, instance.address, &instance.incarnation(), &notice);
     }
     for n in leaving {
         let life = target(*n, 7).incarnation();
-        book.notices.record(START, address(*n), &life, &leaves());
+        records.notices.record(START, address(*n), &life, &leaves());
     }
-    match (choose(&book, &targets, sent_to), expected) {
+    match (choose(&records, &targets, sent_to), expected) {
         (Ok(choice), Ok(any)) => assert!(any.iter().any(|n| choice.address == address(*n))),
         (Err(ChoiceError::NoTarget), Err(None)) => {}
         (Err(ChoiceError::Resting(left)), Err(Some(ms))) => {
@@ -257,14 +258,14 @@
 };
 
 fn path(
-    book: &TargetRecords,
+    records: &TargetRecords,
     engines: &[Instance],
     avoid: &HashSet<SocketAddr>,
 ) -> Result<TargetChoice, ChoiceError> {
     choose_path(
         &model(),
         engines,
-        book,
+        records,
         &"a".into(),
         REQUIRED_CAPACITY,
         avoid,
@@ -292,11 +293,12 @@
     let (engines, _) = two_chains();
     let used: Vec<&Instance> = engines.iter().filter(|e| !e.layers.is_empty()).collect();
     for (instance, notice) in used.iter().flat_map(|e| [(e, rest(500)), (e, leaves())]) {
-        let mut book = TargetRecords::default();
-        book.notices
+        let mut records = TargetRecords::default();
+        records
+            .notices
             .record(START, instance.address, &instance.incarnation(), &notice);
         let chosen =
-            path(&book, &engines, &HashSet::new()).expect("a path in the other data centre");
+            path(&records, &engines, &HashSet::new()).expect("a path in the other data centre");
         let stages = chosen.path.expect("a path").stages;
         assert!(stages.iter().all(|s| s.address != instance.address));
     }
@@ -307,15 +309,16 @@
 #[test]
 fn where_every_chain_lacks_an_engine_that_rests_the_first_whole_one_counts() {
     let (engines, first) = two_chains();
-    let mut book = TargetRecords::default();
+    let mut records = TargetRecords::default();
     for (instance, ms) in first.iter().zip([3_000, 2_000]) {
-        book.notices
+        records
+            .notices
             .record(START, instance.address, &instance.incarnation(), &rest(ms));
     }
     // The rest periods of the last stages are longer than one of the first, and a path over
     // two data centres would need one of them too.
     for instance in engines.iter().filter(|e| e.layers.last == model().layers) {
-        book.notices.record(
+        records.notices.record(
             START,
             instance.address,
             &instance.incarnation(),
@@ -324,13 +327,13 @@
     }
     let avoid: HashSet<SocketAddr> = engines.iter().map(|e| e.address).collect();
     for avoid in [HashSet::new(), avoid] {
-        let error =
-            path(&book, &engines, &avoid).expect_err("all chains have an engine in a rest period");
+        let error = path(&records, &engines, &avoid)
+            .expect_err("all chains have an engine in a rest period");
         assert_eq!(error, ChoiceError::Resting(Duration::from_millis(2_500)));
     }
     let mut without_first_stage = engines.clone();
     without_first_stage.retain(|e| first.iter().all(|f| f.address != e.address));
-    let error = path(&book, &without_first_stage, &HashSet::new());
+    let error = path(&records, &without_first_stage, &HashSet::new());
     assert_eq!(
         error,
         Err(ChoiceError::NoTarget),
@@ -343,13 +346,14 @@
 fn the_rest_of_a_target_that_drains_is_not_waited_for() {
     let mut targets = vec![target(1, 7), target(2, 7)];
     targets[0].state = InstanceState::Draining;
-    let mut book = TargetRecords::default();
+    let mut records = TargetRecords::default();
     for (instance, ms) in targets.iter().zip([1_000, 9_000]) {
-        book.notices
+        records
+            .notices
             .record(START, instance.address, &instance.incarnation(), &rest(ms));
     }
     let error =
-        choose(&book, &targets, &[]).expect_err("one target drains, one is in a rest period");
+        choose(&records, &targets, &[]).expect_err("one target drains, one is in a rest period");
     assert_eq!(error, ChoiceError::Resting(Duration::from_secs(9)));
 }
 
--- a/crates/deckwind-testkit/tests/testsuite/paths.rs
+++ b/crates/deckwind-testkit/tests/testsuite/paths.rs
@@ -156,11 +156,8 @@
     let all = overlapping();
     let suspect = all[suspect].address;
     let view = SuspectedEngines(vec![suspect]);
-    for draw in 0..20 {
-        let need = PathRequirements {
-            path_seed: draw,
-            ..NEED
-        };
+    for path_seed in 0..20 {
+        let need = PathRequirements { path_seed, ..NEED };
         let found = find_paths(&model, all.iter(), &view, &need).expect("a path");
         let is_used = found[0].stages.iter().any(|s| s.address == suspect);
         assert_eq!(is_used, used);
@@ -180,13 +177,13 @@
 }
 
 fn choose(
-    book: &TargetRecords,
+    records: &TargetRecords,
     all: &[Instance],
     demand: CapacityDemand,
 ) -> Result<TargetChoice, ChoiceError> {
     let own = all[0].data_centre.clone();
     let now = Instant::from_millis(1);
-    choose_path(&model(), all, book, &own, demand, &HashSet::new(), now)
+    choose_path(&model(), all, records, &own, demand, &HashSet::new(), now)
 }
 
 fn demand(tokens: u64, begun: bool, draw: u64) -> CapacityDemand {
@@ -220,16 +217,16 @@
 )]
 fn requests_fill_all_engines_evenly_and_none_beyond_its_memory(chains: usize) {
     let all = instances(&several_chains(chains));
-    let mut book = TargetRecords::default();
+    let mut records = TargetRecords::default();
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut placed = 0;
     let refused = loop {
         let demand = demand(900, false, rng.random());
-        match choose(&book, &all, demand) {
+        match choose(&records, &all, demand) {
             Ok(choice) => {
                 let path = choice.path.expect("a path");
                 assert!(path.bottleneck.used <= 1.0);
-                book.add_load(&path.stages, demand.tokens);
+                records.add_load(&path.stages, demand.tokens);
                 placed += 1;
             }
             Err(none) => break none,
@@ -242,7 +239,7 @@
         "{placed} of {expected}: some engine filled up before the others"
     );
     assert!(
-        choose(&book, &all, demand(900, true, 1)).is_ok(),
+        choose(&records, &all, demand(900, true, 1)).is_ok(),
         "a request that has begun may go a little beyond the limit"
     );
 }
@@ -250,8 +247,8 @@
 #[test]
 fn what_other_routers_hold_counts_as_ones_own() {
     let all = instances(&several_chains(2));
-    let mut book = TargetRecords::default();
-    let first = choose(&book, &all, demand(900, false, 1)).expect("a path");
+    let mut records = TargetRecords::default();
+    let first = choose(&records, &all, demand(900, false, 1)).expect("a path");
     let path = first.path.expect("a path");
     let load = |stage: &deckwind_core::routing::paths::Stage| EngineStreamLoad {
         address: stage.address,
@@ -259,15 +256,15 @@
         begun: 100,
     };
     let loads: Vec<EngineStreamLoad> = path.stages.iter().map(load).collect();
-    book.set_others_load(&loads);
+    records.set_others_load(&loads);
     for draw in 0..20 {
-        let next = choose(&book, &all, demand(900, false, draw)).expect("the other chain");
+        let next = choose(&records, &all, demand(900, false, draw)).expect("the other chain");
         let next = next.path.expect("a path");
         let is_on_path = |a: &SocketAddr| path.stages.iter().any(|s| s.address == *a);
         assert!(!next.stages.iter().any(|s| is_on_path(&s.address)));
     }
-    book.set_others_load(&[]);
-    assert_eq!(book.load(path.stages[0].address), StreamLoad::default());
+    records.set_others_load(&[]);
+    assert_eq!(records.load(path.stages[0].address), StreamLoad::default());
 }
 
 #[test]
@@ -275,10 +272,10 @@
     let mut all = instances(&several_chains(1));
     let large = demand(80_000, false, 1);
     assert!(choose(&TargetRecords::default(), &all, large).is_ok());
-    let mut book = TargetRecords::default();
-    let path = choose(&book, &all, demand(1_000, false, 1)).expect("a path");
-    book.add_load(&path.path.expect("a path").stages, 1_000);
-    assert!(choose(&book, &all, large).is_ok());
+    let mut records = TargetRecords::default();
+    let path = choose(&records, &all, demand(1_000, false, 1)).expect("a path");
+    records.add_load(&path.path.expect("a path").stages, 1_000);
+    assert!(choose(&records, &all, large).is_ok());
     for engine in &mut all {
         engine.in_memory = engine.layers.len() + 1;
     }
@@ -287,7 +284,7 @@
         .filter(|i| i.accelerator.as_deref() == Some("small"));
     assert!(small_engines.count() > 0);
     assert!(
-        choose(&book, &all, large).is_err(),
+        choose(&records, &all, large).is_err(),
         "a small engine keeps 54,000 tokens beside seven layers"
     );
 }
@@ -295,27 +292,27 @@
 #[test]
 fn memory_that_streams_give_back_can_be_given_again() {
     let all = instances(&several_chains(1));
-    let mut book = TargetRecords::default();
-    let path = choose(&book, &all, demand(60_000, false, 1)).expect("a path");
+    let mut records = TargetRecords::default();
+    let path = choose(&records, &all, demand(60_000, false, 1)).expect("a path");
     let path = path.path.expect("a path");
-    book.add_load(&path.stages, 60_000);
-    assert!(choose(&book, &all, demand(60_000, false, 2)).is_err());
-    book.remove_load(&path.stages, 60_000);
-    assert!(choose(&book, &all, demand(60_000, false, 2)).is_ok());
-    assert!(book.own_engine_load().is_empty());
+    records.add_load(&path.stages, 60_000);
+    assert!(choose(&records, &all, demand(60_000, false, 2)).is_err());
+    records.remove_load(&path.stages, 60_000);
+    assert!(choose(&records, &all, demand(60_000, false, 2)).is_ok());
+    assert!(records.own_engine_load().is_empty());
 }
 
 #[test]
 fn an_engine_without_room_is_avoided_for_a_moment_and_not_reported() {
-    let mut book = TargetRecords::default();
+    let mut records = TargetRecords::default();
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     let at = Instant::from_millis;
     for _ in 0..10 {
-        book.record_refusal(at(1_000), address);
+        records.record_refusal(at(1_000), address);
     }
-    assert!(book.is_in_backoff(at(1_200), address));
+    assert!(records.is_in_backoff(at(1_200), address));
     assert!(
-        !book.is_in_backoff(at(1_400), address),
+        !records.is_in_backoff(at(1_400), address),
         "however often it refused"
     );
 }
@@ -324,7 +321,7 @@
 #[test]
 fn routers_with_the_same_old_report_do_not_rush_to_one_chain() {
     let all = instances(&several_chains(4));
-    let mut book = TargetRecords::default();
+    let mut records = TargetRecords::default();
     let is_unloaded = |i: &&Instance| i.layers.first == 0 && i.id.ends_with("-0");
     let loaded = all.iter().filter(|i| !is_unloaded(i));
     let half_load = |i: &Instance| EngineStreamLoad {
@@ -333,10 +330,10 @@
         begun: 40,
     };
     let loads: Vec<EngineStreamLoad> = loaded.map(half_load).collect();
-    book.set_others_load(&loads);
+    records.set_others_load(&loads);
     let mut begun = std::collections::BTreeMap::new();
     for draw in 0..200 {
-        let path = choose(&book, &all, demand(900, false, draw)).expect("free capacity");
+        let path = choose(&records, &all, demand(900, false, draw)).expect("free capacity");
         *begun.entry(path.address).or_insert(0) += 1;
     }
     let most = begun.values().max().copied().unwrap_or_default();
@@ -356,7 +353,7 @@
         all.extend(cards);
     }
     let all = instances(&all);
-    let mut book = TargetRecords::default();
+    let mut records = TargetRecords::default();
     let tokens = |i: &Instance| match i.data_centre.as_str() {
         "a" => 85_000,
         "b" => 60_000,
@@ -368,10 +365,10 @@
         begun: 50,
     };
     let loads: Vec<EngineStreamLoad> = all.iter().map(load).collect();
-    book.set_others_load(&loads);
+    records.set_others_load(&loads);
     let mut begun = std::collections::BTreeMap::new();
     for draw in 0..300 {
-        let path = choose(&book, &all, demand(900, false, draw)).expect("free capacity");
+        let path = choose(&records, &all, demand(900, false, draw)).expect("free capacity");
         let path = path.path.expect("a path");
         *begun.entry(path.data_centre.to_string()).or_insert(0) += 1;
     }
@@ -385,25 +382,28 @@
     fails_one_of_five = { &[false, true, true, true, true], 1_000 },
 )]
 fn a_target_that_fails_often_is_avoided_for_longer(answers: &[bool], max_backoff_ms: u64) {
-    let mut book = TargetRecords::default();
+    let mut records = TargetRecords::default();
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
     let mut longest = std::time::Duration::ZERO;
     for (i, is_good) in answers.iter().cycle().take(60).enumerate() {
         // Each request is sent well after the previous one.
         let now = Instant::from_millis(10_000 * (i as u64 + 1));
         match is_good {
-            true => book.record_success(address),
-            false => longest = longest.max(book.record_failure(now, address, TargetFault::Answer)),
+            true => records.record_success(address),
+            false => {
+                longest = longest.max(records.record_failure(now, address, TargetFault::Answer))
+            }
         }
     }
     let is_long = max_backoff_ms >= 2_000;
     assert_eq!(longest.as_millis() as u64 >= 2_000, is_long, "{longest:?}");
     for _ in 0..8 {
-        book.record_success(address);
+        records.record_success(address);
     }
     let now = Instant::from_millis(10_000_000);
     assert_eq!(
-        book.record_failure(now, address, TargetFault::Answer)
+        records
+            .record_failure(now, address, TargetFault::Answer)
             .as_millis(),
         500,
         "the backoff is short again"
@@ -428,20 +428,20 @@
         all.extend(cards);
     }
     let all = instances(&all);
-    let mut book = TargetRecords::default();
+    let mut records = TargetRecords::default();
     let is_full = |i: &&Instance| i.data_centre.as_str() == "b";
     let loads = all.iter().filter(is_full).map(|i| EngineStreamLoad {
         address: i.address,
         layer_tokens: 100_000 * u64::from(i.layers.len()),
         begun: 100,
     });
-    book.set_others_load(&loads.collect::<Vec<EngineStreamLoad>>());
+    records.set_others_load(&loads.collect::<Vec<EngineStreamLoad>>());
     let first = all.iter().find(|i| i.layers.first == 0).expect("an engine");
-    book.record_failure(Instant::from_millis(1_000), first.address, fault);
-    let chosen = choose(&book, &all, demand(900, false, 1));
+    records.record_failure(Instant::from_millis(1_000), first.address, fault);
+    let chosen = choose(&records, &all, demand(900, false, 1));
     assert_eq!(chosen.is_ok(), used, "{chosen:?}");
     assert_eq!(
-        book.is_unconfirmed(Instant::from_millis(1_000), first.address),
+        records.is_unconfirmed(Instant::from_millis(1_000), first.address),
         !used,
         "streams leave only an engine that is down"
     );
@@ -451,12 +451,12 @@
 /// down for the whole backoff, not only for the rest of the earlier one.
 #[test]
 fn an_engine_that_is_avoided_and_then_down_is_down_for_the_whole_time() {
-    let mut book = TargetRecords::default();
+    let mut records = TargetRecords::default();
     let address = SocketAddr::from(([127, 0, 0, 1], 9));
-    book.record_refusal(Instant::from_millis(1_000), address);
-    let wait = book.record_failure(Instant::from_millis(1_280), address, TargetFault::Down);
+    records.record_refusal(Instant::from_millis(1_000), address);
+    let wait = records.record_failure(Instant::from_millis(1_280), address, TargetFault::Down);
     assert_eq!(wait.as_millis(), 500);
-    assert!(book.is_down(Instant::from_millis(1_700), address));
+    assert!(records.is_down(Instant::from_millis(1_700), address));
 }
 
 /// A caller that was refused and retries names a shorter wait time than at first.
@@ -492,16 +492,16 @@
     let mut cards = cards("a", 0, 4, 8);
     place(&mut cards);
     let all = instances(&cards);
-    let mut book = TargetRecords::default();
+    let mut records = TargetRecords::default();
     let loads = all.iter().map(|i| EngineStreamLoad {
         address: i.address,
         layer_tokens: 94_500 * u64::from(i.layers.len()),
         begun: 80,
     });
-    book.set_others_load(&loads.collect::<Vec<EngineStreamLoad>>());
+    records.set_others_load(&loads.collect::<Vec<EngineStreamLoad>>());
     let demand = CapacityDemand {
         claim,
         ..demand(900, false, 1)
     };
-    assert_eq!(choose(&book, &all, demand).is_ok(), has_capacity);
+    assert_eq!(choose(&records, &all, demand).is_ok(), has_capacity);
 }
--- a/crates/deckwind-testkit/tests/testsuite/rejections.rs
+++ b/crates/deckwind-testkit/tests/testsuite/rejections.rs
@@ -132,16 +132,16 @@
 
 #[test]
 fn an_engine_that_refused_holds_no_more_than_it_did_for_a_moment() {
-    let mut book = TargetRecords::default();
+    let mut records = TargetRecords::default();
     let full = EngineFull {
         address: engine(),
         layer_tokens: 700,
     };
-    book.record_full_engines(START, &[full]);
+    records.record_full_engines(START, &[full]);
     let none = HashSet::new();
     let at = |ms: u64| {
         let now = START + Duration::from_millis(ms);
-        book.at(now, &none).load_when_refused(engine())
+        records.at(now, &none).load_when_refused(engine())
     };
     assert_eq!(at(0), Some(700));
     assert_eq!(at(240), Some(700));
--- a/crates/deckwind-testkit/tests/testsuite/slow.rs
+++ b/crates/deckwind-testkit/tests/testsuite/slow.rs
@@ -185,9 +185,9 @@
     }
     let all = instances(&cards);
     let slow = all[1].address;
-    let mut book = TargetRecords::default();
+    let mut records = TargetRecords::default();
     let reported_at = Instant::from_millis(1_000);
-    book.set_slow(
+    records.set_slow(
         reported_at + Duration::from_millis(1_600),
         [slow].into_iter(),
     );
@@ -199,7 +199,7 @@
             draw,
         };
         let own = all[0].data_centre.clone();
-        let choice = choose_path(&model(), &all, &book, &own, demand, &HashSet::new(), now);
+        let choice = choose_path(&model(), &all, &records, &own, demand, &HashSet::new(), now);
         let path = choice.expect("free capacity").path.expect("a path");
         path.stages.iter().any(|s| s.address == slow)
     };
--- a/crates/deckwindd/src/control/calls.rs
+++ b/crates/deckwindd/src/control/calls.rs
@@ -55,7 +55,7 @@
 struct Calls {
     handle: ControlHandle,
     /// Limit on the bytes of bodies and documents in memory.
-    room: Arc<ByteBudget>,
+    budget: Arc<ByteBudget>,
     dialect: Arc<dyn ControlDialect>,
     /// Address on which this replica accepts calls.
     address: SocketAddr,
@@ -78,7 +78,7 @@
     let listener = listen(address).with_context(|| format!("failed to bind TCP {address}"))?;
     let calls = Arc::new(Calls {
         handle,
-        room: ByteBudget::new(MAX_HELD_BYTES),
+        budget: ByteBudget::new(MAX_HELD_BYTES),
         dialect: cx.dialects.control.clone(),
         address,
         port: cx.settings.seeds.is_some().then_some(address.port()),
@@ -117,7 +117,7 @@
 ) -> Result<Response<AnswerBody>, Infallible> {
     let (head, body) = req.into_parts();
     let path = head.uri.path();
-    let mut reservation = calls.room.reservation();
+    let mut reservation = calls.budget.reservation();
     let collecting = collect(body, MAX_BODY_BYTES, &mut reservation);
     let body = match tokio::time::timeout(BODY_TIMEOUT, collecting).await {
         Ok(Ok(body)) => body,
@@ -156,11 +156,11 @@
     /// Answers with a document, whose bytes count as held until a slow caller has read
     /// them.
     fn document(&self, path: &str, document: Bytes) -> Response<AnswerBody> {
-        let mut reservation = self.room.reservation();
+        let mut reservation = self.budget.reservation();
         if reservation.reserve_bytes(document.len() as u64).is_err() {
             return self.refuse_for_memory(path);
         }
-        metrics::gauge!("deckwind_control_calls_held_bytes").set(self.room.reserved() as f64);
+        metrics::gauge!("deckwind_control_calls_held_bytes").set(self.budget.reserved() as f64);
         let remaining = document;
         let counted = CountedBody {
             remaining,
--- a/crates/deckwindd/src/router/chat.rs
+++ b/crates/deckwindd/src/router/chat.rs
@@ -34,7 +34,7 @@
     /// ID of the request.
     pub id: String,
     /// Request that passed the first checks.
-    pub entered: CheckedRequest,
+    pub checked_request: CheckedRequest,
     /// Model and layers that the request needs.
     pub work: ChatWork,
     /// Digest of the request content, which stays the same when the request is sent again.
@@ -115,8 +115,8 @@
     async fn perform(&mut self, action: SessionAction) -> Option<SessionEvent> {
         match action {
             SessionAction::Plan { avoid, missing } => Some(self.plan(avoid, missing).await),
-            SessionAction::Open { key, stage: with } => {
-                self.open(key, with).await;
+            SessionAction::Open { key, stage } => {
+                self.open(key, stage).await;
                 None
             }
             SessionAction::Step { key, order } => Some(self.step(key, order).await),
@@ -222,8 +222,8 @@
         Chain::new(stages, self.job.work.layers).ok()
     }
 
-    async fn open(&mut self, key: StageKey, with: Stage) {
-        let is_same_range = |p: &PlannedStage| p.layers == with.layers;
+    async fn open(&mut self, key: StageKey, stage: Stage) {
+        let is_same_range = |p: &PlannedStage| p.layers == stage.layers;
         let Some(planned) = self.planned.iter().find(|p| is_same_range(p)).copied() else {
             return;
         };
@@ -238,8 +238,8 @@
         let stream = match address {
             Some(address) => {
                 let engine = self.shared.clients.engine(address);
-                let opening = engine.open(self.open_request(with.layers));
-                let limit = self.step_timeout(planned.target, with.layers, 1);
+                let opening = engine.open(self.open_request(stage.layers));
+                let limit = self.step_timeout(planned.target, stage.layers, 1);
                 let opened = tokio::time::timeout(limit, opening).await;
                 opened.unwrap_or(Err(TargetError::Late(limit)))
             }
@@ -247,7 +247,7 @@
         };
         let opened = OpenedStage {
             target: planned.target,
-            layers: with.layers,
+            layers: stage.layers,
             stream,
             run,
         };
@@ -259,7 +259,7 @@
             session: self.job.id.clone(),
             layers,
             adapter: self.job.work.adapter.clone(),
-            priority: self.job.entered.priority,
+            priority: self.job.checked_request.priority,
             prefixes: self.job.prefixes.iter().map(|p| p.0).collect(),
         }
     }
--- a/crates/deckwindd/src/router/chat_response.rs
+++ b/crates/deckwindd/src/router/chat_response.rs
@@ -25,7 +25,7 @@
     pub shared: Arc<RouterShared>,
     pub id: String,
     pub chat: ChatRequest,
-    pub entered: CheckedRequest,
+    pub checked_request: CheckedRequest,
     pub held: Option<HeldClaim>,
     pub rx: mpsc::Receiver<ChatEvent>,
     pub first: Option<ChatEvent>,
@@ -55,11 +55,11 @@
     pub async fn wait_for_first(&mut self) -> Result<(), CallerError> {
         let first = self.next().await;
         let now = self.shared.clock.now();
-        let took = now.since(self.entered.arrived);
+        let took = now.since(self.checked_request.arrived);
         let has_token = matches!(first, ChatEvent::Token(_));
         self.shared
             .core()
-            .answered(now, &self.entered, has_token.then_some(took));
+            .answered(now, &self.checked_request, has_token.then_some(took));
         match first {
             ChatEvent::End { reason, ran } if reason != EndReason::Complete => {
                 let outcome = match ran {
--- a/crates/deckwindd/src/router/lease.rs
+++ b/crates/deckwindd/src/router/lease.rs
@@ -85,11 +85,11 @@
 async fn renew(shared: &RouterShared) -> bool {
     let sent_at = shared.clock.now();
     let (in_use, use_known, failing) = {
-        let book = shared.routes.target_records();
+        let records = shared.routes.target_records();
         (
-            book.own_engine_load(),
-            book.load_position(),
-            book.down_targets(sent_at),
+            records.own_engine_load(),
+            records.load_position(),
+            records.down_targets(sent_at),
         )
     };
     let repeats = shared.routes.retry_report(sent_at);
--- a/crates/deckwindd/src/router/routes/mod.rs
+++ b/crates/deckwindd/src/router/routes/mod.rs
@@ -324,13 +324,13 @@
         }
         self.routers.store(grant.routers, Ordering::Relaxed);
         self.apply_limits(asked, now, grant);
-        let mut book = self.target_records();
-        book.apply_load_update(reported, grant.in_use.as_ref());
-        book.mark_unconfirmed(now + DOWN_REPORT_TTL, &grant.failing);
-        book.record_full_engines(now, &grant.full);
-        book.set_slow(now + SLOW_REPORT_TTL, grant.slow.iter().map(|p| p.address));
-        metrics::gauge!("deckwind_route_targets_resting").set(book.notices.resting(now) as f64);
-        drop(book);
+        let mut records = self.target_records();
+        records.apply_load_update(reported, grant.in_use.as_ref());
+        records.mark_unconfirmed(now + DOWN_REPORT_TTL, &grant.failing);
+        records.record_full_engines(now, &grant.full);
+        records.set_slow(now + SLOW_REPORT_TTL, grant.slow.iter().map(|p| p.address));
+        metrics::gauge!("deckwind_route_targets_resting").set(records.notices.resting(now) as f64);
+        drop(records);
         self.watched_streams.record_failing(now, &grant.failing);
         *self.granted_at.lock().expect("no holder panics") = now;
     }
@@ -342,11 +342,11 @@
 
     /// Applies the leader's list of limited targets, if the grant has one.
     fn apply_limits(&self, asked: Instant, now: Instant, grant: &Grant) {
-        let mut book = self.target_records();
+        let mut records = self.target_records();
         let list = grant.limits.as_ref();
-        let changes = book.limits.apply_list(asked, now, grant.term, list);
-        let limited = book.limits.limited_count();
-        drop(book);
+        let changes = records.limits.apply_list(asked, now, grant.term, list);
+        let limited = records.limits.limited_count();
+        drop(records);
         metrics::gauge!("deckwind_route_targets_limited").set(limited as f64);
         for target in changes.begun {
             log::info!("event=limit_told {target}");
@@ -364,13 +364,13 @@
     /// Records a failure of a target: it is avoided for a while, and if it is down,
     /// this is reported to the other routers.
     pub fn target_failed(&self, now: Instant, address: SocketAddr, fault: TargetFault, why: &str) {
-        let mut book = self.target_records();
+        let mut records = self.target_records();
         let is_new = match fault {
-            TargetFault::Down => !book.is_down(now, address),
-            TargetFault::Answer => !book.is_in_backoff(now, address),
+            TargetFault::Down => !records.is_down(now, address),
+            TargetFault::Answer => !records.is_in_backoff(now, address),
         };
-        let wait = book.record_failure(now, address, fault);
-        drop(book);
+        let wait = records.record_failure(now, address, fault);
+        drop(records);
         if !is_new {
             return;
         }
@@ -393,8 +393,8 @@
 
     /// Records that the engines on a stream's path have answered.
     pub fn record_answered(&self, addresses: &[SocketAddr]) {
-        let mut book = self.target_records();
-        addresses.iter().for_each(|a| book.record_success(*a));
+        let mut records = self.target_records();
+        addresses.iter().for_each(|a| records.record_success(*a));
     }
 
     /// Records that an engine has refused a request for lack of free capacity: it is
--- a/crates/deckwindd/src/router/routes/non_streaming.rs
+++ b/crates/deckwindd/src/router/routes/non_streaming.rs
@@ -209,9 +209,9 @@
     fn record_refusal(&self, address: SocketAddr) {
         let shared = &self.job.shared;
         let now = shared.clock.now();
-        let mut book = shared.routes.target_records();
-        let wait = book.record_failure(now, address, TargetFault::Answer);
-        drop(book);
+        let mut records = shared.routes.target_records();
+        let wait = records.record_failure(now, address, TargetFault::Answer);
+        drop(records);
         log::info!(
             "event=target_refused target={address} request={} avoided_ms={}",
             self.job.head.id,
@@ -222,10 +222,10 @@
     fn choose_target(&self) -> Result<TargetChoice, Failure> {
         let shared = &self.job.shared;
         let instances = shared.routes.instances();
-        let book = shared.routes.target_records();
+        let records = shared.routes.target_records();
         let choice = choose_target(
             instances.of_pool(&self.job.pool.name),
-            &book,
+            &records,
             &shared.cx.settings.data_centre,
             &self.excluded,
             rand::random(),
--- a/crates/deckwindd/src/router/routes/opening/attempt.rs
+++ b/crates/deckwindd/src/router/routes/opening/attempt.rs
@@ -63,7 +63,7 @@
             return Err(AttemptError::Blocked);
         }
         self.send_delay = self.chosen_at.elapsed();
-        self.tries.record_sent(choice.address, choice.life());
+        self.attempted.record_sent(choice.address, choice.life());
         self.target = Some(choice.address);
         self.log_extra_attempt();
         let run = TargetRun::begin(&self.job, choice);
@@ -154,7 +154,7 @@
         };
         match attempt_result(self.job.route.kind, outcome) {
             AttemptResult::NotRun => {
-                self.tries.remove_last();
+                self.attempted.remove_last();
                 return Err(AttemptError::NotRun(answer.failed_stage));
             }
             AttemptResult::MayHaveRun => return Err(AttemptError::NoGuarantee(head.status)),
--- a/crates/deckwindd/src/router/routes/opening/mod.rs
+++ b/crates/deckwindd/src/router/routes/opening/mod.rs
@@ -68,7 +68,7 @@
     /// The request.
     pub job: Job,
     /// Targets that may have run the request.
-    pub tries: AttemptedTargets,
+    pub attempted: AttemptedTargets,
     refused: u32,
     excluded: HashSet<SocketAddr>,
     /// Whether the next retry has already been taken from the budget.
@@ -84,7 +84,7 @@
 /// Runs one request to its end.
 pub async fn run(job: Job) -> Response<RouteBody> {
     let mut opener = StreamOpener {
-        tries: AttemptedTargets::new(job.route.attempts),
+        attempted: AttemptedTargets::new(job.route.attempts),
         job,
         refused: 0,
         excluded: HashSet::new(),
@@ -250,14 +250,14 @@
 
     /// Whether the request may be sent to another target.
     pub fn tries_left(&self) -> bool {
-        self.tries.may_send(&self.job.shared.routes.instances())
+        self.attempted.may_send(&self.job.shared.routes.instances())
     }
 
     /// Logs a request that goes to more targets than its route allows, because others
     /// have ended.
     fn log_extra_attempt(&self) {
         let attempts = self.job.route.attempts;
-        if self.tries.count() <= attempts {
+        if self.attempted.count() <= attempts {
             return;
         }
         metrics::counter!("deckwind_route_tries_beyond_total").increment(1);
@@ -265,8 +265,8 @@
             "event=try_beyond request={} target={:?} tries={} attempts={attempts} ended={} revision={}",
             self.job.head.id,
             self.target,
-            self.tries.count(),
-            self.tries.ended(&self.job.shared.routes.instances()),
+            self.attempted.count(),
+            self.attempted.ended(&self.job.shared.routes.instances()),
             self.job.shared.revision()
         );
     }
@@ -310,7 +310,7 @@
     }
 
     fn claim(&self) -> RequestClass {
-        match (self.tries.count(), self.job.is_late) {
+        match (self.attempted.count(), self.job.is_late) {
             (0, true) => RequestClass::Late,
             (0, false) => RequestClass::New,
             _ => RequestClass::Begun,
@@ -321,25 +321,25 @@
         let shared = &self.job.shared;
         let instances = shared.routes.instances();
         let instances = instances.of_pool(&self.job.pool.name);
-        let book = shared.routes.target_records();
+        let records = shared.routes.target_records();
         let own = &shared.cx.settings.data_centre;
         let now = shared.clock.now();
         let choice = match self.job.pool.engine.as_ref().filter(|e| e.layers > 0) {
             Some(model) => {
                 let tokens = self.counted_tokens();
-                let room = CapacityDemand {
+                let demand = CapacityDemand {
                     tokens,
                     claim: self.claim(),
                     draw: rand::random(),
                 };
-                choose_path(model, instances, &book, own, room, &self.excluded, now)
+                choose_path(model, instances, &records, own, demand, &self.excluded, now)
             }
             None => {
                 let at = rand::random();
-                choose_target(instances, &book, own, &self.excluded, at, now)
+                choose_target(instances, &records, own, &self.excluded, at, now)
             }
         };
-        drop(book);
+        drop(records);
         choice.map_err(|error| {
             self.log_no_choice(&error);
             error.into()
@@ -389,7 +389,7 @@
             job.route.name,
             job.pool.name,
             stream.map_or("-", |s| s.data_centre.as_str()),
-            self.tries.count(),
+            self.attempted.count(),
             self.refused,
             self.counted_tokens(),
             stream.map_or(0, |s| s.events),
--- a/crates/deckwindd/src/router/routes/relay/mod.rs
+++ b/crates/deckwindd/src/router/routes/relay/mod.rs
@@ -127,7 +127,7 @@
                         "event=stream_broken_off request={} last_event={:?} tries={} first={why:?} then={failure:?}",
                         self.opener.job.head.id,
                         self.progress.last_event,
-                        self.opener.tries.count()
+                        self.opener.attempted.count()
                     );
                     self.outbox.break_off(failure.code());
                     break "broken-off";
@@ -176,7 +176,7 @@
             self.opener.job.content,
             self.progress.data_centre,
             self.progress.last_event,
-            self.opener.tries.count()
+            self.opener.attempted.count()
         );
         metrics::counter!("deckwind_route_streams_moved_total").increment(1);
     }
--- a/crates/deckwindd/src/router/routes/reservation.rs
+++ b/crates/deckwindd/src/router/routes/reservation.rs
@@ -47,10 +47,10 @@
             true => vec![first],
             false => stages.iter().map(|s| s.address).collect(),
         };
-        let mut book = job.shared.routes.target_records();
-        book.record_start(&addresses);
-        book.add_load(&stages, tokens);
-        drop(book);
+        let mut records = job.shared.routes.target_records();
+        records.record_start(&addresses);
+        records.add_load(&stages, tokens);
+        drop(records);
         Self {
             shared: job.shared.clone(),
             addresses,
@@ -74,14 +74,17 @@
     /// one, or suspected.
     pub fn is_unreliable(&self) -> bool {
         let now = self.shared.clock.now();
-        let book = self.shared.routes.target_records();
-        self.addresses.iter().any(|a| book.is_unconfirmed(now, *a))
+        let records = self.shared.routes.target_records();
+        self.addresses
+            .iter()
+            .any(|a| records.is_unconfirmed(now, *a))
     }
 
     /// Whether a target on the path other than the first no longer takes new requests.
     pub fn has_leaving_target(&self, instances: &InstanceIndex) -> bool {
-        let book = self.shared.routes.target_records();
-        let takes_work = |i: &Instance| i.state == InstanceState::Ready && !book.notices.leaves(i);
+        let records = self.shared.routes.target_records();
+        let takes_work =
+            |i: &Instance| i.state == InstanceState::Ready && !records.notices.leaves(i);
         let ready = |a: &SocketAddr| {
             let mut all = instances.iter();
             all.any(|i| i.address == *a && takes_work(i))
@@ -124,19 +127,20 @@
         let instances = self.shared.routes.instances();
         let instances = instances.of_pool(&job.pool.name);
         let now = self.shared.clock.now();
-        let room = CapacityDemand {
+        let demand = CapacityDemand {
             tokens: self.tokens,
             claim: RequestClass::Begun,
             draw: rand::random(),
         };
-        let book = self.shared.routes.target_records();
-        let view = book.at(now, avoid);
-        let need = room.need();
+        let records = self.shared.routes.target_records();
+        let view = records.at(now, avoid);
+        let need = demand.need();
         let first = self.stages.first()?;
         let find = |a: SocketAddr| instances.iter().find(|i| i.address == a);
-        let takes_work = |i: &Instance| i.state == InstanceState::Ready && !book.notices.leaves(i);
+        let takes_work =
+            |i: &Instance| i.state == InstanceState::Ready && !records.notices.leaves(i);
         let ready = |a| find(a).is_some_and(takes_work);
-        let must_replace = |a| book.is_unconfirmed(now, a) || avoid.contains(&a) || !ready(a);
+        let must_replace = |a| records.is_unconfirmed(now, a) || avoid.contains(&a) || !ready(a);
         let to_replace = |a| a != first.address && must_replace(a);
         let all = || instances.iter();
         let path = replace_stages(model, all(), &view, &need, &self.stages, &to_replace)
@@ -144,7 +148,7 @@
         let is_reliable = path
             .stages
             .iter()
-            .all(|s| !book.is_unconfirmed(now, s.address));
+            .all(|s| !records.is_unconfirmed(now, s.address));
         (is_reliable && path.stages != self.stages).then_some(path)
     }
 
@@ -164,8 +168,8 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        let mut book = self.shared.routes.target_records();
-        book.record_end(&self.addresses);
-        book.remove_load(&self.stages, self.tokens);
+        let mut records = self.shared.routes.target_records();
+        records.record_end(&self.addresses);
+        records.remove_load(&self.stages, self.tokens);
     }
 }
--- a/crates/deckwindd/src/router/routes/stall_detection.rs
+++ b/crates/deckwindd/src/router/routes/stall_detection.rs
@@ -2,7 +2,7 @@
 //! an engine.
 //!
 //! Which streams stall, and which engines to probe, is decided in
-//! `deckwind_core::routes::silence`. This module measures the time, sends the probes,
+//! `deckwind_core::routes::stall_detection`. This module measures the time, sends the probes,
 //! and wakes the streams.
 
 use super::reservation::Reservation;
--- a/crates/deckwindd/src/router/routes/target_notices.rs
+++ b/crates/deckwindd/src/router/routes/target_notices.rs
@@ -111,8 +111,8 @@
 
     /// Records that a target has named a limit, or has answered without one.
     fn record_limit(&self, now: Instant, source: &AnswerSource, rate: Option<Rate>) {
-        let mut book = self.target_records();
-        if rate.is_none() && book.limits.limited_count() == 0 {
+        let mut records = self.target_records();
+        if rate.is_none() && records.limits.limited_count() == 0 {
             return;
         }
         let target = LimitKey {
@@ -120,8 +120,8 @@
             life: source.life.clone(),
         };
         let permitted = source.permit.map(|p| p.issued);
-        let begins = book.limits.record_limit(now, &target, rate, permitted);
-        drop(book);
+        let begins = records.limits.record_limit(now, &target, rate, permitted);
+        drop(records);
         if let Some(rate) = rate {
             metrics::counter!("deckwind_route_limits_named_total").increment(1);
             if begins {
@@ -138,11 +138,14 @@
     /// because the target may have reported it since it was chosen.
     pub fn is_blocked(&self, now: Instant, choice: &TargetChoice, permit: Option<&Permit>) -> bool {
         let target = choice.limit_key();
-        let book = self.target_records();
+        let records = self.target_records();
         let lacks_permit =
-            book.limits.is_limited(&target) && !permit.is_some_and(|p| p.is_valid(now));
-        let is_blocked = lacks_permit || book.notices.is_blocked(now, target.address, &target.life);
-        drop(book);
+            records.limits.is_limited(&target) && !permit.is_some_and(|p| p.is_valid(now));
+        let is_blocked = lacks_permit
+            || records
+                .notices
+                .is_blocked(now, target.address, &target.life);
+        drop(records);
         if is_blocked {
             metrics::counter!("deckwind_route_sends_held_back_total").increment(1);
         }
--- a/crates/deckwindd/src/router/service.rs
+++ b/crates/deckwindd/src/router/service.rs
@@ -22,7 +22,7 @@
 /// fails. The error tells whether the call may have run.
 pub async fn run(
     shared: &Arc<RouterShared>,
-    entered: &CheckedRequest,
+    checked_request: &CheckedRequest,
     work: &ServiceWork,
     content: ContentDigest,
     mut call: ServiceCall,
@@ -38,7 +38,7 @@
         let now = shared.clock.now();
         let planned = shared
             .core()
-            .plan_service(now, &entered.template, &failed_targets);
+            .plan_service(now, &checked_request.template, &failed_targets);
         let key = match planned {
             Ok(key) => key,
             Err(denied) if may_have_run => return Err(outcome_unknown(denied.code.to_string())),
@@ -49,7 +49,7 @@
             continue;
         };
         attempts += 1;
-        let time_left = entered.start_by.since(now) + work.timeout;
+        let time_left = checked_request.start_by.since(now) + work.timeout;
         call.timeout = work.timeout.min(time_left);
         let run = TemplateRun::begin(shared, content, address);
         let result = shared.clients.service(address).call(call.clone()).await;
@@ -59,7 +59,7 @@
         let error = match result {
             // A target that explicitly states that it did not run the call yields
             // `TargetError::Refused`. With only such a status, the call may have run.
-            Ok(answer) if guarantees_not_run(answer.status) && !entered.repeatable => {
+            Ok(answer) if guarantees_not_run(answer.status) && !checked_request.repeatable => {
                 let message = format!("{name} answered {} without a promise", answer.status);
                 return Err(outcome_unknown(message));
             }
@@ -77,11 +77,11 @@
         }
         log::info!(
             "event=service_try_failed template={} target={name} try={attempts} error={:?}",
-            entered.template,
+            checked_request.template,
             error.to_string()
         );
         may_have_run |= !error.is_certainly_not_run();
-        if !may_retry(shared, entered, attempts, &error) {
+        if !may_retry(shared, checked_request, attempts, &error) {
             return Err(all_attempts_failed(&error, may_have_run));
         }
         failed_targets.insert(name);
@@ -99,14 +99,15 @@
 
 fn may_retry(
     shared: &RouterShared,
-    entered: &CheckedRequest,
+    checked_request: &CheckedRequest,
     attempts: u32,
     error: &TargetError,
 ) -> bool {
     let now = shared.clock.now();
-    let time_left = entered.start_by.since(now);
+    let time_left = checked_request.start_by.since(now);
     let not_run = error.is_certainly_not_run();
-    let allowed = RetryPolicy::default().allows(attempts, entered.repeatable, not_run, time_left);
+    let allowed =
+        RetryPolicy::default().allows(attempts, checked_request.repeatable, not_run, time_left);
     allowed && shared.core().retries().spend(now)
 }
 
--- a/crates/deckwindd/src/router/template_callers.rs
+++ b/crates/deckwindd/src/router/template_callers.rs
@@ -263,32 +263,32 @@
     template: &TemplateName,
 ) -> Result<(CheckedRequest, HeldTicket), CallerError> {
     let now = shared.clock.now();
-    let entered = shared.core().check_request(now, account, template)?;
-    let waiting = shared.register_waiter(entered.id);
-    let placed = shared.core().request_slot(now, &entered);
-    let ticket = HeldTicket::new(shared, entered.id);
-    match placed {
-        Ok(SlotOutcome::Start) => Ok((entered, ticket)),
+    let checked_request = shared.core().check_request(now, account, template)?;
+    let waiting = shared.register_waiter(checked_request.id);
+    let outcome = shared.core().request_slot(now, &checked_request);
+    let ticket = HeldTicket::new(shared, checked_request.id);
+    match outcome {
+        Ok(SlotOutcome::Start) => Ok((checked_request, ticket)),
         Ok(SlotOutcome::Wait) => match waiting.await {
-            Ok(Ok(())) => Ok((entered, ticket)),
-            Ok(Err(denied)) => refuse(shared, &entered, denied),
+            Ok(Ok(())) => Ok((checked_request, ticket)),
+            Ok(Err(denied)) => refuse(shared, &checked_request, denied),
             Err(_) => refuse(
                 shared,
-                &entered,
+                &checked_request,
                 Denied::retryable(DeniedCode::Deadline, EXPIRE_INTERVAL),
             ),
         },
-        Err(denied) => refuse(shared, &entered, denied),
+        Err(denied) => refuse(shared, &checked_request, denied),
     }
 }
 
 fn refuse<T>(
     shared: &RouterShared,
-    entered: &CheckedRequest,
+    checked_request: &CheckedRequest,
     denied: Denied,
 ) -> Result<T, CallerError> {
     let now = shared.clock.now();
-    shared.core().answered(now, entered, None);
+    shared.core().answered(now, checked_request, None);
     Err(denied.into())
 }
 
@@ -312,11 +312,11 @@
     let body = read_body(shared, req.into_body()).await?;
     let content = content_digest(&method, &uri, &account, &body);
     shared.check_quarantine(&content)?;
-    let (entered, _ticket) = admit(shared, &account, &template).await?;
-    let Work::Service(work) = entered.work.clone() else {
+    let (checked_request, _ticket) = admit(shared, &account, &template).await?;
+    let Work::Service(work) = checked_request.work.clone() else {
         return Err(Denied::permanent(DeniedCode::WrongTemplate).into());
     };
-    let held = match claim_if_needed(shared, &entered, key.as_deref(), &body).await? {
+    let held = match claim_if_needed(shared, &checked_request, key.as_deref(), &body).await? {
         NeededClaim::Answer(res) => return Ok(*res),
         NeededClaim::Held(held) => held,
     };
@@ -331,10 +331,10 @@
         idempotency_key: Some(key.unwrap_or_else(|| id.to_string())),
         timeout: work.timeout,
     };
-    let result = service::run(shared, &entered, &work, content, call).await;
+    let result = service::run(shared, &checked_request, &work, content, call).await;
     let now = shared.clock.now();
-    let took = result.is_ok().then(|| now.since(entered.arrived));
-    shared.core().answered(now, &entered, took);
+    let took = result.is_ok().then(|| now.since(checked_request.arrived));
+    shared.core().answered(now, &checked_request, took);
     if let Some(held) = held {
         held.finish(outcome_of(&result)).await;
     }
@@ -362,17 +362,19 @@
 
 async fn claim_if_needed(
     shared: &Arc<RouterShared>,
-    entered: &CheckedRequest,
+    checked_request: &CheckedRequest,
     key: Option<&str>,
     body: &[u8],
 ) -> Result<NeededClaim, CallerError> {
-    if entered.repeatable {
+    if checked_request.repeatable {
         return Ok(NeededClaim::Held(None));
     }
-    Ok(match claim(shared, &entered.account, key, body).await? {
-        ClaimResult::Granted(held) => NeededClaim::Held(Some(held)),
-        ClaimResult::Answer(res) => NeededClaim::Answer(res),
-    })
+    Ok(
+        match claim(shared, &checked_request.account, key, body).await? {
+            ClaimResult::Granted(held) => NeededClaim::Held(Some(held)),
+            ClaimResult::Answer(res) => NeededClaim::Answer(res),
+        },
+    )
 }
 
 async fn complete_chat(
@@ -390,18 +392,18 @@
     shared.check_quarantine(&content)?;
     let chat = parse_chat(&body)?;
     let template = TemplateName::from(chat.model.as_str());
-    let (entered, ticket) = admit(shared, &account, &template).await?;
-    let Work::Chat(work) = entered.work.clone() else {
+    let (checked_request, ticket) = admit(shared, &account, &template).await?;
+    let Work::Chat(work) = checked_request.work.clone() else {
         return Err(Denied::permanent(DeniedCode::WrongTemplate).into());
     };
-    let held = match claim_if_needed(shared, &entered, key.as_deref(), &body).await? {
+    let held = match claim_if_needed(shared, &checked_request, key.as_deref(), &body).await? {
         NeededClaim::Answer(res) => return Ok(*res),
         NeededClaim::Held(held) => held,
     };
     let (tx, rx) = mpsc::channel(MAX_BUFFERED_TOKENS);
     let job = ChatJob {
         id: id.to_string(),
-        entered: entered.clone(),
+        checked_request: checked_request.clone(),
         work,
         content,
         prompt: chat.prompt(),
@@ -413,7 +415,7 @@
         shared: shared.clone(),
         id: id.to_string(),
         chat,
-        entered,
+        checked_request,
         held,
         rx,
         first: None,
