--- a/crates/deckwind-core/src/routes/returning_callers.rs
+++ b/crates/deckwind-core/src/routes/returning_callers.rs
@@ -14,15 +14,15 @@
 }
 
 impl ReturningCallers {
-    /// Whether a caller that will still wait for `patience` has been asking for longer than
+    /// Whether a caller that will still wait for `wait_time` has been asking for longer than
     /// the route's objective, so that its answer will be late in any case.
-    pub fn is_late(&mut self, route: &str, patience: Duration, objective: Duration) -> bool {
+    pub fn is_late(&mut self, route: &str, wait_time: Duration, objective: Duration) -> bool {
         let longest = match self.longest.get_mut(route) {
             Some(longest) => longest,
             None => self.longest.entry(route.to_string()).or_default(),
         };
-        *longest = patience.max(*longest);
-        patience + objective < *longest
+        *longest = wait_time.max(*longest);
+        wait_time + objective < *longest
     }
 
     /// Removes routes that `keep` rejects.
--- a/crates/deckwind-fakes/src/serve.rs
+++ b/crates/deckwind-fakes/src/serve.rs
@@ -4,7 +4,7 @@
 use anyhow::{Context, Result};
 use bytes::Bytes;
 use deckwind_core::session::StepOrder;
-use deckwind_net::targets::http_engine::{OPEN_HEADER, paths};
+use deckwind_net::targets::http_engine::{OPEN_STAGE_HEADER, paths};
 use deckwind_net::targets::http_platform::VMS_PATH;
 use deckwind_net::targets::http_service::IDEMPOTENCY_KEY;
 use deckwind_net::targets::{
@@ -177,7 +177,7 @@
     engine: Arc<dyn Engine>,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, StreamReset> {
-    let head = req.headers().get(OPEN_HEADER).ok_or(StreamReset)?;
+    let head = req.headers().get(OPEN_STAGE_HEADER).ok_or(StreamReset)?;
     let open: OpenStage = serde_json::from_slice(head.as_bytes()).map_err(|_| StreamReset)?;
     let stage = match engine.open(open).await {
         Ok(stage) => stage,
--- a/crates/deckwind-net/src/clock.rs
+++ b/crates/deckwind-net/src/clock.rs
@@ -24,7 +24,7 @@
 /// Source of the time that a [`Clock`] reads.
 pub trait TimeSource: Send + Sync {
     /// Returns the time since the VM booted, including time for which it was suspended.
-    fn since_boot(&self) -> Duration;
+    fn boottime(&self) -> Duration;
 
     /// Returns the time since the VM booted, without time for which it was suspended.
     /// Timers use this clock.
@@ -43,7 +43,7 @@
 }
 
 impl TimeSource for KernelTime {
-    fn since_boot(&self) -> Duration {
+    fn boottime(&self) -> Duration {
         read_clock(ClockId::CLOCK_BOOTTIME)
     }
 
@@ -69,20 +69,20 @@
     pub fn with_time_source(source: &'static dyn TimeSource) -> Self {
         Self {
             source,
-            origin: source.since_boot(),
+            origin: source.boottime(),
         }
     }
 
     /// Returns the current time of the core.
     pub fn now(&self) -> Instant {
-        let since = self.source.since_boot().saturating_sub(self.origin);
+        let since = self.source.boottime().saturating_sub(self.origin);
         Instant::ZERO + INITIAL_TIME + since
     }
 
     /// Returns the total time for which the VM was suspended since it booted.
     pub fn suspended_time(&self) -> Duration {
         let monotonic = self.source.monotonic();
-        self.source.since_boot().saturating_sub(monotonic)
+        self.source.boottime().saturating_sub(monotonic)
     }
 
     /// Returns the wall clock time in milliseconds since the Unix epoch.
--- a/crates/deckwind-net/src/edge.rs
+++ b/crates/deckwind-net/src/edge.rs
@@ -64,14 +64,14 @@
     /// Id of the request that is answered.
     pub id: Option<String>,
     /// Whether the answer carries the target's signature.
-    pub signed: bool,
+    pub is_signed: bool,
     /// Whether the target states that it has not run the request.
     pub not_run: bool,
     /// Address of the failed stage, if that is not the answering target.
     pub failed_stage: Option<SocketAddr>,
     /// Whether the body has a content encoding. An intermediary must have applied it, so
     /// the body is not the target's own.
-    pub encoded: bool,
+    pub content_encoded: bool,
 }
 
 /// Wire format of callers and of the targets behind routes.
@@ -82,7 +82,7 @@
     /// If a field is missing or cannot be parsed.
     fn read_head(&self, head: &Parts) -> Result<CallerRequestHead, InvalidInput>;
     /// Converts the headers of a caller's request to those of the request to a target.
-    fn to_target(&self, headers: &mut HeaderMap, head: &TargetRequestHead);
+    fn to_target_headers(&self, headers: &mut HeaderMap, head: &TargetRequestHead);
     /// Decodes the head of a target's answer.
     fn read_answer(&self, status: StatusCode, headers: &HeaderMap) -> TargetAnswer;
     /// Decodes what a target states about itself in the head of any answer: to a
--- a/crates/deckwind-net/src/targets/http_engine.rs
+++ b/crates/deckwind-net/src/targets/http_engine.rs
@@ -36,7 +36,7 @@
 }
 
 /// Header that carries an [`OpenStage`] as JSON.
-pub const OPEN_HEADER: &str = "deckwind-stage";
+pub const OPEN_STAGE_HEADER: &str = "deckwind-stage";
 
 /// HTTP/2 client for an engine.
 #[derive(Clone)]
@@ -53,7 +53,7 @@
         let (tx, rx) = mpsc::channel::<Result<Frame<Bytes>, Infallible>>(1);
         let body = BodyExt::boxed(StreamBody::new(ReceiverStream::new(rx)));
         let req = Request::post(self.0.uri(paths::STAGE))
-            .header(OPEN_HEADER, head)
+            .header(OPEN_STAGE_HEADER, head)
             .body(body)
             .map_err(|e| TargetError::NotSent(e.to_string()))?;
         let res = self.0.send(req).await?;
--- a/crates/deckwind-testkit/src/vm_time.rs
+++ b/crates/deckwind-testkit/src/vm_time.rs
@@ -31,9 +31,9 @@
 }
 
 impl TimeSource for VmTime {
-    fn since_boot(&self) -> Duration {
+    fn boottime(&self) -> Duration {
         let suspended = self.suspended_ms.load(Ordering::SeqCst);
-        KernelTime.since_boot() + Duration::from_millis(suspended)
+        KernelTime.boottime() + Duration::from_millis(suspended)
     }
 
     fn monotonic(&self) -> Duration {
--- a/crates/deckwind-testkit/tests/testsuite/paths.rs
+++ b/crates/deckwind-testkit/tests/testsuite/paths.rs
@@ -467,18 +467,15 @@
 )]
 fn callers_that_come_back_late_are_told_apart(patience_ms: u64, late: bool) {
     let ms = Duration::from_millis;
-    let mut patience = ReturningCallers::default();
-    assert!(!patience.is_late("r", ms(20_000), ms(500)), "the first one");
-    assert_eq!(patience.is_late("r", ms(patience_ms), ms(500)), late);
+    let mut callers = ReturningCallers::default();
+    assert!(!callers.is_late("r", ms(20_000), ms(500)), "the first one");
+    assert_eq!(callers.is_late("r", ms(patience_ms), ms(500)), late);
     assert!(
-        !patience.is_late("s", ms(patience_ms), ms(500)),
+        !callers.is_late("s", ms(patience_ms), ms(500)),
         "another route"
     );
-    patience.retain(|_| false);
-    assert!(
-        !patience.is_late("r", ms(patience_ms), ms(500)),
-        "forgotten"
-    );
+    callers.retain(|_| false);
+    assert!(!callers.is_late("r", ms(patience_ms), ms(500)), "forgotten");
 }
 
 /// When engines are nearly full, the remaining capacity is kept for callers that can still
--- a/crates/deckwind-testkit/tests/testsuite/silence.rs
+++ b/crates/deckwind-testkit/tests/testsuite/silence.rs
@@ -386,45 +386,49 @@
 }
 
 fn one_router(streams: usize) -> (StallDetector, Vec<StreamKey>) {
-    let mut watch = StallDetector::default();
+    let mut detector = StallDetector::default();
     let data_centre = DataCentre::from("a");
     let start = Instant::from_millis(1_000);
     let begin = |i: usize| {
         let path = [engine(0, i % CHAINS), engine(1, 0), engine(2, i % 2)];
-        watch.watch(start, &data_centre, &path, MAX_PAUSE)
+        detector.watch(start, &data_centre, &path, MAX_PAUSE)
     };
     let keys: Vec<StreamKey> = (0..streams).map(begin).collect();
     for at in (1_050..=2_000).step_by(50) {
         let now = Instant::from_millis(at);
-        keys.iter().for_each(|k| drop(watch.record_event(now, *k)));
+        keys.iter()
+            .for_each(|k| drop(detector.record_event(now, *k)));
     }
-    (watch, keys)
+    (detector, keys)
 }
 
 #[test]
 fn a_router_that_was_kept_from_running_concludes_nothing() {
-    let (mut watch, _) = one_router(12);
+    let (mut detector, _) = one_router(12);
     let due = Instant::from_millis(2_060);
     let late = Instant::from_millis(2_200);
-    assert_eq!(watch.check(late, due), Default::default());
-    let again = watch.next_check_at().expect("the time of the next check");
+    assert_eq!(detector.check(late, due), Default::default());
+    let again = detector
+        .next_check_at()
+        .expect("the time of the next check");
     assert!(again > late);
-    assert!(!watch.check(again, again).to_probe.is_empty());
+    assert!(!detector.check(again, again).to_probe.is_empty());
 }
 
 #[test]
 fn needless_probes_are_bounded() {
-    let (mut watch, keys) = one_router(12);
+    let (mut detector, keys) = one_router(12);
     let mut asked = 0;
     for at in (2_000..4_000).step_by(10) {
         let now = Instant::from_millis(at);
         // All streams are slow: an event every 140 ms.
         if at % 140 == 0 {
-            keys.iter().for_each(|k| drop(watch.record_event(now, *k)));
+            keys.iter()
+                .for_each(|k| drop(detector.record_event(now, *k)));
         }
-        for key in watch.check(now, now).to_probe {
+        for key in detector.check(now, now).to_probe {
             asked += 1;
-            assert_eq!(watch.record_probe(now, key, ProbeResult::AllThere), None);
+            assert_eq!(detector.record_probe(now, key, ProbeResult::AllThere), None);
         }
     }
     assert!((1..=7).contains(&asked), "{asked}");
@@ -432,14 +436,14 @@
 
 #[test]
 fn an_event_through_a_suspect_clears_it() {
-    let (mut watch, keys) = one_router(12);
+    let (mut detector, keys) = one_router(12);
     let now = Instant::from_millis(2_080);
-    let found = watch.check(now, now);
+    let found = detector.check(now, now);
     let gone = engine(1, 0);
-    let suspect = watch.record_probe(now, found.to_probe[0], ProbeResult::Gone(gone));
+    let suspect = detector.record_probe(now, found.to_probe[0], ProbeResult::Gone(gone));
     assert_eq!(suspect, Some(gone));
-    assert!(watch.is_suspected(now, gone));
-    assert_eq!(watch.check(now, now).to_move.len(), keys.len());
-    assert_eq!(watch.record_event(now, keys[0]), [gone]);
-    assert!(!watch.is_suspected(now, gone));
+    assert!(detector.is_suspected(now, gone));
+    assert_eq!(detector.check(now, now).to_move.len(), keys.len());
+    assert_eq!(detector.record_event(now, keys[0]), [gone]);
+    assert!(!detector.is_suspected(now, gone));
 }
--- a/crates/deckwindd/src/router/routes/http_server.rs
+++ b/crates/deckwindd/src/router/routes/http_server.rs
@@ -36,7 +36,7 @@
 /// Time between two checks for the first release.
 const FIRST_RELEASE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Divisor of a caller's patience that gives the maximum wait for the first release.
+/// Divisor of a caller's wait time that gives the maximum wait for the first release.
 const PATIENCE_DIVISOR: u32 = 4;
 
 /// Time between two checks whether a connection is to be closed.
@@ -170,7 +170,7 @@
             last_event,
         };
         let dialect = &self.shared.cx.dialects.callers;
-        dialect.to_target(req.headers_mut(), &target);
+        dialect.to_target_headers(req.headers_mut(), &target);
         Ok(req)
     }
 }
@@ -298,14 +298,16 @@
     let mut parts = parts.clone();
     strip_connection_headers(&mut parts.headers);
     parts.headers.remove(header::CONTENT_LENGTH);
-    let patience = head.wait_time.unwrap_or(route.timeout());
+    let wait_time = head.wait_time.unwrap_or(route.timeout());
     let uri = parts.uri.path_and_query().map_or("/", |p| p.as_str());
     let content = ContentDigest::of(parts.method.as_str(), uri, account.as_deref(), &body);
     Ok(Job {
         content,
-        is_late: shared.routes.is_late(&route, patience.min(route.timeout())),
+        is_late: shared
+            .routes
+            .is_late(&route, wait_time.min(route.timeout())),
         shared: shared.clone(),
-        deadline: arrived + patience.min(route.timeout()),
+        deadline: arrived + wait_time.min(route.timeout()),
         rank: rank(priority, route.priority),
         account,
         head,
--- a/crates/deckwindd/src/router/routes/mod.rs
+++ b/crates/deckwindd/src/router/routes/mod.rs
@@ -186,11 +186,11 @@
     }
 
     /// Whether a request of this route is already late: its caller, who still waits for
-    /// `patience`, has been retrying for longer than the route's objective.
-    pub fn is_late(&self, route: &Route, patience: Duration) -> bool {
+    /// `wait_time`, has been retrying for longer than the route's objective.
+    pub fn is_late(&self, route: &Route, wait_time: Duration) -> bool {
         let objective = Duration::from_millis(route.objective_ms);
         let mut known = self.returning_callers.lock().expect("no holder panics");
-        known.is_late(&route.name, patience, objective)
+        known.is_late(&route.name, wait_time, objective)
     }
 
     /// Spends a retry of a pool's budget on a request with this claim; false if none is
--- a/crates/deckwindd/src/router/routes/non_streaming.rs
+++ b/crates/deckwindd/src/router/routes/non_streaming.rs
@@ -327,7 +327,7 @@
             }
             AttemptResult::PassOn => {}
         }
-        if status.is_success() && (!answer.signed || answer.encoded) {
+        if status.is_success() && (!answer.is_signed || answer.content_encoded) {
             return Err(broken("the answer is not the target's own".to_string()));
         }
         if let Some(address) = self.target {
--- a/crates/deckwindd/src/router/routes/opening/attempt.rs
+++ b/crates/deckwindd/src/router/routes/opening/attempt.rs
@@ -160,7 +160,7 @@
             AttemptResult::MayHaveRun => return Err(AttemptError::NoGuarantee(head.status)),
             AttemptResult::PassOn => {}
         }
-        if head.status.is_success() && (!answer.signed || answer.encoded) {
+        if head.status.is_success() && (!answer.is_signed || answer.content_encoded) {
             let why = "the answer is not the target's own".to_string();
             return Err(AttemptError::Broken(why));
         }
--- a/crates/deckwindd/src/router/routes/poison_requests.rs
+++ b/crates/deckwindd/src/router/routes/poison_requests.rs
@@ -79,14 +79,14 @@
     }
 
     /// Records an interrupted run.
-    pub fn record_interrupted(&self, now: Instant, cut: &InterruptedRun) {
+    pub fn record_interrupted(&self, now: Instant, run: &InterruptedRun) {
         let is_suspect = self
             .runs()
-            .record_interrupted(now, cut.content, cut.life, cut.run_time);
-        if is_suspect && cut.broken_off {
+            .record_interrupted(now, run.content, run.life, run.run_time);
+        if is_suspect && run.broken_off {
             let mut broke = self.broken_targets.lock().expect("no holder panics");
-            if broke.len() < MAX_BROKEN_TARGETS && !broke.contains(&cut.address) {
-                broke.push(cut.address);
+            if broke.len() < MAX_BROKEN_TARGETS && !broke.contains(&run.address) {
+                broke.push(run.address);
             }
         }
         self.report_due.notify_one();
--- a/crates/deckwindd/src/router/template_runs.rs
+++ b/crates/deckwindd/src/router/template_runs.rs
@@ -108,7 +108,7 @@
             return;
         }
         let now = self.shared.clock.now();
-        let cut = InterruptedRun {
+        let run = InterruptedRun {
             content: self.content,
             address: self.address,
             life: &life,
@@ -116,10 +116,10 @@
             // The leader cannot probe configured targets, since it does not track them.
             broken_off: false,
         };
-        let suspects = &self.shared.routes.poison_requests;
-        suspects.record_interrupted(now, &cut);
+        let poison_requests = &self.shared.routes.poison_requests;
+        poison_requests.record_interrupted(now, &run);
         self.shared.crash_counts.record(self.address, self.number);
-        suspects.record_ended(now, vec![life]);
+        poison_requests.record_ended(now, vec![life]);
     }
 
     /// Records that the target has served the request and is still running.
