--- a/crates/deckwind-core/src/routes/attempts.rs
+++ b/crates/deckwind-core/src/routes/attempts.rs
@@ -24,8 +24,8 @@
     }
 
     /// Records that the request is sent to this incarnation of a target.
-    pub fn record_sent(&mut self, address: SocketAddr, life: Incarnation) {
-        self.sent.push((address, life));
+    pub fn record_sent(&mut self, address: SocketAddr, incarnation: Incarnation) {
+        self.sent.push((address, incarnation));
     }
 
     /// Removes the last target, which has not run the request.
@@ -40,8 +40,9 @@
 
     /// The number of these targets that have ended, according to the agreed state.
     pub fn ended(&self, instances: &InstanceIndex) -> u32 {
-        let ended =
-            |(address, life): &&(SocketAddr, Incarnation)| instances.has_ended(*address, life);
+        let ended = |(address, incarnation): &&(SocketAddr, Incarnation)| {
+            instances.has_ended(*address, incarnation)
+        };
         self.sent.iter().filter(ended).count() as u32
     }
 
--- a/crates/deckwind-core/src/routes/choice.rs
+++ b/crates/deckwind-core/src/routes/choice.rs
@@ -95,7 +95,7 @@
 impl TargetChoice {
     /// Returns the chosen incarnation. The id alone does not distinguish it from a later
     /// incarnation of the same target.
-    pub fn life(&self) -> Incarnation {
+    pub fn incarnation(&self) -> Incarnation {
         Incarnation {
             id: self.instance.clone(),
             born: self.born,
@@ -106,7 +106,7 @@
     pub fn limit_key(&self) -> LimitKey {
         LimitKey {
             address: self.address,
-            life: self.life(),
+            life: self.incarnation(),
         }
     }
 }
--- a/crates/deckwind-core/src/routes/index.rs
+++ b/crates/deckwind-core/src/routes/index.rs
@@ -122,7 +122,7 @@
     /// Address of the incarnation.
     pub address: SocketAddr,
     /// The incarnation that has ended.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// The incarnation that is now at the address. Engines that hold no layers yet are not
     /// known here.
     pub by: Option<Incarnation>,
@@ -152,8 +152,8 @@
     /// Whether the incarnation at this address has certainly ended: the target has
     /// restarted, or another target has the address. A target that is draining, silent or
     /// has left may still run requests.
-    pub fn has_ended(&self, address: SocketAddr, life: &Incarnation) -> bool {
-        let is_another = |i: &Instance| i.id != life.id || i.born != life.born;
+    pub fn has_ended(&self, address: SocketAddr, incarnation: &Incarnation) -> bool {
+        let is_another = |i: &Instance| i.id != incarnation.id || i.born != incarnation.born;
         let mut at_address = self.iter().filter(|i| i.address == address);
         at_address.any(is_another)
     }
@@ -171,7 +171,7 @@
             };
             has_ended.then(|| EndedIncarnation {
                 address: old.address,
-                life: old.incarnation(),
+                incarnation: old.incarnation(),
                 by: new.map(|new| new.incarnation()),
             })
         };
--- a/crates/deckwind-core/src/routes/interrupted_runs.rs
+++ b/crates/deckwind-core/src/routes/interrupted_runs.rs
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug)]
 struct PendingRun {
     content: ContentDigest,
-    life: Incarnation,
+    incarnation: Incarnation,
     /// Whether an event of the run had come.
     begun: bool,
     until: Instant,
@@ -68,7 +68,7 @@
 /// Crashes for one request content that this router observed.
 #[derive(Clone, Debug)]
 struct OwnCrashes {
-    lives: Vec<Incarnation>,
+    incarnations: Vec<Incarnation>,
     /// Number of crashes known when the last one was recorded, including those seen by
     /// other routers.
     known_crashes: usize,
@@ -125,7 +125,7 @@
         &mut self,
         now: Instant,
         content: ContentDigest,
-        life: &Incarnation,
+        incarnation: &Incarnation,
         ran: Option<Duration>,
     ) -> bool {
         if ran.is_some_and(|ran| ran >= MAX_POISON_RUN_TIME) {
@@ -138,18 +138,18 @@
         if self
             .ended_incarnations
             .iter()
-            .any(|(ended, _)| ended == life)
+            .any(|(ended, _)| ended == incarnation)
         {
             // Another router may have seen the same crash, and it may already be agreed.
-            self.record_crash(now, content, life.clone(), ran.is_some(), 0);
+            self.record_crash(now, content, incarnation.clone(), ran.is_some(), 0);
         } else {
             let until = now + self.pending_timeout;
-            let life = life.clone();
+            let incarnation = incarnation.clone();
             push_bounded(
                 &mut self.pending,
                 PendingRun {
                     content,
-                    life,
+                    incarnation,
                     begun: ran.is_some(),
                     until,
                 },
@@ -179,21 +179,24 @@
     pub fn record_ended_incarnations(
         &mut self,
         now: Instant,
-        lives: Vec<Incarnation>,
+        incarnations: Vec<Incarnation>,
     ) -> Vec<(ContentDigest, Incarnation)> {
         self.remove_expired(now);
         let pending = std::mem::take(&mut self.pending);
-        let (cut, rest): (Vec<_>, Vec<_>) =
-            pending.into_iter().partition(|w| lives.contains(&w.life));
+        let (cut, rest): (Vec<_>, Vec<_>) = pending
+            .into_iter()
+            .partition(|w| incarnations.contains(&w.incarnation));
         self.pending = rest.into();
-        for life in lives {
-            push_bounded(&mut self.ended_incarnations, (life, now));
+        for incarnation in incarnations {
+            push_bounded(&mut self.ended_incarnations, (incarnation, now));
         }
         for w in &cut {
             let before = self.agreed.crash_count(&w.content);
-            self.record_crash(now, w.content, w.life.clone(), w.begun, before);
+            self.record_crash(now, w.content, w.incarnation.clone(), w.begun, before);
         }
-        cut.into_iter().map(|w| (w.content, w.life)).collect()
+        cut.into_iter()
+            .map(|w| (w.content, w.incarnation))
+            .collect()
     }
 
     /// Records the crash of an incarnation for a request content. `begun` says whether an
@@ -221,15 +224,15 @@
             .own_crashes
             .entry(content)
             .or_insert_with(|| OwnCrashes {
-                lives: Vec::new(),
+                incarnations: Vec::new(),
                 known_crashes: 0,
                 last_crash: now,
             });
         own.last_crash = now;
-        if own.lives.contains(&life) || own.lives.len() >= MAX_ENDS {
+        if own.incarnations.contains(&life) || own.incarnations.len() >= MAX_ENDS {
             return;
         }
-        own.lives.push(life.clone());
+        own.incarnations.push(life.clone());
         // Counted on top of the agreed crashes, which can't include this one yet: from the
         // third crash on, the router that saw it sends the request content to no target.
         own.known_crashes = own.known_crashes.max(before) + 1;
@@ -294,10 +297,10 @@
             return false;
         }
         let pending = self.pending.iter().filter(|w| w.content == *content);
-        let mut lives: Vec<&Incarnation> = pending.map(|w| &w.life).collect();
-        lives.sort_unstable();
-        lives.dedup();
-        known + lives.len() < QUARANTINE_THRESHOLD
+        let mut incarnations: Vec<&Incarnation> = pending.map(|w| &w.incarnation).collect();
+        incarnations.sort_unstable();
+        incarnations.dedup();
+        known + incarnations.len() < QUARANTINE_THRESHOLD
     }
 
     /// Whether there are changes that the leader has not received.
--- a/crates/deckwind-core/src/routes/notices.rs
+++ b/crates/deckwind-core/src/routes/notices.rs
@@ -50,7 +50,7 @@
 
 #[derive(Clone, Debug)]
 struct StoredNotice {
-    life: Incarnation,
+    incarnation: Incarnation,
     rest_ends_at: Instant,
     leaves: bool,
     received_at: Instant,
@@ -69,13 +69,13 @@
         &mut self,
         now: Instant,
         address: SocketAddr,
-        life: &Incarnation,
+        incarnation: &Incarnation,
         notice: &TargetNotice,
     ) -> NoticeChange {
         if notice.rest.is_none() && !notice.leaves {
             return NoticeChange::default();
         }
-        let stored = self.stored_mut(now, address, life);
+        let stored = self.stored_mut(now, address, incarnation);
         stored.received_at = now;
         let until = now + notice.rest.unwrap_or_default();
         let longer = until > stored.rest_ends_at && until > now;
@@ -92,28 +92,28 @@
         &mut self,
         now: Instant,
         address: SocketAddr,
-        life: &Incarnation,
+        incarnation: &Incarnation,
     ) -> &mut StoredNotice {
         if self.by_address.len() >= MAX_ADDRESSES && !self.by_address.contains_key(&address) {
             self.forget_oldest();
         }
-        let lives = self.by_address.entry(address).or_default();
-        if !lives.iter().any(|s| s.life == *life) {
-            lives.truncate(MAX_INCARNATIONS_PER_ADDRESS - 1);
+        let notices = self.by_address.entry(address).or_default();
+        if !notices.iter().any(|s| s.incarnation == *incarnation) {
+            notices.truncate(MAX_INCARNATIONS_PER_ADDRESS - 1);
             let stored = StoredNotice {
-                life: life.clone(),
+                incarnation: incarnation.clone(),
                 rest_ends_at: Instant::ZERO,
                 leaves: false,
                 received_at: now,
             };
-            lives.insert(0, stored);
+            notices.insert(0, stored);
         }
-        let known = lives.iter_mut().find(|s| s.life == *life);
+        let known = notices.iter_mut().find(|s| s.incarnation == *incarnation);
         known.expect("an entry was inserted above")
     }
 
     fn forget_oldest(&mut self) {
-        let received_at = |lives: &[StoredNotice]| lives.iter().map(|s| s.received_at).max();
+        let received_at = |notices: &[StoredNotice]| notices.iter().map(|s| s.received_at).max();
         let oldest = self.by_address.iter().min_by_key(|(_, l)| received_at(l));
         if let Some(address) = oldest.map(|(a, _)| *a) {
             self.by_address.remove(&address);
@@ -121,9 +121,11 @@
     }
 
     fn stored(&self, instance: &Instance) -> Option<&StoredNotice> {
-        let lives = self.by_address.get(&instance.address)?;
-        let is_same = |s: &&StoredNotice| s.life.id == instance.id && s.life.born == instance.born;
-        lives.iter().find(is_same)
+        let notices = self.by_address.get(&instance.address)?;
+        let is_same = |s: &&StoredNotice| {
+            s.incarnation.id == instance.id && s.incarnation.born == instance.born
+        };
+        notices.iter().find(is_same)
     }
 
     /// Returns the end of the rest period, or `None` if the target does not rest at `now`.
@@ -138,25 +140,25 @@
     }
 
     /// Whether this incarnation accepts no new requests at `now`.
-    pub fn is_blocked(&self, now: Instant, address: SocketAddr, life: &Incarnation) -> bool {
-        let lives = self.by_address.get(&address);
-        let mut lives = lives.into_iter().flatten();
-        lives.any(|s| s.life == *life && (s.leaves || s.rest_ends_at > now))
+    pub fn is_blocked(&self, now: Instant, address: SocketAddr, incarnation: &Incarnation) -> bool {
+        let notices = self.by_address.get(&address);
+        let mut notices = notices.into_iter().flatten();
+        notices.any(|s| s.incarnation == *incarnation && (s.leaves || s.rest_ends_at > now))
     }
 
     /// The number of targets that are in a rest period at `now`.
     pub fn resting(&self, now: Instant) -> usize {
-        let rests = |lives: &&Vec<StoredNotice>| lives.iter().any(|s| s.rest_ends_at > now);
+        let rests = |notices: &&Vec<StoredNotice>| notices.iter().any(|s| s.rest_ends_at > now);
         self.by_address.values().filter(rests).count()
     }
 
     /// Removes rest periods that are over, and notices of targets that are no longer known.
     pub fn forget(&mut self, now: Instant, known: impl Fn(&SocketAddr) -> bool) {
-        self.by_address.retain(|address, lives| {
+        self.by_address.retain(|address, notices| {
             let lasts =
                 |s: &StoredNotice| known(address) || now.since(s.received_at) < UNKNOWN_TARGET_TTL;
-            lives.retain(|s| s.rest_ends_at > now || (s.leaves && lasts(s)));
-            !lives.is_empty()
+            notices.retain(|s| s.rest_ends_at > now || (s.leaves && lasts(s)));
+            !notices.is_empty()
         });
     }
 }
--- a/crates/deckwindd/src/router/routes/http_server.rs
+++ b/crates/deckwindd/src/router/routes/http_server.rs
@@ -124,7 +124,7 @@
     ) {
         let source = AnswerSource {
             address: choice.address,
-            life: &choice.life(),
+            incarnation: &choice.incarnation(),
             in_reply_to: &self.head.id,
             permit,
         };
--- a/crates/deckwindd/src/router/routes/mod.rs
+++ b/crates/deckwindd/src/router/routes/mod.rs
@@ -296,13 +296,17 @@
     /// through them take another path as soon as they stall.
     fn reset_ended_targets(&self, now: Instant, before: &InstanceIndex, index: &InstanceIndex) {
         for over in index.ended_incarnations(before) {
-            let EndedIncarnation { address, life, by } = over;
+            let EndedIncarnation {
+                address,
+                incarnation,
+                by,
+            } = over;
             self.connections.close_idle(address);
             self.target_records()
                 .reset_target(now + DOWN_REPORT_TTL, address);
             metrics::counter!("deckwind_route_lives_ended_total").increment(1);
-            let by = by.map_or("-".to_string(), |life| life.to_string());
-            log::info!("event=life_over target={address} life={life} by={by}");
+            let by = by.map_or("-".to_string(), |incarnation| incarnation.to_string());
+            log::info!("event=life_over target={address} life={incarnation} by={by}");
         }
     }
 
--- a/crates/deckwindd/src/router/routes/opening/attempt.rs
+++ b/crates/deckwindd/src/router/routes/opening/attempt.rs
@@ -63,7 +63,8 @@
             return Err(AttemptError::Blocked);
         }
         self.send_delay = self.chosen_at.elapsed();
-        self.attempted.record_sent(choice.address, choice.life());
+        self.attempted
+            .record_sent(choice.address, choice.incarnation());
         self.target = Some(choice.address);
         self.log_extra_attempt();
         let run = TargetRun::begin(&self.job, choice);
--- a/crates/deckwindd/src/router/routes/poison_requests.rs
+++ b/crates/deckwindd/src/router/routes/poison_requests.rs
@@ -32,7 +32,7 @@
     /// Address of the target.
     pub address: SocketAddr,
     /// Incarnation of the target.
-    pub life: &'a Incarnation,
+    pub incarnation: &'a Incarnation,
     /// Time since the first event of the run; `None` if there was none.
     pub run_time: Option<Duration>,
     /// Whether the target broke the run off.
@@ -80,9 +80,9 @@
 
     /// Records an interrupted run.
     pub fn record_interrupted(&self, now: Instant, run: &InterruptedRun) {
-        let is_suspect = self
-            .runs()
-            .record_interrupted(now, run.content, run.life, run.run_time);
+        let is_suspect =
+            self.runs()
+                .record_interrupted(now, run.content, run.incarnation, run.run_time);
         if is_suspect && run.broken_off {
             let mut broke = self.broken_targets.lock().expect("no holder panics");
             if broke.len() < MAX_BROKEN_TARGETS && !broke.contains(&run.address) {
@@ -93,14 +93,14 @@
     }
 
     /// Records that these incarnations have ended unplanned.
-    pub fn record_ended(&self, now: Instant, lives: Vec<Incarnation>) {
-        if lives.is_empty() {
+    pub fn record_ended(&self, now: Instant, incarnations: Vec<Incarnation>) {
+        if incarnations.is_empty() {
             return;
         }
-        let ended = self.runs().record_ended_incarnations(now, lives);
-        for (content, life) in &ended {
+        let ended = self.runs().record_ended_incarnations(now, incarnations);
+        for (content, incarnation) in &ended {
             metrics::counter!("deckwind_route_ended_targets_total").increment(1);
-            log::warn!("event=target_ended_under content={content} life={life}");
+            log::warn!("event=target_ended_under content={content} life={incarnation}");
         }
         if !ended.is_empty() {
             self.report_due.notify_one();
--- a/crates/deckwindd/src/router/routes/target_notices.rs
+++ b/crates/deckwindd/src/router/routes/target_notices.rs
@@ -18,7 +18,7 @@
     /// The target's address.
     pub address: SocketAddr,
     /// The incarnation that the request was meant for.
-    pub life: &'a Incarnation,
+    pub incarnation: &'a Incarnation,
     /// What is answered: the id of a request, or the path of a call to the target's own
     /// interface.
     pub in_reply_to: &'a str,
@@ -40,11 +40,11 @@
     ) -> Result<TargetResponse, TargetError> {
         let incarnation = self.incarnation_at(address);
         let reply = call_target(&self.connections, address, call, within).await?;
-        if let Some(life) = &incarnation {
+        if let Some(incarnation) = &incarnation {
             let in_reply_to = &call.path;
             let source = AnswerSource {
                 address,
-                life,
+                incarnation,
                 in_reply_to,
                 permit: None,
             };
@@ -71,20 +71,20 @@
     fn apply_notice(&self, now: Instant, source: &AnswerSource, notice: &TargetNotice) {
         let AnswerSource {
             address,
-            life,
+            incarnation,
             in_reply_to,
             ..
         } = source;
         if let Some(text) = &notice.unreadable_rest {
             metrics::counter!("deckwind_route_rests_unreadable_total").increment(1);
             log::warn!(
-                "event=rest_unreadable target={address} life={life} to={in_reply_to} text={text:?}"
+                "event=rest_unreadable target={address} life={incarnation} to={in_reply_to} text={text:?}"
             );
         }
         if let Some(text) = &notice.unreadable_limit {
             metrics::counter!("deckwind_route_limits_unreadable_total").increment(1);
             log::warn!(
-                "event=limit_unreadable target={address} life={life} to={in_reply_to} text={text:?}"
+                "event=limit_unreadable target={address} life={incarnation} to={in_reply_to} text={text:?}"
             );
         } else {
             self.record_limit(now, source, notice.limit);
@@ -96,16 +96,18 @@
         let change = self
             .target_records()
             .notices
-            .record(now, *address, life, notice);
+            .record(now, *address, incarnation, notice);
         if let Some(until) = change.rest_ends_at {
             log::info!(
-                "event=target_asks_rest target={address} life={life} to={in_reply_to} rest_ms={}",
+                "event=target_asks_rest target={address} life={incarnation} to={in_reply_to} rest_ms={}",
                 until.since(now).as_millis()
             );
         }
         if change.leaves {
             metrics::counter!("deckwind_route_leaving_heard_total").increment(1);
-            log::info!("event=target_says_it_leaves target={address} life={life} to={in_reply_to}");
+            log::info!(
+                "event=target_says_it_leaves target={address} life={incarnation} to={in_reply_to}"
+            );
         }
     }
 
@@ -117,7 +119,7 @@
         }
         let target = LimitKey {
             address: source.address,
-            life: source.life.clone(),
+            life: source.incarnation.clone(),
         };
         let permitted = source.permit.map(|p| p.issued);
         let begins = records.limits.record_limit(now, &target, rate, permitted);
--- a/crates/deckwindd/src/router/template_runs.rs
+++ b/crates/deckwindd/src/router/template_runs.rs
@@ -97,10 +97,10 @@
     /// complete before the request is sent to another target.
     pub async fn record_broken_off(&self) {
         let has_crashed = is_gone(self.address).await;
-        let life = self.incarnation();
+        let incarnation = self.incarnation();
         metrics::counter!("deckwind_route_runs_cut_total", "how" => "broke").increment(1);
         log::info!(
-            "event=run_cut content={} target={} life={life} how=broke gone={has_crashed}",
+            "event=run_cut content={} target={} life={incarnation} how=broke gone={has_crashed}",
             self.content,
             self.address
         );
@@ -111,7 +111,7 @@
         let run = InterruptedRun {
             content: self.content,
             address: self.address,
-            life: &life,
+            incarnation: &incarnation,
             run_time: self.first_progress_at.map(|at| now.since(at)),
             // The leader cannot probe configured targets, since it does not track them.
             broken_off: false,
@@ -119,7 +119,7 @@
         let poison_requests = &self.shared.routes.poison_requests;
         poison_requests.record_interrupted(now, &run);
         self.shared.crash_counts.record(self.address, self.number);
-        poison_requests.record_ended(now, vec![life]);
+        poison_requests.record_ended(now, vec![incarnation]);
     }
 
     /// Records that the target has served the request and is still running.
