--- a/crates/deckwind-core/examples/policies/run/sessions.rs
+++ b/crates/deckwind-core/examples/policies/run/sessions.rs
@@ -6,7 +6,9 @@
 };
 use crate::fleet::LAYERS;
 use deckwind_core::router::Work;
-use deckwind_core::routing::{ChainNeed, LoadReport, PREFILL_COST, plan_names, prefix_hashes};
+use deckwind_core::routing::{
+    ChainRequirements, LoadReport, PREFILL_COST, prefix_hashes, resolve_stages,
+};
 use deckwind_core::session::{
     Activation, Chain, EndReason, Session, SessionAction, SessionEvent, SessionLimits, Stage,
     StageFault, StageKey, StepOrder, StepOutput, Token,
@@ -38,7 +40,7 @@
         let mut running = RunningSession {
             class: request.class,
             router: request.router,
-            entered: request.entered,
+            checked_request: request.checked_request,
             session: Session::new(LAYERS, prompt, limits),
             stages: BTreeMap::new(),
             planned: Vec::new(),
@@ -73,7 +75,7 @@
                     }
                     self.replan(id);
                 }
-                SessionAction::Open { key, with } => self.open(id, key, &with),
+                SessionAction::Open { key, stage } => self.open(id, key, &stage),
                 SessionAction::Step { key, order } => self.send_order(id, key, &order),
                 SessionAction::Deliver { .. } => self.deliver(id),
                 SessionAction::Close { key } => self.close(id, key),
@@ -130,10 +132,10 @@
             core.stage_ended(self.now, p.target, p.layers);
         }
         let c = self.scenario.classes[running.class];
-        let Work::Chat(work) = &running.entered.work else {
+        let Work::Chat(work) = &running.checked_request.work else {
             return None;
         };
-        let need = ChainNeed {
+        let need = ChainRequirements {
             group: work.group.clone(),
             adapter: None,
             layers,
@@ -154,27 +156,33 @@
         });
         stages.extend(new);
         stages.sort_by_key(|s| s.layers.first);
-        debug_assert!(layers.len() < LAYERS || plan_names(core.fleet(), &planned, LAYERS).is_ok());
+        debug_assert!(
+            layers.len() < LAYERS || resolve_stages(core.fleet(), &planned, LAYERS).is_ok()
+        );
         running.planned = planned;
         Chain::new(stages, LAYERS).ok()
     }
 
-    pub(super) fn open(&mut self, id: u64, key: StageKey, with: &Stage) {
-        let runner = self.by_name[&with.target];
+    pub(super) fn open(&mut self, id: u64, key: StageKey, stage: &Stage) {
+        let runner = self.by_name[&stage.target];
         let Some(running) = self.sessions.get_mut(&id) else {
             return;
         };
-        let Some(i) = running.planned.iter().position(|p| p.layers == with.layers) else {
+        let Some(i) = running
+            .planned
+            .iter()
+            .position(|p| p.layers == stage.layers)
+        else {
             return;
         };
         let planned = running.planned.remove(i);
-        self.runners[runner].load += with.layers.len();
+        self.runners[runner].load += stage.layers.len();
         running.stages.insert(
             key,
             OpenStage {
                 target: planned.target,
                 runner,
-                layers: with.layers,
+                layers: stage.layers,
                 order_sent: self.now,
             },
         );
@@ -208,7 +216,7 @@
         }
         let done = target.step(now, stage.layers.len(), f64::from(positions));
         let core = &self.routers[running.router];
-        let limit = core.step_limit(now, stage.target, stage.layers, order.inputs.len());
+        let limit = core.step_timeout(now, stage.target, stage.layers, order.inputs.len());
         let dead = target.dead;
         match done {
             Some(at) => {
@@ -304,7 +312,7 @@
         let mut work = 1.0;
         match running.last_token {
             None => {
-                let took = now.since(running.entered.arrived);
+                let took = now.since(running.checked_request.arrived);
                 class_stats.first.saturating_record(micros(took));
                 let c = self.scenario.classes[running.class];
                 work += f64::from(c.prompt) * PREFILL_COST;
@@ -348,7 +356,7 @@
             EndReason::Complete => result.finished += 1,
             _ => result.failed += 1,
         }
-        let admitted = core.leave(self.now, running.entered.id);
+        let admitted = core.release_slot(self.now, running.checked_request.id);
         self.handle_admitted(running.router, admitted);
     }
 }
--- a/crates/deckwind-core/src/routes/attempts.rs
+++ b/crates/deckwind-core/src/routes/attempts.rs
@@ -9,12 +9,12 @@
 
 /// Targets to which a request was sent and that may have run it.
 #[derive(Clone, Debug)]
-pub struct Tries {
+pub struct AttemptedTargets {
     max: u32,
     sent: Vec<(SocketAddr, Incarnation)>,
 }
 
-impl Tries {
+impl AttemptedTargets {
     /// Creates an empty list with a limit on the targets that may run the request.
     pub fn new(max: u32) -> Self {
         Self {
@@ -24,12 +24,12 @@
     }
 
     /// Records that the request is sent to this incarnation of a target.
-    pub fn sent(&mut self, address: SocketAddr, life: Incarnation) {
-        self.sent.push((address, life));
+    pub fn record_sent(&mut self, address: SocketAddr, incarnation: Incarnation) {
+        self.sent.push((address, incarnation));
     }
 
     /// Removes the last target, which has not run the request.
-    pub fn not_run(&mut self) {
+    pub fn remove_last(&mut self) {
         self.sent.pop();
     }
 
@@ -40,13 +40,14 @@
 
     /// The number of these targets that have ended, according to the agreed state.
     pub fn ended(&self, instances: &InstanceIndex) -> u32 {
-        let ended =
-            |(address, life): &&(SocketAddr, Incarnation)| instances.has_ended(*address, life);
+        let ended = |(address, incarnation): &&(SocketAddr, Incarnation)| {
+            instances.has_ended(*address, incarnation)
+        };
         self.sent.iter().filter(ended).count() as u32
     }
 
     /// Whether the request may be sent to one more target.
-    pub fn left(&self, instances: &InstanceIndex) -> bool {
+    pub fn may_send(&self, instances: &InstanceIndex) -> bool {
         self.count() - self.ended(instances) < self.max
     }
 }
--- a/crates/deckwind-core/src/routes/cut_runs.rs
+++ b/crates/deckwind-core/src/routes/interrupted_runs.rs
@@ -26,7 +26,7 @@
 /// This is four times as long as poison requests take to crash one. If all streams that a
 /// crash breaks off were counted, streams that are moved together would be quarantined by
 /// chance.
-pub const JUST_BEGUN: Duration = Duration::from_millis(500);
+pub const MAX_POISON_RUN_TIME: Duration = Duration::from_millis(500);
 
 /// Time for which an interrupted run waits for the crash of its incarnation to be known, in
 /// announcement periods plus a fixed time. A silent target counts as such after some of its
@@ -59,7 +59,7 @@
 #[derive(Clone, Debug)]
 struct PendingRun {
     content: ContentDigest,
-    life: Incarnation,
+    incarnation: Incarnation,
     /// Whether an event of the run had come.
     begun: bool,
     until: Instant,
@@ -68,7 +68,7 @@
 /// Crashes for one request content that this router observed.
 #[derive(Clone, Debug)]
 struct OwnCrashes {
-    lives: Vec<Incarnation>,
+    incarnations: Vec<Incarnation>,
     /// Number of crashes known when the last one was recorded, including those seen by
     /// other routers.
     known_crashes: usize,
@@ -77,7 +77,7 @@
 
 /// Request contents and target crashes known to one router.
 #[derive(Clone, Debug)]
-pub struct CutRuns {
+pub struct InterruptedRuns {
     pending_timeout: Duration,
     pending: VecDeque<PendingRun>,
     /// Recently ended incarnations. A run may be noticed as interrupted after its target
@@ -98,14 +98,14 @@
     queue.push_back(value);
 }
 
-impl Default for CutRuns {
+impl Default for InterruptedRuns {
     /// Returns a tracker for targets that announce themselves at the default period.
     fn default() -> Self {
         Self::with_period(DEFAULT_ANNOUNCE_INTERVAL)
     }
 }
 
-impl CutRuns {
+impl InterruptedRuns {
     /// Returns an empty tracker for targets with this announcement period.
     pub fn with_period(period: Duration) -> Self {
         Self {
@@ -121,15 +121,15 @@
 
     /// Records an interrupted run. `ran` is the time since its first event, if there was
     /// one. Returns whether the run may have crashed its target.
-    pub fn cut(
+    pub fn record_interrupted(
         &mut self,
         now: Instant,
         content: ContentDigest,
-        life: &Incarnation,
+        incarnation: &Incarnation,
         ran: Option<Duration>,
     ) -> bool {
-        if ran.is_some_and(|ran| ran >= JUST_BEGUN) {
-            self.served(now, content);
+        if ran.is_some_and(|ran| ran >= MAX_POISON_RUN_TIME) {
+            self.record_served(now, content);
         }
         self.remove_expired(now);
         if self.is_exempt(now, &content) {
@@ -138,18 +138,18 @@
         if self
             .ended_incarnations
             .iter()
-            .any(|(ended, _)| ended == life)
+            .any(|(ended, _)| ended == incarnation)
         {
             // Another router may have seen the same crash, and it may already be agreed.
-            self.record_crash(now, content, life.clone(), ran.is_some(), 0);
+            self.record_crash(now, content, incarnation.clone(), ran.is_some(), 0);
         } else {
             let until = now + self.pending_timeout;
-            let life = life.clone();
+            let incarnation = incarnation.clone();
             push_bounded(
                 &mut self.pending,
                 PendingRun {
                     content,
-                    life,
+                    incarnation,
                     begun: ran.is_some(),
                     until,
                 },
@@ -159,7 +159,7 @@
     }
 
     /// Records that a target has run the request content and is still there.
-    pub fn served(&mut self, now: Instant, content: ContentDigest) {
+    pub fn record_served(&mut self, now: Instant, content: ContentDigest) {
         if self.served.len() >= MAX_SERVED {
             self.served
                 .retain(|_, at| now.since(*at) < SERVED_EXEMPTION);
@@ -176,24 +176,27 @@
 
     /// Records incarnations that crashed. Returns the request contents that were running
     /// there, with the incarnation.
-    pub fn lives_over(
+    pub fn record_ended_incarnations(
         &mut self,
         now: Instant,
-        lives: Vec<Incarnation>,
+        incarnations: Vec<Incarnation>,
     ) -> Vec<(ContentDigest, Incarnation)> {
         self.remove_expired(now);
         let pending = std::mem::take(&mut self.pending);
-        let (cut, rest): (Vec<_>, Vec<_>) =
-            pending.into_iter().partition(|w| lives.contains(&w.life));
+        let (cut, rest): (Vec<_>, Vec<_>) = pending
+            .into_iter()
+            .partition(|w| incarnations.contains(&w.incarnation));
         self.pending = rest.into();
-        for life in lives {
-            push_bounded(&mut self.ended_incarnations, (life, now));
+        for incarnation in incarnations {
+            push_bounded(&mut self.ended_incarnations, (incarnation, now));
         }
         for w in &cut {
             let before = self.agreed.crash_count(&w.content);
-            self.record_crash(now, w.content, w.life.clone(), w.begun, before);
+            self.record_crash(now, w.content, w.incarnation.clone(), w.begun, before);
         }
-        cut.into_iter().map(|w| (w.content, w.life)).collect()
+        cut.into_iter()
+            .map(|w| (w.content, w.incarnation))
+            .collect()
     }
 
     /// Records the crash of an incarnation for a request content. `begun` says whether an
@@ -221,15 +224,15 @@
             .own_crashes
             .entry(content)
             .or_insert_with(|| OwnCrashes {
-                lives: Vec::new(),
+                incarnations: Vec::new(),
                 known_crashes: 0,
                 last_crash: now,
             });
         own.last_crash = now;
-        if own.lives.contains(&life) || own.lives.len() >= MAX_ENDS {
+        if own.incarnations.contains(&life) || own.incarnations.len() >= MAX_ENDS {
             return;
         }
-        own.lives.push(life.clone());
+        own.incarnations.push(life.clone());
         // Counted on top of the agreed crashes, which can't include this one yet: from the
         // third crash on, the router that saw it sends the request content to no target.
         own.known_crashes = own.known_crashes.max(before) + 1;
@@ -244,7 +247,7 @@
     /// Replaces the agreed list and returns the previous one. Crashes that this router
     /// observed are forgotten once the request content is quarantined, and when the agreed
     /// count falls, since they expire with the agreed state.
-    pub fn agreed(&mut self, now: Instant, list: Arc<SuspectList>) -> Arc<SuspectList> {
+    pub fn set_agreed(&mut self, now: Instant, list: Arc<SuspectList>) -> Arc<SuspectList> {
         let before = std::mem::replace(&mut self.agreed, list.clone());
         self.own_crashes.retain(|content, _| {
             let agreed = list.crash_count(content);
@@ -294,24 +297,24 @@
             return false;
         }
         let pending = self.pending.iter().filter(|w| w.content == *content);
-        let mut lives: Vec<&Incarnation> = pending.map(|w| &w.life).collect();
-        lives.sort_unstable();
-        lives.dedup();
-        known + lives.len() < QUARANTINE_THRESHOLD
+        let mut incarnations: Vec<&Incarnation> = pending.map(|w| &w.incarnation).collect();
+        incarnations.sort_unstable();
+        incarnations.dedup();
+        known + incarnations.len() < QUARANTINE_THRESHOLD
     }
 
     /// Whether there are changes that the leader has not received.
-    pub fn has_news(&self) -> bool {
+    pub fn has_unreported_changes(&self) -> bool {
         !self.unreported.is_empty()
     }
 
     /// Takes the changes that the leader has not received.
-    pub fn take_news(&mut self) -> Vec<SuspectChange> {
+    pub fn take_unreported_changes(&mut self) -> Vec<SuspectChange> {
         self.unreported.drain(..).collect()
     }
 
     /// Queues changes again that could not be delivered to the leader.
-    pub fn put_back(&mut self, news: Vec<SuspectChange>) {
+    pub fn requeue(&mut self, news: Vec<SuspectChange>) {
         for change in news.into_iter().rev() {
             if self.unreported.len() < MAX_ENTRIES {
                 self.unreported.push_front(change);
--- a/crates/deckwind-core/src/routes/notices.rs
+++ b/crates/deckwind-core/src/routes/notices.rs
@@ -41,17 +41,17 @@
 
 /// Changes caused by a notice.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Heard {
+pub struct NoticeChange {
     /// New end of the rest period, if the notice extended it.
-    pub rests_until: Option<Instant>,
+    pub rest_ends_at: Option<Instant>,
     /// Whether the target was not yet known to be shutting down.
     pub leaves: bool,
 }
 
 #[derive(Clone, Debug)]
 struct StoredNotice {
-    life: Incarnation,
-    rests_until: Instant,
+    incarnation: Incarnation,
+    rest_ends_at: Instant,
     leaves: bool,
     received_at: Instant,
 }
@@ -65,25 +65,25 @@
 impl TargetNotices {
     /// Records the notice in a target's answer. A shorter rest period doesn't end a longer
     /// one, since each was requested independently.
-    pub fn hear(
+    pub fn record(
         &mut self,
         now: Instant,
         address: SocketAddr,
-        life: &Incarnation,
+        incarnation: &Incarnation,
         notice: &TargetNotice,
-    ) -> Heard {
+    ) -> NoticeChange {
         if notice.rest.is_none() && !notice.leaves {
-            return Heard::default();
+            return NoticeChange::default();
         }
-        let stored = self.stored_mut(now, address, life);
+        let stored = self.stored_mut(now, address, incarnation);
         stored.received_at = now;
         let until = now + notice.rest.unwrap_or_default();
-        let longer = until > stored.rests_until && until > now;
+        let longer = until > stored.rest_ends_at && until > now;
         let leaves = notice.leaves && !stored.leaves;
-        stored.rests_until = stored.rests_until.max(until);
+        stored.rest_ends_at = stored.rest_ends_at.max(until);
         stored.leaves |= notice.leaves;
-        Heard {
-            rests_until: longer.then_some(until),
+        NoticeChange {
+            rest_ends_at: longer.then_some(until),
             leaves,
         }
     }
@@ -92,28 +92,28 @@
         &mut self,
         now: Instant,
         address: SocketAddr,
-        life: &Incarnation,
+        incarnation: &Incarnation,
     ) -> &mut StoredNotice {
         if self.by_address.len() >= MAX_ADDRESSES && !self.by_address.contains_key(&address) {
             self.forget_oldest();
         }
-        let lives = self.by_address.entry(address).or_default();
-        if !lives.iter().any(|s| s.life == *life) {
-            lives.truncate(MAX_INCARNATIONS_PER_ADDRESS - 1);
+        let notices = self.by_address.entry(address).or_default();
+        if !notices.iter().any(|s| s.incarnation == *incarnation) {
+            notices.truncate(MAX_INCARNATIONS_PER_ADDRESS - 1);
             let stored = StoredNotice {
-                life: life.clone(),
-                rests_until: Instant::ZERO,
+                incarnation: incarnation.clone(),
+                rest_ends_at: Instant::ZERO,
                 leaves: false,
                 received_at: now,
             };
-            lives.insert(0, stored);
+            notices.insert(0, stored);
         }
-        let known = lives.iter_mut().find(|s| s.life == *life);
+        let known = notices.iter_mut().find(|s| s.incarnation == *incarnation);
         known.expect("an entry was inserted above")
     }
 
     fn forget_oldest(&mut self) {
-        let received_at = |lives: &[StoredNotice]| lives.iter().map(|s| s.received_at).max();
+        let received_at = |notices: &[StoredNotice]| notices.iter().map(|s| s.received_at).max();
         let oldest = self.by_address.iter().min_by_key(|(_, l)| received_at(l));
         if let Some(address) = oldest.map(|(a, _)| *a) {
             self.by_address.remove(&address);
@@ -121,14 +121,16 @@
     }
 
     fn stored(&self, instance: &Instance) -> Option<&StoredNotice> {
-        let lives = self.by_address.get(&instance.address)?;
-        let is_same = |s: &&StoredNotice| s.life.id == instance.id && s.life.born == instance.born;
-        lives.iter().find(is_same)
+        let notices = self.by_address.get(&instance.address)?;
+        let is_same = |s: &&StoredNotice| {
+            s.incarnation.id == instance.id && s.incarnation.born == instance.born
+        };
+        notices.iter().find(is_same)
     }
 
     /// Returns the end of the rest period, or `None` if the target does not rest at `now`.
-    pub fn rests_until(&self, now: Instant, instance: &Instance) -> Option<Instant> {
-        let until = self.stored(instance)?.rests_until;
+    pub fn rest_ends_at(&self, now: Instant, instance: &Instance) -> Option<Instant> {
+        let until = self.stored(instance)?.rest_ends_at;
         (until > now).then_some(until)
     }
 
@@ -138,25 +140,25 @@
     }
 
     /// Whether this incarnation accepts no new requests at `now`.
-    pub fn turns_away(&self, now: Instant, address: SocketAddr, life: &Incarnation) -> bool {
-        let lives = self.by_address.get(&address);
-        let mut lives = lives.into_iter().flatten();
-        lives.any(|s| s.life == *life && (s.leaves || s.rests_until > now))
+    pub fn is_blocked(&self, now: Instant, address: SocketAddr, incarnation: &Incarnation) -> bool {
+        let notices = self.by_address.get(&address);
+        let mut notices = notices.into_iter().flatten();
+        notices.any(|s| s.incarnation == *incarnation && (s.leaves || s.rest_ends_at > now))
     }
 
     /// The number of targets that are in a rest period at `now`.
     pub fn resting(&self, now: Instant) -> usize {
-        let rests = |lives: &&Vec<StoredNotice>| lives.iter().any(|s| s.rests_until > now);
+        let rests = |notices: &&Vec<StoredNotice>| notices.iter().any(|s| s.rest_ends_at > now);
         self.by_address.values().filter(rests).count()
     }
 
     /// Removes rest periods that are over, and notices of targets that are no longer known.
     pub fn forget(&mut self, now: Instant, known: impl Fn(&SocketAddr) -> bool) {
-        self.by_address.retain(|address, lives| {
+        self.by_address.retain(|address, notices| {
             let lasts =
                 |s: &StoredNotice| known(address) || now.since(s.received_at) < UNKNOWN_TARGET_TTL;
-            lives.retain(|s| s.rests_until > now || (s.leaves && lasts(s)));
-            !lives.is_empty()
+            notices.retain(|s| s.rest_ends_at > now || (s.leaves && lasts(s)));
+            !notices.is_empty()
         });
     }
 }
--- a/crates/deckwind-net/src/clock.rs
+++ b/crates/deckwind-net/src/clock.rs
@@ -24,11 +24,11 @@
 /// Source of the time that a [`Clock`] reads.
 pub trait TimeSource: Send + Sync {
     /// Returns the time since the VM booted, including time for which it was suspended.
-    fn since_boot(&self) -> Duration;
+    fn boottime(&self) -> Duration;
 
     /// Returns the time since the VM booted, without time for which it was suspended.
     /// Timers use this clock.
-    fn awake(&self) -> Duration;
+    fn monotonic(&self) -> Duration;
 }
 
 /// Time source that reads the kernel's clocks.
@@ -43,11 +43,11 @@
 }
 
 impl TimeSource for KernelTime {
-    fn since_boot(&self) -> Duration {
+    fn boottime(&self) -> Duration {
         read_clock(ClockId::CLOCK_BOOTTIME)
     }
 
-    fn awake(&self) -> Duration {
+    fn monotonic(&self) -> Duration {
         read_clock(ClockId::CLOCK_MONOTONIC)
     }
 }
@@ -62,27 +62,27 @@
 impl Clock {
     /// Creates a clock that reads the kernel's time and starts now.
     pub fn start() -> Self {
-        Self::by(&KernelTime)
+        Self::with_time_source(&KernelTime)
     }
 
     /// Creates a clock that reads `source` and starts now.
-    pub fn by(source: &'static dyn TimeSource) -> Self {
+    pub fn with_time_source(source: &'static dyn TimeSource) -> Self {
         Self {
             source,
-            origin: source.since_boot(),
+            origin: source.boottime(),
         }
     }
 
     /// Returns the current time of the core.
     pub fn now(&self) -> Instant {
-        let since = self.source.since_boot().saturating_sub(self.origin);
+        let since = self.source.boottime().saturating_sub(self.origin);
         Instant::ZERO + INITIAL_TIME + since
     }
 
     /// Returns the total time for which the VM was suspended since it booted.
-    pub fn suspended(&self) -> Duration {
-        let awake = self.source.awake();
-        self.source.since_boot().saturating_sub(awake)
+    pub fn suspended_time(&self) -> Duration {
+        let monotonic = self.source.monotonic();
+        self.source.boottime().saturating_sub(monotonic)
     }
 
     /// Returns the wall clock time in milliseconds since the Unix epoch.
--- a/crates/deckwindd/src/router/routes/target_notices.rs
+++ b/crates/deckwindd/src/router/routes/target_notices.rs
@@ -4,11 +4,11 @@
 use super::Routes;
 use deckwind_core::control::LimitKey;
 use deckwind_core::rate::Rate;
-use deckwind_core::routes::{Choice, Permit, TargetNotice};
+use deckwind_core::routes::{Permit, TargetChoice, TargetNotice};
 use deckwind_core::state::{Incarnation, Instance};
 use deckwind_core::time::Instant;
 use deckwind_net::edge::TargetCall;
-use deckwind_net::targets::{TargetError, TargetReply, call_target};
+use deckwind_net::targets::{TargetError, TargetResponse, call_target};
 use http::{HeaderMap, StatusCode};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,7 +18,7 @@
     /// The target's address.
     pub address: SocketAddr,
     /// The incarnation that the request was meant for.
-    pub life: &'a Incarnation,
+    pub incarnation: &'a Incarnation,
     /// What is answered: the id of a request, or the path of a call to the target's own
     /// interface.
     pub in_reply_to: &'a str,
@@ -37,14 +37,14 @@
         address: SocketAddr,
         call: &TargetCall,
         within: Duration,
-    ) -> Result<TargetReply, TargetError> {
+    ) -> Result<TargetResponse, TargetError> {
         let incarnation = self.incarnation_at(address);
         let reply = call_target(&self.connections, address, call, within).await?;
-        if let Some(life) = &incarnation {
+        if let Some(incarnation) = &incarnation {
             let in_reply_to = &call.path;
             let source = AnswerSource {
                 address,
-                life,
+                incarnation,
                 in_reply_to,
                 permit: None,
             };
@@ -71,20 +71,20 @@
     fn apply_notice(&self, now: Instant, source: &AnswerSource, notice: &TargetNotice) {
         let AnswerSource {
             address,
-            life,
+            incarnation,
             in_reply_to,
             ..
         } = source;
         if let Some(text) = &notice.unreadable_rest {
             metrics::counter!("deckwind_route_rests_unreadable_total").increment(1);
             log::warn!(
-                "event=rest_unreadable target={address} life={life} to={in_reply_to} text={text:?}"
+                "event=rest_unreadable target={address} life={incarnation} to={in_reply_to} text={text:?}"
             );
         }
         if let Some(text) = &notice.unreadable_limit {
             metrics::counter!("deckwind_route_limits_unreadable_total").increment(1);
             log::warn!(
-                "event=limit_unreadable target={address} life={life} to={in_reply_to} text={text:?}"
+                "event=limit_unreadable target={address} life={incarnation} to={in_reply_to} text={text:?}"
             );
         } else {
             self.record_limit(now, source, notice.limit);
@@ -93,32 +93,37 @@
             metrics::counter!("deckwind_route_rests_asked_total").increment(1);
             metrics::histogram!("deckwind_route_rest_seconds").record(rest.as_secs_f64());
         }
-        let change = self.book().notices.hear(now, *address, life, notice);
-        if let Some(until) = change.rests_until {
+        let change = self
+            .target_records()
+            .notices
+            .record(now, *address, incarnation, notice);
+        if let Some(until) = change.rest_ends_at {
             log::info!(
-                "event=target_asks_rest target={address} life={life} to={in_reply_to} rest_ms={}",
+                "event=target_asks_rest target={address} life={incarnation} to={in_reply_to} rest_ms={}",
                 until.since(now).as_millis()
             );
         }
         if change.leaves {
             metrics::counter!("deckwind_route_leaving_heard_total").increment(1);
-            log::info!("event=target_says_it_leaves target={address} life={life} to={in_reply_to}");
+            log::info!(
+                "event=target_says_it_leaves target={address} life={incarnation} to={in_reply_to}"
+            );
         }
     }
 
     /// Records that a target has named a limit, or has answered without one.
     fn record_limit(&self, now: Instant, source: &AnswerSource, rate: Option<Rate>) {
-        let mut book = self.book();
-        if rate.is_none() && book.limits.limited() == 0 {
+        let mut records = self.target_records();
+        if rate.is_none() && records.limits.limited_count() == 0 {
             return;
         }
         let target = LimitKey {
             address: source.address,
-            life: source.life.clone(),
+            life: source.incarnation.clone(),
         };
         let permitted = source.permit.map(|p| p.issued);
-        let begins = book.limits.hear(now, &target, rate, permitted);
-        drop(book);
+        let begins = records.limits.record_limit(now, &target, rate, permitted);
+        drop(records);
         if let Some(rate) = rate {
             metrics::counter!("deckwind_route_limits_named_total").increment(1);
             if begins {
@@ -133,13 +138,16 @@
     /// Whether a target accepts nothing new by now, or takes only permitted requests
     /// and this one has no permit or an expired one. Checked just before each send,
     /// because the target may have reported it since it was chosen.
-    pub fn is_blocked(&self, now: Instant, choice: &Choice, permit: Option<&Permit>) -> bool {
+    pub fn is_blocked(&self, now: Instant, choice: &TargetChoice, permit: Option<&Permit>) -> bool {
         let target = choice.limit_key();
-        let book = self.book();
+        let records = self.target_records();
         let lacks_permit =
-            book.limits.is_limited(&target) && !permit.is_some_and(|p| p.is_good(now));
-        let is_blocked = lacks_permit || book.notices.turns_away(now, target.address, &target.life);
-        drop(book);
+            records.limits.is_limited(&target) && !permit.is_some_and(|p| p.is_valid(now));
+        let is_blocked = lacks_permit
+            || records
+                .notices
+                .is_blocked(now, target.address, &target.life);
+        drop(records);
         if is_blocked {
             metrics::counter!("deckwind_route_sends_held_back_total").increment(1);
         }
--- a/crates/deckwindd/src/router/template_callers.rs
+++ b/crates/deckwindd/src/router/template_callers.rs
@@ -13,7 +13,7 @@
     self as answers, Body, CallerError, REQUEST_ID_HEADER, Ran, response,
 };
 use bytes::Bytes;
-use deckwind_core::router::{Denied, DeniedCode, Entered, Placed, Work};
+use deckwind_core::router::{CheckedRequest, Denied, DeniedCode, SlotOutcome, Work};
 use deckwind_core::routing::prefix_hashes;
 use deckwind_core::state::{AccountName, ContentDigest, Outcome, TemplateName};
 use deckwind_net::targets::ServiceCall;
@@ -261,30 +261,34 @@
     shared: &Arc<RouterShared>,
     account: &AccountName,
     template: &TemplateName,
-) -> Result<(Entered, HeldTicket), CallerError> {
+) -> Result<(CheckedRequest, HeldTicket), CallerError> {
     let now = shared.clock.now();
-    let entered = shared.core().enter(now, account, template)?;
-    let waiting = shared.register_waiter(entered.id);
-    let placed = shared.core().place(now, &entered);
-    let ticket = HeldTicket::new(shared, entered.id);
-    match placed {
-        Ok(Placed::Start) => Ok((entered, ticket)),
-        Ok(Placed::Wait) => match waiting.await {
-            Ok(Ok(())) => Ok((entered, ticket)),
-            Ok(Err(denied)) => refuse(shared, &entered, denied),
+    let checked_request = shared.core().check_request(now, account, template)?;
+    let waiting = shared.register_waiter(checked_request.id);
+    let outcome = shared.core().request_slot(now, &checked_request);
+    let ticket = HeldTicket::new(shared, checked_request.id);
+    match outcome {
+        Ok(SlotOutcome::Start) => Ok((checked_request, ticket)),
+        Ok(SlotOutcome::Wait) => match waiting.await {
+            Ok(Ok(())) => Ok((checked_request, ticket)),
+            Ok(Err(denied)) => refuse(shared, &checked_request, denied),
             Err(_) => refuse(
                 shared,
-                &entered,
-                Denied::for_now(DeniedCode::Deadline, EXPIRE_INTERVAL),
+                &checked_request,
+                Denied::retryable(DeniedCode::Deadline, EXPIRE_INTERVAL),
             ),
         },
-        Err(denied) => refuse(shared, &entered, denied),
+        Err(denied) => refuse(shared, &checked_request, denied),
     }
 }
 
-fn refuse<T>(shared: &RouterShared, entered: &Entered, denied: Denied) -> Result<T, CallerError> {
+fn refuse<T>(
+    shared: &RouterShared,
+    checked_request: &CheckedRequest,
+    denied: Denied,
+) -> Result<T, CallerError> {
     let now = shared.clock.now();
-    shared.core().answered(now, entered, None);
+    shared.core().answered(now, checked_request, None);
     Err(denied.into())
 }
 
@@ -295,7 +299,7 @@
     template: TemplateName,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, CallerError> {
-    let _in_progress = shared.begin();
+    let _in_progress = shared.begin_request();
     let key = idempotency_key(req.headers())?;
     let content_type = req.headers().get(header::CONTENT_TYPE);
     let content_type = content_type.and_then(|v| v.to_str().ok());
@@ -307,12 +311,12 @@
     let (method, uri) = (req.method().clone(), req.uri().clone());
     let body = read_body(shared, req.into_body()).await?;
     let content = content_digest(&method, &uri, &account, &body);
-    shared.may_be_sent(&content)?;
-    let (entered, _ticket) = admit(shared, &account, &template).await?;
-    let Work::Service(work) = entered.work.clone() else {
-        return Err(Denied::for_good(DeniedCode::WrongTemplate).into());
+    shared.check_quarantine(&content)?;
+    let (checked_request, _ticket) = admit(shared, &account, &template).await?;
+    let Work::Service(work) = checked_request.work.clone() else {
+        return Err(Denied::permanent(DeniedCode::WrongTemplate).into());
     };
-    let held = match claim_if_needed(shared, &entered, key.as_deref(), &body).await? {
+    let held = match claim_if_needed(shared, &checked_request, key.as_deref(), &body).await? {
         NeededClaim::Answer(res) => return Ok(*res),
         NeededClaim::Held(held) => held,
     };
@@ -327,10 +331,10 @@
         idempotency_key: Some(key.unwrap_or_else(|| id.to_string())),
         timeout: work.timeout,
     };
-    let result = service::run(shared, &entered, &work, content, call).await;
+    let result = service::run(shared, &checked_request, &work, content, call).await;
     let now = shared.clock.now();
-    let took = result.is_ok().then(|| now.since(entered.arrived));
-    shared.core().answered(now, &entered, took);
+    let took = result.is_ok().then(|| now.since(checked_request.arrived));
+    shared.core().answered(now, &checked_request, took);
     if let Some(held) = held {
         held.finish(outcome_of(&result)).await;
     }
@@ -358,17 +362,19 @@
 
 async fn claim_if_needed(
     shared: &Arc<RouterShared>,
-    entered: &Entered,
+    checked_request: &CheckedRequest,
     key: Option<&str>,
     body: &[u8],
 ) -> Result<NeededClaim, CallerError> {
-    if entered.repeatable {
+    if checked_request.repeatable {
         return Ok(NeededClaim::Held(None));
     }
-    Ok(match claim(shared, &entered.account, key, body).await? {
-        ClaimResult::Granted(held) => NeededClaim::Held(Some(held)),
-        ClaimResult::Answer(res) => NeededClaim::Answer(res),
-    })
+    Ok(
+        match claim(shared, &checked_request.account, key, body).await? {
+            ClaimResult::Granted(held) => NeededClaim::Held(Some(held)),
+            ClaimResult::Answer(res) => NeededClaim::Answer(res),
+        },
+    )
 }
 
 async fn complete_chat(
@@ -377,27 +383,27 @@
     account: AccountName,
     req: Request<Incoming>,
 ) -> Result<Response<Body>, CallerError> {
-    let in_progress = shared.begin();
+    let in_progress = shared.begin_request();
     let key = idempotency_key(req.headers())?;
     let received_tokens = count_received_tokens(req.headers())?;
     let (method, uri) = (req.method().clone(), req.uri().clone());
     let body = read_body(shared, req.into_body()).await?;
     let content = content_digest(&method, &uri, &account, &body);
-    shared.may_be_sent(&content)?;
+    shared.check_quarantine(&content)?;
     let chat = parse_chat(&body)?;
     let template = TemplateName::from(chat.model.as_str());
-    let (entered, ticket) = admit(shared, &account, &template).await?;
-    let Work::Chat(work) = entered.work.clone() else {
-        return Err(Denied::for_good(DeniedCode::WrongTemplate).into());
+    let (checked_request, ticket) = admit(shared, &account, &template).await?;
+    let Work::Chat(work) = checked_request.work.clone() else {
+        return Err(Denied::permanent(DeniedCode::WrongTemplate).into());
     };
-    let held = match claim_if_needed(shared, &entered, key.as_deref(), &body).await? {
+    let held = match claim_if_needed(shared, &checked_request, key.as_deref(), &body).await? {
         NeededClaim::Answer(res) => return Ok(*res),
         NeededClaim::Held(held) => held,
     };
     let (tx, rx) = mpsc::channel(MAX_BUFFERED_TOKENS);
     let job = ChatJob {
         id: id.to_string(),
-        entered: entered.clone(),
+        checked_request: checked_request.clone(),
         work,
         content,
         prompt: chat.prompt(),
@@ -409,7 +415,7 @@
         shared: shared.clone(),
         id: id.to_string(),
         chat,
-        entered,
+        checked_request,
         held,
         rx,
         first: None,
--- a/crates/deckwindd/src/router/template_runs.rs
+++ b/crates/deckwindd/src/router/template_runs.rs
@@ -5,7 +5,7 @@
 //! connections. As with published routes (`deckwind_core::routes::CutRuns`), a request
 //! content is quarantined after three crashes, and no router sends it any more.
 
-use super::routes::CutRun;
+use super::routes::InterruptedRun;
 use super::shared::RouterShared;
 use deckwind_core::state::{ContentDigest, Incarnation};
 use deckwind_core::time::Instant;
@@ -97,10 +97,10 @@
     /// complete before the request is sent to another target.
     pub async fn record_broken_off(&self) {
         let has_crashed = is_gone(self.address).await;
-        let life = self.incarnation();
+        let incarnation = self.incarnation();
         metrics::counter!("deckwind_route_runs_cut_total", "how" => "broke").increment(1);
         log::info!(
-            "event=run_cut content={} target={} life={life} how=broke gone={has_crashed}",
+            "event=run_cut content={} target={} life={incarnation} how=broke gone={has_crashed}",
             self.content,
             self.address
         );
@@ -108,24 +108,27 @@
             return;
         }
         let now = self.shared.clock.now();
-        let cut = CutRun {
+        let run = InterruptedRun {
             content: self.content,
             address: self.address,
-            life: &life,
-            ran: self.first_progress_at.map(|at| now.since(at)),
+            incarnation: &incarnation,
+            run_time: self.first_progress_at.map(|at| now.since(at)),
             // The leader cannot probe configured targets, since it does not track them.
-            broke: false,
+            broken_off: false,
         };
-        let suspects = &self.shared.routes.suspects;
-        suspects.cut(now, &cut);
+        let poison_requests = &self.shared.routes.poison_requests;
+        poison_requests.record_interrupted(now, &run);
         self.shared.crash_counts.record(self.address, self.number);
-        suspects.lives_over(now, vec![life]);
+        poison_requests.record_ended(now, vec![incarnation]);
     }
 
     /// Records that the target has served the request and is still running.
     pub fn record_served(&self) {
         let now = self.shared.clock.now();
-        self.shared.routes.suspects.served(now, self.content);
+        self.shared
+            .routes
+            .poison_requests
+            .record_served(now, self.content);
     }
 }
 
