--- a/crates/deckwind-fakes/src/engine.rs
+++ b/crates/deckwind-fakes/src/engine.rs
@@ -31,7 +31,7 @@
     /// Maximum number of prefixes in its cache; the oldest is evicted first.
     pub cache_prefixes: usize,
     /// Omits every n-th cache event from the answers; 0 omits none.
-    pub lose_event_every: u64,
+    pub lost_event_interval: u64,
 }
 
 impl FakeEngineConfig {
@@ -45,7 +45,7 @@
             load_lag: Duration::ZERO,
             checks_fences: true,
             cache_prefixes: 1_024,
-            lose_event_every: 0,
+            lost_event_interval: 0,
         }
     }
 }
@@ -165,7 +165,7 @@
     }
 
     /// Whether the engine has crashed.
-    pub fn is_dead(&self) -> bool {
+    pub fn has_crashed(&self) -> bool {
         self.lock().fault == EngineFault::Dead
     }
 
@@ -253,7 +253,7 @@
     fn cache_events_from(&self, from: u64) -> CacheEvents {
         let s = self.lock();
         let is_lost = |e: &CacheEvent| {
-            let interval = self.cfg.lose_event_every;
+            let interval = self.cfg.lost_event_interval;
             interval > 0 && e.sequence.is_multiple_of(interval)
         };
         let events = s
--- a/crates/deckwind-fakes/src/lib.rs
+++ b/crates/deckwind-fakes/src/lib.rs
@@ -4,26 +4,26 @@
 //! They are meant for tests, the quick start and measurements, not for
 //! production or as a cluster simulator. Each fake implements its trait of
 //! `deckwind-net`, and [`serve`] exposes it over the HTTP protocol that the
-//! real clients use. [`FakeRunner`] is different: it serves the published
+//! real clients use. [`FakeTargetServer`] is different: it serves the published
 //! target protocol over HTTP/1.1 itself, with faults.
 
 pub mod command;
 mod engine;
 mod model;
 mod platform;
-mod runner;
 pub mod serve;
 mod service;
 mod site;
+mod target_server;
 mod weights;
 
 pub use engine::{EngineFault, FakeEngine, FakeEngineConfig, Run};
 pub use model::{FakeModel, expected_answer};
 pub use platform::FakePlatformList;
-pub use runner::{
-    AWAY, Arrival, ENDS_ITS_TARGET, EVENTS, FakeRunner, Fleet, FleetArrival, FleetPace, Outage,
-    RunnerFault, SeenRequest,
-};
 pub use service::{FakeService, ServiceFault};
 pub use site::{FakeCall, HOST, generation_head, release_document, request_id};
+pub use target_server::{
+    Arrival, CRASH_DOWNTIME, ENDS_ITS_TARGET, EVENTS, FakeTargetFault, FakeTargetServer, Fleet,
+    FleetArrival, FleetConfig, Outage, SeenRequest,
+};
 pub use weights::FakeWeightStore;
--- a/crates/deckwind-fakes/src/runner/answers.rs
+++ b/crates/deckwind-fakes/src/target_server/answers.rs
@@ -3,7 +3,8 @@
 
 use super::fleet::{Fleet, PathError, parse_path};
 use super::{
-    AWAY, ENDS_ITS_TARGET, EVENT_GAP, EVENTS, RunnerFault, SeenRequest, State, start_incarnation,
+    CRASH_DOWNTIME, ENDS_ITS_TARGET, EVENT_GAP, EVENTS, FakeTargetFault, SeenRequest, State,
+    start_incarnation,
 };
 use anyhow::Result;
 use serde_json::{Value, json};
@@ -23,8 +24,8 @@
 ) {
     let mut stream = BufReader::new(stream);
     while let Ok(Some(req)) = read_request(&mut stream).await {
-        let goes_on = handle_request(&mut stream, req, &state, &connection_epoch).await;
-        if !matches!(goes_on, Ok(true)) {
+        let continues = handle_request(&mut stream, req, &state, &connection_epoch).await;
+        if !matches!(continues, Ok(true)) {
             return;
         }
     }
@@ -99,14 +100,14 @@
         let head = format!("421 Misdirected Request\r\nX-Deckwind-Request-Id: {request}");
         return write_response(s, state, &head, b"").await;
     }
-    if let RunnerFault::Refuses { at_fault } = &fault {
+    if let FakeTargetFault::Refuses { at_fault } = &fault {
         let at_server = at_fault.map_or(String::new(), |a| format!("\r\nAt-Server: {a}"));
         let head = format!(
             "503 Service Unavailable\r\nX-Deckwind-Request-Id: {request}\r\nX-Deckwind-Not-Executed: 1{at_server}"
         );
         return write_response(s, state, &head, b"").await;
     }
-    if let RunnerFault::Answers(status) = &fault {
+    if let FakeTargetFault::Answers(status) = &fault {
         let head = format!(
             "{status} Own\r\nX-Deckwind-Request-Id: {request}\r\nX-Deckwind-Response-Seal: s"
         );
@@ -158,12 +159,12 @@
 impl FleetRequest {
     /// Streams events over a path of engines. If an engine on the path goes down, the
     /// stream stalls until it is moved to another path, and is broken off (or refused,
-    /// if no event was sent yet) after [`FleetPace::stall`](super::FleetPace::stall).
+    /// if no event was sent yet) after [`FleetConfig::stall`](super::FleetPace::stall).
     async fn stream(
         &self,
         s: &mut Stream,
         req: &SeenRequest,
-        fault: &RunnerFault,
+        fault: &FakeTargetFault,
         state: &Mutex<State>,
     ) -> Result<bool> {
         let path = req.headers.get("path").and_then(|p| parse_path(p));
@@ -195,7 +196,7 @@
             if next == last + 1 {
                 self.write_head(s, state).await?;
             }
-            if matches!(fault, RunnerFault::CutsAfter(at) if next > *at) {
+            if matches!(fault, FakeTargetFault::BreaksStreamAfter(at) if next > *at) {
                 write_chunk(s, &format!("id: {next}\nda")).await?;
                 return Ok(false);
             }
@@ -233,7 +234,7 @@
     }
 }
 
-fn record_arrival(state: &Mutex<State>, request: &str, fault: &RunnerFault) {
+fn record_arrival(state: &Mutex<State>, request: &str, fault: &FakeTargetFault) {
     let mut state = state.lock().expect("no holder panics");
     state.record_arrival(request, fault);
 }
@@ -251,33 +252,33 @@
         s.write_all(stream_head(request, state).as_bytes()).await?;
     }
     tokio::time::sleep(EVENT_GAP).await;
-    state.lock().expect("no holder panics").ended_by_requests += 1;
+    state.lock().expect("no holder panics").crashes_by_request += 1;
     start_incarnation(state, connection_epoch);
-    state.lock().expect("no holder panics").down_until = Some(Instant::now() + AWAY);
+    state.lock().expect("no holder panics").down_until = Some(Instant::now() + CRASH_DOWNTIME);
     Ok(false)
 }
 
 async fn answer_plain(
     s: &mut Stream,
     request: &str,
-    fault: &RunnerFault,
+    fault: &FakeTargetFault,
     state: &Mutex<State>,
 ) -> Result<bool> {
     let ok_head =
         format!("200 OK\r\nX-Deckwind-Request-Id: {request}\r\nX-Deckwind-Response-Seal: s");
     let body = format!("answer to {request}");
     match fault {
-        RunnerFault::Mute => {
+        FakeTargetFault::Mute => {
             tokio::time::sleep(Duration::from_secs(600)).await;
             Ok(false)
         }
-        RunnerFault::Fails => {
+        FakeTargetFault::Fails => {
             let head = format!(
                 "500 Internal Server Error\r\nX-Deckwind-Request-Id: {request}\r\nX-Deckwind-Response-Seal: s"
             );
             write_response(s, state, &head, b"failed").await
         }
-        RunnerFault::Cuts => {
+        FakeTargetFault::Cuts => {
             let head = format!(
                 "HTTP/1.1 {ok_head}{}\r\nContent-Length: 500\r\n\r\n{body}",
                 target_headers(state, false)
@@ -285,18 +286,18 @@
             s.write_all(head.as_bytes()).await?;
             Ok(false)
         }
-        RunnerFault::OtherId => {
+        FakeTargetFault::OtherId => {
             let head = ok_head.replace(request, "another-request");
             write_response(s, state, &head, body.as_bytes()).await
         }
-        RunnerFault::Unsigned => {
+        FakeTargetFault::Unsigned => {
             let head = format!("200 OK\r\nX-Deckwind-Request-Id: {request}");
             write_response(s, state, &head, body.as_bytes()).await
         }
-        RunnerFault::Long(bytes) => {
+        FakeTargetFault::Long(bytes) => {
             write_response(s, state, &ok_head, "y".repeat(*bytes).as_bytes()).await
         }
-        RunnerFault::Unframed => {
+        FakeTargetFault::Unframed => {
             let head = format!(
                 "HTTP/1.1 {ok_head}{}\r\n\r\n{body}",
                 target_headers(state, false)
@@ -304,7 +305,7 @@
             s.write_all(head.as_bytes()).await?;
             Ok(false)
         }
-        RunnerFault::Extra => {
+        FakeTargetFault::Extra => {
             write_response(s, state, &ok_head, body.as_bytes()).await?;
             write_response(s, state, &ok_head.replace(request, "stale"), b"stale").await
         }
@@ -316,38 +317,38 @@
     s: &mut Stream,
     req: &SeenRequest,
     request: &str,
-    fault: &RunnerFault,
+    fault: &FakeTargetFault,
     state: &Mutex<State>,
 ) -> Result<bool> {
     let last = req.headers.get("last-event-id");
     let last = last.and_then(|l| l.parse().ok()).unwrap_or(0);
     let head = stream_head(request, state);
-    if *fault == RunnerFault::Cuts {
+    if *fault == FakeTargetFault::Cuts {
         return Ok(false);
     }
-    if let RunnerFault::Floods {
+    if let FakeTargetFault::Floods {
         events,
         bytes,
-        goes_on,
+        continues,
     } = fault
     {
         s.write_all(head.as_bytes()).await?;
-        return flood(s, request, last + 1..=*events, (*bytes, *goes_on), state).await;
+        return flood(s, request, last + 1..=*events, (*bytes, *continues), state).await;
     }
     // The head is sent with the first event, as the users' engines do.
     let mut head = Some(head);
     for event in last + 1..=EVENTS {
         tokio::time::sleep(EVENT_GAP).await;
-        let stalls = matches!(fault, RunnerFault::StallsAfter { event: at, .. } if event > *at);
+        let stalls = matches!(fault, FakeTargetFault::StallsAfter { event: at, .. } if event > *at);
         if let Some(head) = head.take_if(|_| !stalls) {
             s.write_all(head.as_bytes()).await?;
         }
         match fault {
-            RunnerFault::CutsAfter(at) if event > *at => {
+            FakeTargetFault::BreaksStreamAfter(at) if event > *at => {
                 write_chunk(s, &format!("id: {event}\nda")).await?;
                 return Ok(false);
             }
-            RunnerFault::StallsAfter { event: at, stage } if event > *at => {
+            FakeTargetFault::StallsAfter { event: at, stage } if event > *at => {
                 let stall = (request.to_string(), *stage);
                 state.lock().expect("no holder panics").stalled.push(stall);
                 while is_stalled(state) {
@@ -390,13 +391,13 @@
 }
 
 /// Parses the path suffix `/flood-EVENTS-BYTES`, which requests a flood of events.
-fn requested_flood(line: &str) -> Option<RunnerFault> {
+fn requested_flood(line: &str) -> Option<FakeTargetFault> {
     let (_, parameters) = line.split_once("/flood-")?;
     let (events, bytes) = parameters.split_once('-')?;
-    Some(RunnerFault::Floods {
+    Some(FakeTargetFault::Floods {
         events: events.parse().ok()?,
         bytes: bytes.parse().ok()?,
-        goes_on: false,
+        continues: false,
     })
 }
 
@@ -405,7 +406,7 @@
     s: &mut Stream,
     request: &str,
     events: std::ops::RangeInclusive<u64>,
-    (bytes, goes_on): (usize, bool),
+    (bytes, continues): (usize, bool),
     state: &Mutex<State>,
 ) -> Result<bool> {
     let mut next = *events.end() + 1;
@@ -419,7 +420,7 @@
         .expect("no holder panics")
         .written
         .push(written);
-    while goes_on && is_flooding(state) {
+    while continues && is_flooding(state) {
         tokio::time::sleep(EVENT_GAP).await;
         write_chunk(s, &format_event(next)).await?;
         next += 1;
@@ -430,12 +431,12 @@
 
 fn is_flooding(state: &Mutex<State>) -> bool {
     let state = state.lock().expect("no holder panics");
-    matches!(state.fault, RunnerFault::Floods { .. })
+    matches!(state.fault, FakeTargetFault::Floods { .. })
 }
 
 fn is_stalled(state: &Mutex<State>) -> bool {
     let state = state.lock().expect("no holder panics");
-    matches!(state.fault, RunnerFault::StallsAfter { .. })
+    matches!(state.fault, FakeTargetFault::StallsAfter { .. })
 }
 
 fn format_event(event: u64) -> String {
@@ -501,7 +502,7 @@
 /// Returns whether the fault refuses orders, and counts a refused order.
 fn refuses_order(state: &Mutex<State>) -> bool {
     let mut state = state.lock().expect("no holder panics");
-    let is_refused = state.fault == RunnerFault::RefusesOrders;
+    let is_refused = state.fault == FakeTargetFault::RefusesOrders;
     state.orders_refused += u32::from(is_refused);
     is_refused
 }
@@ -521,7 +522,7 @@
     let is_applied = {
         let mut state = state.lock().expect("no holder panics");
         let is_unanswered =
-            state.fault == RunnerFault::OrdersLate && state.unanswered_order.is_none();
+            state.fault == FakeTargetFault::DelaysOrders && state.unanswered_order.is_none();
         if is_unanswered {
             state.unanswered_order = Some((layers, expected_revision));
             None
--- a/crates/deckwind-fakes/src/runner/fleet.rs
+++ b/crates/deckwind-fakes/src/target_server/fleet.rs
@@ -12,7 +12,7 @@
 
 /// Speed and capacity of a fleet's engines.
 #[derive(Clone, Copy, Debug)]
-pub struct FleetPace {
+pub struct FleetConfig {
     /// Mean number of events of a stream; streams have between 0.5 and 1.5 times as many.
     pub events: u64,
     /// Time between two events.
@@ -109,7 +109,7 @@
 }
 
 struct Inner {
-    pace: FleetPace,
+    pace: FleetConfig,
     targets: Mutex<BTreeMap<SocketAddr, Arc<Mutex<State>>>>,
     active: Mutex<ActiveStreams>,
     arrivals: Mutex<Vec<FleetArrival>>,
@@ -122,7 +122,7 @@
 
 impl Fleet {
     /// Creates a fleet without targets.
-    pub fn new(pace: FleetPace) -> Self {
+    pub fn new(pace: FleetConfig) -> Self {
         Self(Arc::new(Inner {
             pace,
             targets: Mutex::default(),
@@ -143,7 +143,7 @@
     }
 
     /// Returns the speed and capacity of its engines.
-    pub(super) fn pace(&self) -> FleetPace {
+    pub(super) fn pace(&self) -> FleetConfig {
         self.0.pace
     }
 
--- a/crates/deckwind-fakes/src/runner/mod.rs
+++ b/crates/deckwind-fakes/src/target_server/mod.rs
@@ -9,7 +9,7 @@
 
 use answers::serve;
 use anyhow::{Context, Result};
-pub use fleet::{Fleet, FleetArrival, FleetPace, Outage};
+pub use fleet::{Fleet, FleetArrival, FleetConfig, Outage};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -22,7 +22,7 @@
 
 /// The fault that a target injects.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum RunnerFault {
+pub enum FakeTargetFault {
     /// No fault.
     #[default]
     None,
@@ -45,7 +45,7 @@
         /// Bytes of data in each event.
         bytes: usize,
         /// Whether it continues at the usual pace afterwards, until the fault is cleared.
-        goes_on: bool,
+        continues: bool,
     },
     /// Runs requests and closes the connection in the middle of the answer; of a
     /// stream, before the head.
@@ -62,11 +62,11 @@
     Extra,
     /// Leaves every other order unanswered, and applies it only after the order that
     /// follows it.
-    OrdersLate,
+    DelaysOrders,
     /// Refuses orders with 503.
     RefusesOrders,
     /// Breaks a stream off in the middle of the event after this one.
-    CutsAfter(u64),
+    BreaksStreamAfter(u64),
     /// Stalls a stream after an event until the fault is cleared, and reports the
     /// stage that causes the stall.
     StallsAfter {
@@ -108,7 +108,7 @@
     id: String,
     /// Start of the incarnation, in Unix milliseconds.
     born: u64,
-    fault: RunnerFault,
+    fault: FakeTargetFault,
     seen: Vec<SeenRequest>,
     /// Requests received by this incarnation.
     arrivals: Vec<Arrival>,
@@ -134,7 +134,7 @@
     /// Number of orders to move a request to another path.
     path_changes: u32,
     /// Number of incarnations that crashed on a request.
-    ended_by_requests: u32,
+    crashes_by_request: u32,
     /// Value of `Retry-After` in each 503.
     rest: Option<String>,
     /// Whether all answers announce that it leaves.
@@ -156,8 +156,8 @@
 
 impl State {
     /// Records a received request.
-    fn record_arrival(&mut self, request: &str, fault: &RunnerFault) {
-        let refuses = matches!(fault, RunnerFault::Refuses { .. });
+    fn record_arrival(&mut self, request: &str, fault: &FakeTargetFault) {
+        let refuses = matches!(fault, FakeTargetFault::Refuses { .. });
         let seconds = self.rest.as_ref().and_then(|r| r.parse().ok());
         self.arrivals.push(Arrival {
             request: request.to_string(),
@@ -197,7 +197,7 @@
 
 /// A running fake target. Clones share its state.
 #[derive(Clone)]
-pub struct FakeRunner {
+pub struct FakeTargetServer {
     /// Address that it listens on.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
@@ -208,12 +208,12 @@
 }
 
 /// Path suffix of requests on which a target crashes shortly after it started to run
-/// them. The target restarts with the same ID after [`AWAY`].
+/// them. The target restarts with the same ID after [`CRASH_DOWNTIME`].
 pub const ENDS_ITS_TARGET: &str = "/ends-its-target";
 
 /// Downtime of a target that crashed on a request: it closes new connections at once
-/// and [`FakeRunner::listens`] returns `false`, so tests don't announce it.
-pub const AWAY: Duration = Duration::from_millis(400);
+/// and [`FakeTargetServer::listens`] returns `false`, so tests don't announce it.
+pub const CRASH_DOWNTIME: Duration = Duration::from_millis(400);
 
 /// Number of events in a complete stream.
 pub const EVENTS: u64 = 12;
@@ -221,7 +221,7 @@
 /// Time between two events, and polling interval for a pause or stall to end.
 const EVENT_GAP: Duration = Duration::from_millis(15);
 
-impl FakeRunner {
+impl FakeTargetServer {
     /// Starts a target with this ID on a free port.
     ///
     /// # Errors
@@ -283,7 +283,7 @@
     }
 
     /// Pauses it for `length`, then restarts it with the same ID.
-    pub fn fall_silent(&self, length: Duration) {
+    pub fn pause_and_restart(&self, length: Duration) {
         let until = Instant::now() + length;
         self.pause(length);
         record_outage(&self.lock(), self.address);
@@ -297,13 +297,13 @@
     /// Restarts it with the same ID. Running requests are aborted and its state is
     /// reset, except for the records of seen and run requests and of crashes, its card
     /// and its fleet.
-    pub fn start_again(&self) {
+    pub fn restart(&self) {
         start_incarnation(&self.state, &self.connection_epoch);
     }
 
     /// Returns how often it crashed on a request; see [`ENDS_ITS_TARGET`].
-    pub fn ended_by_requests(&self) -> u32 {
-        self.lock().ended_by_requests
+    pub fn crashes_by_request(&self) -> u32 {
+        self.lock().crashes_by_request
     }
 
     /// Returns the start of its incarnation, in Unix milliseconds.
@@ -317,7 +317,7 @@
     }
 
     /// Replaces the body of its reports until it restarts.
-    pub fn report_instead(&self, report: &str) {
+    pub fn override_report(&self, report: &str) {
         self.lock().report_override = Some(report.to_string());
     }
 
@@ -327,24 +327,24 @@
     }
 
     /// Sets or clears the injected fault.
-    pub fn set_fault(&self, fault: RunnerFault) {
+    pub fn set_fault(&self, fault: FakeTargetFault) {
         self.lock().fault = fault;
     }
 
     /// Sets the `Retry-After` value of each 503: seconds, a date, or an invalid value.
     /// `None` omits the header.
-    pub fn ask_rest(&self, rest: Option<&str>) {
+    pub fn set_retry_after(&self, rest: Option<&str>) {
         self.lock().rest = rest.map(str::to_string);
     }
 
     /// Sets whether all answers announce that it leaves.
-    pub fn say_it_leaves(&self, leaves: bool) {
+    pub fn set_leaving(&self, leaves: bool) {
         self.lock().leaves = leaves;
     }
 
     /// Sets the `Server-Limit` value of all answers: requests per second from all VMs
     /// together. `None` omits the header.
-    pub fn name_limit(&self, limit: Option<&str>) {
+    pub fn set_server_limit(&self, limit: Option<&str>) {
         self.lock().limit = limit.map(str::to_string);
     }
 
@@ -448,7 +448,7 @@
         born: unix_ms().max(previous.born + 1),
         seen: previous.seen,
         ran: previous.ran,
-        ended_by_requests: previous.ended_by_requests,
+        crashes_by_request: previous.crashes_by_request,
         kind: previous.kind,
         fleet: previous.fleet,
         ..State::default()
@@ -468,7 +468,7 @@
 
 /// Accepts connections until the task is aborted.
 ///
-/// After [`FakeRunner::crash`] the target does not listen, so connections are refused.
+/// After [`FakeTargetServer::crash`] the target does not listen, so connections are refused.
 /// After a crash that a request caused, connections are accepted and closed.
 async fn accept_all(
     reserved_port: TcpSocket,
--- a/crates/deckwind-spec/examples/explore.rs
+++ b/crates/deckwind-spec/examples/explore.rs
@@ -4,8 +4,8 @@
 
 use deckwind_spec::{
     ClaimRules, ClaimSpec, LimitBounds, LimitRules, LimitSpec, LogBounds, LogRules, LogSpec,
-    RepeatBounds, RepeatRules, RepeatSpec, Spec, claim_cases, explore, limit_cases, log_cases,
-    repeat_cases,
+    RetryBounds, RetryRules, RetrySpec, Spec, claim_cases, explore, limit_cases, log_cases,
+    retry_cases,
 };
 use std::time::Instant;
 
@@ -39,12 +39,12 @@
     for case in claim_cases() {
         explore_and_print(&format!("claims without {}", case.without), &case.spec);
     }
-    for bounds in RepeatBounds::LARGE {
-        let rules = RepeatRules::ALL;
+    for bounds in RetryBounds::LARGE {
+        let rules = RetryRules::ALL;
         let name = format!("retries, all rules, {bounds:?}");
-        explore_and_print(&name, &RepeatSpec { rules, bounds });
+        explore_and_print(&name, &RetrySpec { rules, bounds });
     }
-    for case in repeat_cases() {
+    for case in retry_cases() {
         let name = format!("retries without {}, {:?}", case.without, case.spec.bounds);
         explore_and_print(&name, &case.spec);
     }
--- a/crates/deckwind-spec/src/forwarding_spec.rs
+++ b/crates/deckwind-spec/src/forwarding_spec.rs
@@ -70,7 +70,7 @@
 
 /// Specification of request forwarding with its rules and bounds.
 #[derive(Clone, Copy, Debug)]
-pub struct PassOnSpec {
+pub struct ForwardingSpec {
     /// Enabled rules.
     pub rules: ForwardingRules,
     /// Number of time steps.
@@ -81,9 +81,9 @@
     pub restarts: u8,
 }
 
-impl PassOnSpec {
+impl ForwardingSpec {
     /// Bounds explored in the tests.
-    pub const SMALL: PassOnSpec = PassOnSpec {
+    pub const SMALL: ForwardingSpec = ForwardingSpec {
         rules: ForwardingRules::ALL,
         steps: 4,
         requests: 1,
@@ -158,7 +158,7 @@
     }
 }
 
-impl Spec for PassOnSpec {
+impl Spec for ForwardingSpec {
     type State = ForwardingState;
 
     fn initial(&self) -> ForwardingState {
@@ -221,13 +221,13 @@
 const EXPIRED_LEASE_USED: &str = "a router uses a lease that has expired at the leader";
 
 /// Returns the forwarding specification with each rule disabled in turn.
-pub fn pass_on_cases() -> Vec<Case<PassOnSpec>> {
+pub fn forwarding_cases() -> Vec<Case<ForwardingSpec>> {
     let all = ForwardingRules::ALL;
     let case = |without, rules, breaks| Case {
         without,
-        spec: PassOnSpec {
+        spec: ForwardingSpec {
             rules,
-            ..PassOnSpec::SMALL
+            ..ForwardingSpec::SMALL
         },
         breaks,
     };
--- a/crates/deckwind-spec/src/lib.rs
+++ b/crates/deckwind-spec/src/lib.rs
@@ -24,14 +24,14 @@
 
 pub use cases::{Case, claim_cases, log_cases};
 pub use claim_spec::{ClaimRules, ClaimSpec};
-pub use forwarding_spec::{ForwardingRules, PassOnSpec, pass_on_cases};
+pub use forwarding_spec::{ForwardingRules, ForwardingSpec, forwarding_cases};
 pub use limit_cases::limit_cases;
 pub use limit_rules::{LimitBounds, LimitRules};
 pub use limit_spec::LimitSpec;
 pub use log_spec::{LogBounds, LogRules, LogSpec};
-pub use retry_cases::repeat_cases;
-pub use retry_rules::{RepeatBounds, RepeatRules};
-pub use retry_spec::RepeatSpec;
+pub use retry_cases::retry_cases;
+pub use retry_rules::{RetryBounds, RetryRules};
+pub use retry_spec::RetrySpec;
 
 use pathfinding::directed::bfs::bfs;
 use std::cell::Cell;
--- a/crates/deckwind-spec/src/retry_cases.rs
+++ b/crates/deckwind-spec/src/retry_cases.rs
@@ -1,10 +1,10 @@
 //! Bounds for the retry specification, and cases that disable one rule each.
 
-use crate::{Case, RepeatBounds, RepeatRules, RepeatSpec};
+use crate::{Case, RetryBounds, RetryRules, RetrySpec};
 
-impl RepeatBounds {
+impl RetryBounds {
     /// One retry per window of two steps, no faults.
-    pub const MINIMAL: RepeatBounds = RepeatBounds {
+    pub const MINIMAL: RetryBounds = RetryBounds {
         steps: 3,
         window: 2,
         allowance_lifetime: 1,
@@ -17,20 +17,20 @@
     };
 
     /// Bounds explored in the tests.
-    pub const SMALL: [RepeatBounds; 4] = [
-        RepeatBounds {
+    pub const SMALL: [RetryBounds; 4] = [
+        RetryBounds {
             restarts: 1,
             ..Self::MINIMAL
         },
-        RepeatBounds {
+        RetryBounds {
             leader_changes: 1,
             ..Self::MINIMAL
         },
-        RepeatBounds {
+        RetryBounds {
             returns: 1,
             ..Self::MINIMAL
         },
-        RepeatBounds {
+        RetryBounds {
             steps: 2,
             window: 3,
             allowance_lifetime: 2,
@@ -40,17 +40,17 @@
     ];
 
     /// Bounds explored by the `explore` example.
-    pub const LARGE: [RepeatBounds; 6] = [
+    pub const LARGE: [RetryBounds; 6] = [
         Self::SMALL[0],
         Self::SMALL[1],
         Self::SMALL[2],
         Self::SMALL[3],
-        RepeatBounds {
+        RetryBounds {
             steps: 4,
             requests: 4,
             ..Self::MINIMAL
         },
-        RepeatBounds {
+        RetryBounds {
             restarts: 1,
             leader_changes: 1,
             returns: 1,
@@ -60,26 +60,26 @@
 }
 
 /// Returns the retry specification with each rule disabled in turn.
-pub fn repeat_cases() -> Vec<Case<RepeatSpec>> {
-    let all = RepeatRules::ALL;
-    let minimal = RepeatBounds::MINIMAL;
-    let leader_changes = RepeatBounds {
+pub fn retry_cases() -> Vec<Case<RetrySpec>> {
+    let all = RetryRules::ALL;
+    let minimal = RetryBounds::MINIMAL;
+    let leader_changes = RetryBounds {
         leader_changes: 1,
         ..minimal
     };
     let case = |without, rules, bounds| Case {
         without,
-        spec: RepeatSpec { rules, bounds },
+        spec: RetrySpec { rules, bounds },
         breaks: "more retries in a window than the bound",
     };
     vec![
         case(
             "the commit before the grant",
-            RepeatRules {
+            RetryRules {
                 commit_before_grant: false,
                 ..all
             },
-            RepeatBounds {
+            RetryBounds {
                 steps: 0,
                 max_retries: 2,
                 entries: 3,
@@ -88,7 +88,7 @@
         ),
         case(
             "counting all issued retries at a new leader",
-            RepeatRules {
+            RetryRules {
                 new_leader_counts_issued: false,
                 ..all
             },
@@ -96,7 +96,7 @@
         ),
         case(
             "counting the lifetime of an allowance from its request",
-            RepeatRules {
+            RetryRules {
                 lifetime_from_request: false,
                 ..all
             },
@@ -104,22 +104,22 @@
         ),
         case(
             "a new allowance after a restart",
-            RepeatRules {
+            RetryRules {
                 allowance_per_process: false,
                 ..all
             },
-            RepeatBounds {
+            RetryBounds {
                 restarts: 1,
                 ..minimal
             },
         ),
         case(
             "using only the newest allowance",
-            RepeatRules {
+            RetryRules {
                 newest_allowance_only: false,
                 ..all
             },
-            RepeatBounds {
+            RetryBounds {
                 steps: 1,
                 max_retries: 2,
                 ..leader_changes
@@ -127,7 +127,7 @@
         ),
         case(
             "counting spent retries for a window",
-            RepeatRules {
+            RetryRules {
                 count_spent_for_window: false,
                 ..all
             },
@@ -135,7 +135,7 @@
         ),
         case(
             "counting unreported retries for a window",
-            RepeatRules {
+            RetryRules {
                 count_unreported_for_window: false,
                 ..all
             },
@@ -143,22 +143,22 @@
         ),
         case(
             "returned retries being unusable",
-            RepeatRules {
+            RetryRules {
                 returned_is_unusable: false,
                 ..all
             },
-            RepeatBounds {
+            RetryBounds {
                 returns: 1,
                 ..minimal
             },
         ),
         case(
             "keeping the count of spent retries after expiry",
-            RepeatRules {
+            RetryRules {
                 keep_spent_after_expiry: false,
                 ..all
             },
-            RepeatBounds {
+            RetryBounds {
                 steps: 2,
                 window: 3,
                 allowance_lifetime: 2,
@@ -167,7 +167,7 @@
         ),
         case(
             "reporting spent retries as expired only after a window",
-            RepeatRules {
+            RetryRules {
                 expire_spent_after_window: false,
                 ..all
             },
--- a/crates/deckwind-spec/src/retry_rules.rs
+++ b/crates/deckwind-spec/src/retry_rules.rs
@@ -3,7 +3,7 @@
 
 /// Rules of the protocol, each of which can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RepeatRules {
+pub struct RetryRules {
     /// Retries are granted to a router only after their entry is committed.
     pub commit_before_grant: bool,
     /// A new leader counts all issued retries that may not have expired as issued at the
@@ -28,9 +28,9 @@
     pub expire_spent_after_window: bool,
 }
 
-impl RepeatRules {
+impl RetryRules {
     /// Enables all rules.
-    pub const ALL: RepeatRules = RepeatRules {
+    pub const ALL: RetryRules = RetryRules {
         commit_before_grant: true,
         new_leader_counts_issued: true,
         lifetime_from_request: true,
@@ -46,7 +46,7 @@
 
 /// Bounds of the exploration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RepeatBounds {
+pub struct RetryBounds {
     /// Number of time steps.
     pub steps: u8,
     /// Length of the window, in steps.
--- a/crates/deckwind-spec/src/retry_spec.rs
+++ b/crates/deckwind-spec/src/retry_spec.rs
@@ -7,7 +7,7 @@
 //! `log_spec`: here a leader that was replaced answers no requests.
 
 use crate::Spec;
-use crate::retry_rules::{RepeatBounds, RepeatRules};
+use crate::retry_rules::{RetryBounds, RetryRules};
 use std::collections::BTreeSet;
 
 const ROUTERS: usize = 2;
@@ -71,7 +71,7 @@
 
 /// State of the retry specification.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct RepeatState {
+pub struct RetryState {
     now: u8,
     /// Allowances by number, as committed and as the leader counts them.
     allowances: Vec<Allowance>,
@@ -92,11 +92,11 @@
 
 /// Specification of the retry budget with its rules and bounds.
 #[derive(Clone, Copy, Debug)]
-pub struct RepeatSpec {
+pub struct RetrySpec {
     /// Enabled rules.
-    pub rules: RepeatRules,
+    pub rules: RetryRules,
     /// Bounds of the exploration.
-    pub bounds: RepeatBounds,
+    pub bounds: RetryBounds,
 }
 
 impl Allowance {
@@ -126,8 +126,8 @@
     }
 }
 
-impl RepeatSpec {
-    fn tick(&self, s: &RepeatState) -> Option<RepeatState> {
+impl RetrySpec {
+    fn tick(&self, s: &RetryState) -> Option<RetryState> {
         let mut n = (s.now < self.bounds.steps).then(|| s.clone())?;
         n.now += 1;
         n.spent_in_window.rotate_right(1);
@@ -162,7 +162,7 @@
         Some(n)
     }
 
-    fn send_request(&self, s: &RepeatState, i: usize) -> Option<RepeatState> {
+    fn send_request(&self, s: &RetryState, i: usize) -> Option<RetryState> {
         let mut n = (s.sent_requests < self.bounds.requests).then(|| s.clone())?;
         let r = s.routers[i];
         let request = Request {
@@ -182,7 +182,7 @@
 
     /// Records the report of a router at the leader and answers with the retries that the
     /// router may use.
-    fn handle_request(&self, s: &RepeatState, q: Request) -> Option<RepeatState> {
+    fn handle_request(&self, s: &RetryState, q: Request) -> Option<RetryState> {
         let mut n = s.clone();
         if let Some(i) = q.allowance {
             self.record_report(&mut n.allowances[usize::from(i)], q);
@@ -225,7 +225,7 @@
     }
 
     /// Proposes one more retry for a router that sent a request.
-    fn propose(&self, s: &RepeatState, holder: RouterProcess) -> Option<RepeatState> {
+    fn propose(&self, s: &RetryState, holder: RouterProcess) -> Option<RetryState> {
         let outstanding: u8 = s.allowances.iter().map(Allowance::outstanding).sum();
         let is_allowed = s.proposed.is_none() && outstanding < self.bounds.max_retries;
         let is_allowed = is_allowed && s.entries < self.bounds.entries;
@@ -237,7 +237,7 @@
         Some(n)
     }
 
-    fn commit(&self, s: &RepeatState) -> Option<RepeatState> {
+    fn commit(&self, s: &RetryState) -> Option<RetryState> {
         let (holder, to) = s.proposed?;
         let mut n = s.clone();
         n.proposed = None;
@@ -260,7 +260,7 @@
 
     /// Changes the leader. An entry that was proposed but not committed is lost. What the
     /// previous leader knew to be expired is committed up to now.
-    fn change_leader(&self, s: &RepeatState) -> Option<RepeatState> {
+    fn change_leader(&self, s: &RetryState) -> Option<RetryState> {
         let mut n = (s.leader_changes < self.bounds.leader_changes).then(|| s.clone())?;
         n.leader_changes += 1;
         n.proposed = None;
@@ -276,7 +276,7 @@
         Some(n)
     }
 
-    fn receive_answer(&self, s: &RepeatState, answer: Answer) -> Option<RepeatState> {
+    fn receive_answer(&self, s: &RetryState, answer: Answer) -> Option<RetryState> {
         let i = usize::from(answer.holder.router);
         let r = s.routers[i];
         let is_older = r.allowance.is_some_and(|a| answer.allowance < a);
@@ -297,7 +297,7 @@
         (n != *s).then_some(n)
     }
 
-    fn spend(&self, s: &RepeatState, i: usize) -> Option<RepeatState> {
+    fn spend(&self, s: &RetryState, i: usize) -> Option<RetryState> {
         let r = s.routers[i];
         let returned = if self.rules.returned_is_unusable {
             r.returned
@@ -312,7 +312,7 @@
         Some(n)
     }
 
-    fn return_retry(&self, s: &RepeatState, i: usize) -> Option<RepeatState> {
+    fn return_retry(&self, s: &RetryState, i: usize) -> Option<RetryState> {
         let r = s.routers[i];
         let is_allowed = s.returns < self.bounds.returns && r.spent + r.returned < r.issued;
         let mut n = is_allowed.then(|| s.clone())?;
@@ -321,7 +321,7 @@
         Some(n)
     }
 
-    fn restart(&self, s: &RepeatState, i: usize) -> Option<RepeatState> {
+    fn restart(&self, s: &RetryState, i: usize) -> Option<RetryState> {
         let mut n = (s.restarts < self.bounds.restarts).then(|| s.clone())?;
         n.restarts += 1;
         n.routers[i] = Router::start(i as u8, s.routers[i].holder.boot + 1);
@@ -343,11 +343,11 @@
     }
 }
 
-impl Spec for RepeatSpec {
-    type State = RepeatState;
+impl Spec for RetrySpec {
+    type State = RetryState;
 
-    fn initial(&self) -> RepeatState {
-        RepeatState {
+    fn initial(&self) -> RetryState {
+        RetryState {
             now: 0,
             allowances: Vec::new(),
             proposed: None,
@@ -363,9 +363,9 @@
         }
     }
 
-    fn successors(&self, s: &RepeatState) -> Vec<(String, RepeatState)> {
+    fn successors(&self, s: &RetryState) -> Vec<(String, RetryState)> {
         let mut out = Vec::new();
-        let mut push = |name: String, n: Option<RepeatState>| out.extend(n.map(|n| (name, n)));
+        let mut push = |name: String, n: Option<RetryState>| out.extend(n.map(|n| (name, n)));
         push("time passes".to_string(), self.tick(s));
         push("the entry is committed".to_string(), self.commit(s));
         push(
@@ -402,7 +402,7 @@
         out
     }
 
-    fn violation(&self, s: &RepeatState) -> Option<String> {
+    fn violation(&self, s: &RetryState) -> Option<String> {
         let spent_in_window: u8 = s.spent_in_window.iter().sum();
         (spent_in_window > self.bounds.max_retries)
             .then(|| "more retries in a window than the bound".to_string())
--- a/crates/deckwind-testkit/examples/at_size.rs
+++ b/crates/deckwind-testkit/examples/at_size.rs
@@ -12,20 +12,20 @@
 
 use anyhow::{Context, Result, bail};
 use deckwind_testkit::Processes;
-use deckwind_testkit::at_size::{self, Kind, Report, Size, Trouble, Troubles};
+use deckwind_testkit::at_size::{self, FaultEvent, FaultKind, FaultPlan, Report, Size};
 use std::time::Duration;
 
 fn main() -> Result<()> {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    let [daemon, size, first, count, seconds, troubles @ ..] = args.as_slice() else {
+    let [daemon, size, first, count, seconds, faults @ ..] = args.as_slice() else {
         bail!("usage: at_size DAEMON SIZE FIRST COUNT SECONDS [TROUBLE...]");
     };
     let size = match size.as_str() {
-        "hundreds" => Size::of_hundreds(),
-        "tens" => Size::of_tens(),
+        "hundreds" => Size::large(),
+        "tens" => Size::small(),
         other => bail!("unknown size {other:?}, expected hundreds or tens"),
     };
-    let troubles = parse_troubles(troubles)?;
+    let faults = parse_faults(faults)?;
     let (first, count): (u64, u64) = (first.parse()?, count.parse()?);
     let length = Duration::from_secs(seconds.parse()?);
     let runtime = tokio::runtime::Runtime::new()?;
@@ -35,11 +35,11 @@
         layout.keep_folder();
         let logs = layout.folder().to_path_buf();
         let processes = Processes::new(layout, daemon, daemon, daemon);
-        let run = at_size::run(processes, size.clone(), seed, length, &troubles);
+        let run = at_size::run(processes, size.clone(), seed, length, &faults);
         let report = runtime.block_on(run)?;
         print_report(seed, &report);
-        if report.is_broken() || std::env::var_os("KEEP").is_some() {
-            exceeded += u64::from(report.is_broken());
+        if report.exceeds_limits() || std::env::var_os("KEEP").is_some() {
+            exceeded += u64::from(report.exceeds_limits());
             println!("  logs in {}", logs.display());
         } else {
             std::fs::remove_dir_all(&logs).context("failed to remove the logs")?;
@@ -50,31 +50,31 @@
 }
 
 /// Parses the TROUBLE arguments; without any, faults of all kinds are drawn.
-fn parse_troubles(args: &[String]) -> Result<Troubles> {
+fn parse_faults(args: &[String]) -> Result<FaultPlan> {
     if args.is_empty() {
-        return Ok(Troubles::Drawn(Kind::ALL.to_vec()));
+        return Ok(FaultPlan::Drawn(FaultKind::ALL.to_vec()));
     }
     if args.iter().any(|a| a.contains(':')) {
         let fixed = args.iter().map(|a| parse_trouble(a));
-        return Ok(Troubles::Given(fixed.collect::<Result<_>>()?));
+        return Ok(FaultPlan::Given(fixed.collect::<Result<_>>()?));
     }
     let kinds = args.iter().map(|a| parse_kind(a));
-    Ok(Troubles::Drawn(kinds.collect::<Result<_>>()?))
+    Ok(FaultPlan::Drawn(kinds.collect::<Result<_>>()?))
 }
 
-fn parse_kind(name: &str) -> Result<Kind> {
-    let mut all = Kind::ALL.into_iter();
+fn parse_kind(name: &str) -> Result<FaultKind> {
+    let mut all = FaultKind::ALL.into_iter();
     let found = all.find(|k| format!("{k:?}") == name);
     found.with_context(|| format!("unknown kind of fault {name:?}"))
 }
 
 /// Parses `KIND:PERCENT:LENGTH_MS:PAUSE_MS`.
-fn parse_trouble(text: &str) -> Result<Trouble> {
+fn parse_trouble(text: &str) -> Result<FaultEvent> {
     let parts: Vec<&str> = text.split(':').collect();
     let [kind, percent, length, pause] = parts.as_slice() else {
         bail!("{text:?} is not KIND:PERCENT:LENGTH_MS:PAUSE_MS");
     };
-    Ok(Trouble {
+    Ok(FaultEvent {
         kind: parse_kind(kind)?,
         percent: percent.parse()?,
         length: Duration::from_millis(length.parse()?),
@@ -83,7 +83,7 @@
 }
 
 fn print_report(seed: u64, report: &Report) {
-    let format_window = |w: &Option<at_size::FullestWindow>| {
+    let format_window = |w: &Option<at_size::PeakWindow>| {
         w.map_or("-".to_string(), |w| {
             format!(
                 "{:.2} ({} of {:.0} until {:.1} s, {} requests)",
@@ -105,16 +105,16 @@
         format_window(&report.engines),
         format_window(&report.plain),
         report.repeats,
-        report.unpaid,
+        report.uncharged_retries,
         report.beyond_attempts,
         report.worst
     );
-    let troubles = report.troubles.iter();
-    let troubles: Vec<String> = troubles
+    let faults = report.faults.iter();
+    let faults: Vec<String> = faults
         .map(|(at, t)| {
             let (at, length) = (at.as_secs_f64(), t.length.as_secs_f64());
             format!("{at:.1} {:?} {}% {length:.1}", t.kind, t.percent)
         })
         .collect();
-    println!("  {}", troubles.join("; "));
+    println!("  {}", faults.join("; "));
 }
--- a/crates/deckwind-testkit/examples/room_after_loss.rs
+++ b/crates/deckwind-testkit/examples/capacity_after_loss.rs
@@ -2,14 +2,14 @@
 //! after losses of engines. The bound is the maximum that any layout of the same cards in
 //! complete chains could reach. Runs in virtual time and takes seconds.
 //!
-//! `cargo run --release -p deckwind-testkit --example room_after_loss`
+//! `cargo run --release -p deckwind-testkit --example capacity_after_loss`
 //!
-//! For each mix of cards, the capacity without faults and its bound are printed (thousands
+//! For each fleet, the capacity without faults and its bound are printed (thousands
 //! of tokens). Each row below gives fractions of the capacity without faults, as mean and
 //! worst of all draws: at the moment of the loss, 1 s and 6 s after it, and the bound for
 //! the engines that are left.
 
-use deckwind_testkit::placing::{MIXES, Placing};
+use deckwind_testkit::placement_simulation::{FLEETS, PlacementSimulation};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -34,20 +34,20 @@
     bound: f64,
 }
 
-fn lose(baseline: &Placing, lost: &BTreeSet<String>) -> RemainingCapacity {
+fn lose(baseline: &PlacementSimulation, lost: &BTreeSet<String>) -> RemainingCapacity {
     let capacity = baseline.room().narrowest;
-    let mut placing = baseline.clone();
-    placing.lose(lost);
-    let fraction = |placing: &Placing| placing.room().narrowest / capacity;
-    let at_loss = fraction(&placing);
-    let bound = placing.most_room() / capacity;
-    placing.run_for(FIRST_CHECK);
-    let at_first_check = fraction(&placing);
-    placing.run_for(SECOND_CHECK - FIRST_CHECK);
+    let mut simulation = baseline.clone();
+    simulation.lose(lost);
+    let fraction = |simulation: &PlacementSimulation| simulation.room().narrowest / capacity;
+    let at_loss = fraction(&simulation);
+    let bound = simulation.max_capacity() / capacity;
+    simulation.run_for(FIRST_CHECK);
+    let at_first_check = fraction(&simulation);
+    simulation.run_for(SECOND_CHECK - FIRST_CHECK);
     RemainingCapacity {
         at_loss,
         at_first_check,
-        at_second_check: fraction(&placing),
+        at_second_check: fraction(&simulation),
         bound,
     }
 }
@@ -80,13 +80,13 @@
 }
 
 fn main() {
-    for (name, mix) in MIXES {
-        let mut baseline = Placing::new(mix);
+    for (name, fleet) in FLEETS {
+        let mut baseline = PlacementSimulation::new(fleet);
         baseline.run_for(START_TIME);
         println!(
             "{name}: without faults {:.0}, bound {:.0}",
             baseline.room().narrowest / 1e3,
-            baseline.most_room() / 1e3
+            baseline.max_capacity() / 1e3
         );
         let ids = baseline.ready();
         let single = ids.iter().map(|id| BTreeSet::from([id.clone()]));
--- a/crates/deckwind-testkit/examples/fan_out.rs
+++ b/crates/deckwind-testkit/examples/fan_out.rs
@@ -5,7 +5,7 @@
 //! `cargo run --release -p deckwind-testkit --example fan_out`
 
 use anyhow::Result;
-use deckwind_testkit::fan_out::{Carried, FanOut, engine, release};
+use deckwind_testkit::fan_out::{FanOut, LinkTraffic, engine, release};
 use std::time::Duration;
 
 /// Bandwidth of the link of a control VM, in Mbit/s.
@@ -14,7 +14,7 @@
 /// Duration of each run, in seconds.
 const SECONDS: u32 = 5;
 
-fn print_row(scenario: &str, routers: usize, carried: Carried) {
+fn print_row(scenario: &str, routers: usize, carried: LinkTraffic) {
     let bytes = carried.bytes as f64 / f64::from(SECONDS);
     println!(
         "{scenario:<34} {routers:>7} {:>9.0} {:>10.0} {:>12.2} {:>10.1} {:>6}",
@@ -31,16 +31,16 @@
     let mut idle = FanOut::new(routers, 0, LINK_MBPS)?;
     idle.publish(release(1, 240));
     idle.run_until_applied(second)?;
-    idle.take_carried();
+    idle.take_traffic();
     idle.run_for(second * SECONDS)?;
-    print_row("idle", routers, idle.take_carried());
+    print_row("idle", routers, idle.take_traffic());
 
     let mut loaded = FanOut::new(routers, 218, LINK_MBPS)?;
     loaded.publish(release(1, 240));
     loaded.run_until_applied(second)?;
-    loaded.take_carried();
+    loaded.take_traffic();
     loaded.run_for(second * SECONDS)?;
-    print_row("under load", routers, loaded.take_carried());
+    print_row("under load", routers, loaded.take_traffic());
     for i in 0..u64::from(SECONDS) {
         loaded.publish(release(2 + i, 240));
         loaded.run_for(second)?;
@@ -48,12 +48,12 @@
     print_row(
         "load, one change per second",
         routers,
-        loaded.take_carried(),
+        loaded.take_traffic(),
     );
 
     loaded.publish(release(50, 1_640));
     let elapsed = loaded.run_until_applied(10 * second)?;
-    let carried = loaded.take_carried();
+    let carried = loaded.take_traffic();
     print_row("load, 1,400 routes added at once", routers, carried);
     println!(
         "{:>34} in force after {:.0} ms",
@@ -72,16 +72,16 @@
     print_row(
         "load, storm on 1,640 routes",
         routers,
-        loaded.take_carried(),
+        loaded.take_traffic(),
     );
 
     (0..273).for_each(|i| idle.announce(engine(i, 4, 1)));
     idle.publish(release(2, 1_640));
     idle.run_until_applied(second)?;
-    idle.take_carried();
+    idle.take_traffic();
     idle.restart_routers();
     let elapsed = idle.run_until_applied(10 * second)?;
-    print_row("all routers start at once", routers, idle.take_carried());
+    print_row("all routers start at once", routers, idle.take_traffic());
     println!(
         "{:>34} all applied after {:.0} ms",
         "",
--- a/crates/deckwind-testkit/examples/many_targets.rs
+++ b/crates/deckwind-testkit/examples/many_targets.rs
@@ -29,7 +29,7 @@
     fan_out.run_until_applied(Duration::from_secs(5))?;
     fan_out.pass_on(relays);
     fan_out.serve(MAX_RETRIES);
-    fan_out.take_carried();
+    fan_out.take_traffic();
     let fleet = engine_fleet(targets);
     let batch_size = targets.div_ceil(STEPS_PER_PERIOD as usize);
     println!("{routers} routers, {targets} targets, {relays} relaying replicas");
@@ -37,14 +37,14 @@
         for batch in fleet.chunks(batch_size) {
             for engine in batch {
                 let mut engine = engine.clone();
-                engine.layers = fan_out.held_by(&engine.id);
+                engine.layers = fan_out.layers_of(&engine.id);
                 engine.in_memory = engine.layers.len();
                 engine.announced = period;
                 fan_out.announce(engine);
             }
             fan_out.run_for(ANNOUNCE_INTERVAL / STEPS_PER_PERIOD)?;
         }
-        let carried = fan_out.take_carried();
+        let carried = fan_out.take_traffic();
         println!(
             "  until {:>5.1} s: worked {:>7.1} ms per second, longest batch {:>7.1} ms, queue {:>5.1} ms, \
              {:>6.2} MB in {:>5} messages, {:>4} engines hold layers, {} routers lag, {} leases lost",
--- a/crates/deckwind-testkit/examples/placement_room.rs
+++ b/crates/deckwind-testkit/examples/placement_capacity.rs
@@ -3,9 +3,9 @@
 //! empty 4.5 s later, and while engines are replaced one after another. Runs in virtual
 //! time with eight seeds and takes seconds.
 //!
-//! `cargo run --release -p deckwind-testkit --example placement_room`
+//! `cargo run --release -p deckwind-testkit --example placement_capacity`
 
-use deckwind_testkit::placing::{MIXES, Placing, Room};
+use deckwind_testkit::placement_simulation::{FLEETS, PlacementSimulation, Room};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -24,8 +24,8 @@
     println!(
         "thousands of tokens at the layer with the least capacity, mean of all layers, empty engines, orders"
     );
-    for (name, mix) in MIXES {
-        let mut start = Placing::new(mix);
+    for (name, fleet) in FLEETS {
+        let mut start = PlacementSimulation::new(fleet);
         start.run_for(START_TIME);
         let capacity = start.room();
         println!(
@@ -38,17 +38,17 @@
         let mut measurements = Vec::new();
         let mut orders = 0;
         for seed in 1..=8 {
-            let mut placing = Placing::new(mix);
-            placing.run_for(START_TIME);
-            let orders_before = placing.orders;
-            let mut ids = placing.ready();
+            let mut simulation = PlacementSimulation::new(fleet);
+            simulation.run_for(START_TIME);
+            let orders_before = simulation.orders;
+            let mut ids = simulation.ready();
             ids.shuffle(&mut StdRng::seed_from_u64(seed));
             let lost: BTreeSet<String> = ids.iter().take(ids.len() / 6).cloned().collect();
-            placing.lose(&lost);
-            measurements.extend(placing.run_for(Duration::from_millis(4_500)));
-            placing.replace(&lost);
-            measurements.extend(placing.run_for(Duration::from_millis(7_500)));
-            orders += placing.orders - orders_before;
+            simulation.lose(&lost);
+            measurements.extend(simulation.run_for(Duration::from_millis(4_500)));
+            simulation.replace(&lost);
+            measurements.extend(simulation.run_for(Duration::from_millis(7_500)));
+            orders += simulation.orders - orders_before;
         }
         let worst = measurements
             .iter()
@@ -62,10 +62,12 @@
             mean(&measurements, |r| r.empty as f64) * 1e3,
             orders / 8
         );
-        let mut placing = Placing::new(mix);
-        placing.run_for(START_TIME);
-        let measurements =
-            placing.replace_in_turn(placing.ready().len() * 3 / 10, Duration::from_millis(500));
+        let mut simulation = PlacementSimulation::new(fleet);
+        simulation.run_for(START_TIME);
+        let measurements = simulation.replace_one_by_one(
+            simulation.ready().len() * 3 / 10,
+            Duration::from_millis(500),
+        );
         println!(
             "    replaced one by one: {:>5.0} {:>5.0}",
             mean(&measurements, |r| r.narrowest),
--- a/crates/deckwind-testkit/examples/slow_readers.rs
+++ b/crates/deckwind-testkit/examples/slow_readers.rs
@@ -6,7 +6,7 @@
 //! ```
 
 use anyhow::{Context, Result};
-use deckwind_fakes::{FakeRunner, generation_head, release_document};
+use deckwind_fakes::{FakeTargetServer, generation_head, release_document};
 use deckwind_testkit::{Layout, Processes, eventually_async};
 use http::Request;
 use http_body_util::Full;
@@ -71,7 +71,7 @@
         post(control, "/v1/config/put", &release)
     })
     .await;
-    let target = FakeRunner::start("p-0").await?;
+    let target = FakeTargetServer::start("p-0").await?;
     let announcement = target.announcement("plain", "recife-a", "ready", 1);
     let heartbeat = "/v1/instances/p-0/heartbeat";
     eventually_async("the target is known", || {
--- a/crates/deckwind-testkit/src/at_size/troubles.rs
+++ b/crates/deckwind-testkit/src/at_size/faults.rs
@@ -4,7 +4,7 @@
 use super::size::{ENGINES, PLAIN};
 use crate::processes::Process;
 use anyhow::Result;
-use deckwind_fakes::RunnerFault;
+use deckwind_fakes::FakeTargetFault;
 use rand::RngExt;
 use rand::seq::IndexedRandom;
 use rand_chacha::ChaCha8Rng;
@@ -13,7 +13,7 @@
 
 /// Kinds of faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FaultKind {
     /// Some engines crash and restart under their ids.
     EnginesEnd,
     /// Some engines don't respond for a while.
@@ -44,23 +44,23 @@
     Release,
 }
 
-impl Kind {
+impl FaultKind {
     /// All kinds.
-    pub const ALL: [Kind; 14] = [
-        Kind::EnginesEnd,
-        Kind::EnginesSilent,
-        Kind::EnginesPause,
-        Kind::EnginesCut,
-        Kind::EnginesRefuse,
-        Kind::PlainFails,
-        Kind::RoutersFreeze,
-        Kind::RoutersKilled,
-        Kind::RoutersStopped,
-        Kind::ControlKilled,
-        Kind::ControlFreezes,
-        Kind::AllControlKilled,
-        Kind::Burst,
-        Kind::Release,
+    pub const ALL: [FaultKind; 14] = [
+        FaultKind::EnginesEnd,
+        FaultKind::EnginesSilent,
+        FaultKind::EnginesPause,
+        FaultKind::EnginesCut,
+        FaultKind::EnginesRefuse,
+        FaultKind::PlainFails,
+        FaultKind::RoutersFreeze,
+        FaultKind::RoutersKilled,
+        FaultKind::RoutersStopped,
+        FaultKind::ControlKilled,
+        FaultKind::ControlFreezes,
+        FaultKind::AllControlKilled,
+        FaultKind::Burst,
+        FaultKind::Release,
     ];
 }
 
@@ -69,17 +69,17 @@
 
 /// Source of the faults of a run.
 #[derive(Clone, Debug)]
-pub enum Troubles {
+pub enum FaultPlan {
     /// Faults of random kinds out of these, drawn from the seed.
-    Drawn(Vec<Kind>),
+    Drawn(Vec<FaultKind>),
     /// These faults in turn, repeatedly.
-    Given(Vec<Trouble>),
+    Given(Vec<FaultEvent>),
 }
 
-impl Troubles {
-    pub(super) fn next(&self, number: usize, rng: &mut ChaCha8Rng) -> Trouble {
+impl FaultPlan {
+    pub(super) fn next(&self, number: usize, rng: &mut ChaCha8Rng) -> FaultEvent {
         match self {
-            Self::Drawn(kinds) => Trouble::draw(rng, kinds),
+            Self::Drawn(kinds) => FaultEvent::draw(rng, kinds),
             Self::Given(all) => all[number % all.len()],
         }
     }
@@ -87,9 +87,9 @@
 
 /// A fault with its extent and duration.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Trouble {
+pub struct FaultEvent {
     /// Kind of the fault.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Share of the affected processes or targets, in percent.
     pub percent: usize,
     /// Duration of the fault.
@@ -98,8 +98,8 @@
     pub pause: Duration,
 }
 
-impl Trouble {
-    fn draw(rng: &mut ChaCha8Rng, kinds: &[Kind]) -> Self {
+impl FaultEvent {
+    fn draw(rng: &mut ChaCha8Rng, kinds: &[FaultKind]) -> Self {
         Self {
             kind: *kinds.choose(rng).expect("the list of kinds is not empty"),
             percent: rng.random_range(3..MAX_PERCENT),
@@ -112,49 +112,54 @@
 impl Deployment {
     /// Injects a fault. Faults that last longer than this call are ended by their own
     /// tasks.
-    pub(super) async fn inject(&mut self, trouble: Trouble, rng: &mut ChaCha8Rng) -> Result<()> {
-        let length = trouble.length;
-        match trouble.kind {
-            Kind::EnginesEnd => {
-                for i in self.random_targets(ENGINES, trouble.percent, rng) {
-                    self.targets[i].runner.crash(length);
+    pub(super) async fn inject(&mut self, fault: FaultEvent, rng: &mut ChaCha8Rng) -> Result<()> {
+        let length = fault.length;
+        match fault.kind {
+            FaultKind::EnginesEnd => {
+                for i in self.random_targets(ENGINES, fault.percent, rng) {
+                    self.targets[i].server.crash(length);
                     self.targets[i].announced.store(0, Ordering::Relaxed);
                 }
             }
-            Kind::EnginesSilent => {
-                for i in self.random_targets(ENGINES, trouble.percent, rng) {
-                    self.targets[i].runner.fall_silent(length);
+            FaultKind::EnginesSilent => {
+                for i in self.random_targets(ENGINES, fault.percent, rng) {
+                    self.targets[i].server.pause_and_restart(length);
                     self.targets[i].announced.store(0, Ordering::Relaxed);
                 }
             }
-            Kind::EnginesPause => {
-                for i in self.random_targets(ENGINES, trouble.percent, rng) {
-                    self.targets[i].runner.pause(length);
+            FaultKind::EnginesPause => {
+                for i in self.random_targets(ENGINES, fault.percent, rng) {
+                    self.targets[i].server.pause(length);
                 }
             }
-            Kind::EnginesCut => {
+            FaultKind::EnginesCut => {
                 let after = rng.random_range(1..30);
-                self.set_fault(ENGINES, RunnerFault::CutsAfter(after), trouble, rng);
+                self.set_fault(
+                    ENGINES,
+                    FakeTargetFault::BreaksStreamAfter(after),
+                    fault,
+                    rng,
+                );
             }
-            Kind::EnginesRefuse => {
-                let refuses = RunnerFault::Refuses { at_fault: None };
-                self.set_fault(ENGINES, refuses, trouble, rng);
+            FaultKind::EnginesRefuse => {
+                let refuses = FakeTargetFault::Refuses { at_fault: None };
+                self.set_fault(ENGINES, refuses, fault, rng);
             }
-            Kind::PlainFails => self.set_fault(PLAIN, RunnerFault::Fails, trouble, rng),
-            Kind::RoutersFreeze => self.freeze_routers(trouble, rng)?,
-            Kind::RoutersKilled => self.restart_routers(trouble, rng, false).await?,
-            Kind::RoutersStopped => self.restart_routers(trouble, rng, true).await?,
-            Kind::ControlKilled => self.restart_control(1, trouble, rng).await?,
-            Kind::ControlFreezes => {
+            FaultKind::PlainFails => self.set_fault(PLAIN, FakeTargetFault::Fails, fault, rng),
+            FaultKind::RoutersFreeze => self.freeze_routers(fault, rng)?,
+            FaultKind::RoutersKilled => self.restart_routers(fault, rng, false).await?,
+            FaultKind::RoutersStopped => self.restart_routers(fault, rng, true).await?,
+            FaultKind::ControlKilled => self.restart_control(1, fault, rng).await?,
+            FaultKind::ControlFreezes => {
                 let i = rng.random_range(0..self.control.len());
                 self.freeze(self.control[i].as_ref(), length)?;
             }
-            Kind::AllControlKilled => {
+            FaultKind::AllControlKilled => {
                 let all = self.control.len();
-                self.restart_control(all, trouble, rng).await?;
+                self.restart_control(all, fault, rng).await?;
             }
-            Kind::Burst => self.burst(trouble),
-            Kind::Release => {
+            FaultKind::Burst => self.burst(fault),
+            FaultKind::Release => {
                 self.publish().await;
             }
         }
@@ -173,24 +178,24 @@
     fn set_fault(
         &self,
         pool: &str,
-        runner_fault: RunnerFault,
-        trouble: Trouble,
+        target_fault: FakeTargetFault,
+        fault: FaultEvent,
         rng: &mut ChaCha8Rng,
     ) {
-        for i in self.random_targets(pool, trouble.percent, rng) {
-            let runner = self.targets[i].runner.clone();
-            runner.set_fault(runner_fault.clone());
+        for i in self.random_targets(pool, fault.percent, rng) {
+            let server = self.targets[i].server.clone();
+            server.set_fault(target_fault.clone());
             tokio::spawn(async move {
-                tokio::time::sleep(trouble.length).await;
-                runner.set_fault(RunnerFault::None);
+                tokio::time::sleep(fault.length).await;
+                server.set_fault(FakeTargetFault::None);
             });
         }
     }
 
-    fn freeze_routers(&self, trouble: Trouble, rng: &mut ChaCha8Rng) -> Result<()> {
-        for i in self.random_routers(trouble.percent, rng) {
-            self.freeze(self.routers[i].as_ref(), trouble.length)?;
-            self.mark_not_ready(i, trouble.length);
+    fn freeze_routers(&self, fault: FaultEvent, rng: &mut ChaCha8Rng) -> Result<()> {
+        for i in self.random_routers(fault.percent, rng) {
+            self.freeze(self.routers[i].as_ref(), fault.length)?;
+            self.mark_not_ready(i, fault.length);
         }
         Ok(())
     }
@@ -207,11 +212,11 @@
 
     async fn restart_routers(
         &mut self,
-        trouble: Trouble,
+        fault: FaultEvent,
         rng: &mut ChaCha8Rng,
         planned: bool,
     ) -> Result<()> {
-        let selected = self.random_routers(trouble.percent, rng);
+        let selected = self.random_routers(fault.percent, rng);
         let mut stops = Vec::new();
         for i in &selected {
             let Some(process) = self.routers[*i].take() else {
@@ -239,7 +244,7 @@
     async fn restart_control(
         &mut self,
         count: usize,
-        trouble: Trouble,
+        fault: FaultEvent,
         rng: &mut ChaCha8Rng,
     ) -> Result<()> {
         let first = rng.random_range(0..self.control.len());
@@ -250,7 +255,7 @@
                 tokio::task::spawn_blocking(move || process.kill()).await?;
             }
         }
-        tokio::time::sleep(trouble.length / 6).await;
+        tokio::time::sleep(fault.length / 6).await;
         for i in selected {
             self.control[i] = Some(self.processes.control(i)?);
         }
@@ -273,11 +278,11 @@
         Ok(())
     }
 
-    fn burst(&self, trouble: Trouble) {
+    fn burst(&self, fault: FaultEvent) {
         let callers = self.callers.clone();
         callers.rate_percent.store(170, Ordering::Relaxed);
         tokio::spawn(async move {
-            tokio::time::sleep(trouble.length / 2).await;
+            tokio::time::sleep(fault.length / 2).await;
             callers.rate_percent.store(100, Ordering::Relaxed);
         });
     }
--- a/crates/deckwind-testkit/src/at_size/mod.rs
+++ b/crates/deckwind-testkit/src/at_size/mod.rs
@@ -7,21 +7,21 @@
 //! faults of a run, but not its schedule.
 
 mod callers;
+mod faults;
 mod size;
 mod tally;
-mod troubles;
 
 pub use callers::{Callers, Outcomes};
+pub use faults::{FaultEvent, FaultKind, FaultPlan};
 pub use size::{EngineGroup, Size};
 pub use tally::{
-    FullestWindow, ReceivedRequest, RetryBudget, beyond_attempts, fullest_window, unpaid,
+    PeakWindow, ReceivedRequest, RetryBudget, beyond_attempts, peak_window, uncharged_retries,
 };
-pub use troubles::{Kind, Trouble, Troubles};
 
 use crate::layout::Layout;
 use crate::processes::{Process, Processes};
 use anyhow::{Context, Result, bail};
-use deckwind_fakes::{FakeRunner, Fleet, FleetArrival};
+use deckwind_fakes::{FakeTargetServer, Fleet, FleetArrival};
 use http::{Request, StatusCode};
 use http_body_util::Full;
 use hyper_util::client::legacy::Client;
@@ -59,9 +59,9 @@
 #[derive(Clone, Debug)]
 pub struct Report {
     /// The window with the most retries at engines.
-    pub engines: Option<FullestWindow>,
+    pub engines: Option<PeakWindow>,
     /// The window with the most retries at plain targets.
-    pub plain: Option<FullestWindow>,
+    pub plain: Option<PeakWindow>,
     /// Number of requests that ran at more targets than `attempts` allows.
     pub beyond_attempts: usize,
     /// The id of the request that ran at most targets, of those beyond the limit, and the
@@ -70,16 +70,16 @@
     /// Number of arrivals at engines after the first one of their request.
     pub repeats: usize,
     /// Number of these for which no router logged a retry paid from the budget.
-    pub unpaid: usize,
+    pub uncharged_retries: usize,
     /// Outcomes of the callers' requests.
     pub outcomes: Outcomes,
     /// The faults that were injected, with their times since the callers started.
-    pub troubles: Vec<(Duration, Trouble)>,
+    pub faults: Vec<(Duration, FaultEvent)>,
 }
 
 impl Report {
     /// Whether a retry budget or the limit on attempts was exceeded.
-    pub fn is_broken(&self) -> bool {
+    pub fn exceeds_limits(&self) -> bool {
         let pools = [self.engines, self.plain];
         pools.iter().flatten().any(|w| w.used() > 1.0) || self.beyond_attempts > 0
     }
@@ -90,7 +90,7 @@
     id: String,
     pool: &'static str,
     data_centre: &'static str,
-    runner: FakeRunner,
+    server: FakeTargetServer,
     announced: AtomicU64,
 }
 
@@ -121,7 +121,7 @@
     size: Size,
     seed: u64,
     length: Duration,
-    troubles: &Troubles,
+    faults: &FaultPlan,
 ) -> Result<Report> {
     let mut deployment = Deployment::start(processes, size).await?;
     let announcer = deployment.announce();
@@ -133,10 +133,10 @@
     let mut injected = Vec::new();
     let end = Instant::now() + length;
     while Instant::now() < end {
-        let trouble = troubles.next(injected.len(), &mut rng);
-        injected.push((started.elapsed(), trouble));
-        deployment.inject(trouble, &mut rng).await?;
-        tokio::time::sleep(trouble.pause).await;
+        let fault = faults.next(injected.len(), &mut rng);
+        injected.push((started.elapsed(), fault));
+        deployment.inject(fault, &mut rng).await?;
+        tokio::time::sleep(fault.pause).await;
     }
     deployment.callers.stop();
     load_generator
@@ -207,7 +207,7 @@
         bail!("the deployment serves no requests within {START_TIMEOUT:?}")
     }
 
-    fn report(&self, troubles: Vec<(Duration, Trouble)>) -> Result<Report> {
+    fn report(&self, faults: Vec<(Duration, FaultEvent)>) -> Result<Report> {
         let budget = RetryBudget {
             share: self.size.repeats.0,
             beyond: f64::from(self.size.repeats.1),
@@ -226,14 +226,17 @@
         let beyond = beyond_attempts(self.size.attempts as usize, &engines, &outages);
         let requests: HashSet<&str> = engines.iter().map(|s| s.request.as_str()).collect();
         Ok(Report {
-            engines: fullest_window(&budget, &streams, &engines),
-            plain: fullest_window(&budget, &plain_requests, &plain),
+            engines: peak_window(&budget, &streams, &engines),
+            plain: peak_window(&budget, &plain_requests, &plain),
             beyond_attempts: beyond.len(),
             worst: beyond.into_iter().max_by_key(|(_, targets)| *targets),
             repeats: engines.len() - requests.len(),
-            unpaid: unpaid(&engines, &self.processes.lines("event=repeat_paid")?),
+            uncharged_retries: uncharged_retries(
+                &engines,
+                &self.processes.lines("event=repeat_paid")?,
+            ),
             outcomes: self.callers.outcomes(),
-            troubles,
+            faults,
         })
     }
 }
@@ -273,25 +276,25 @@
     kind: Option<&str>,
     fleet: &Fleet,
 ) -> Result<Target> {
-    let runner = FakeRunner::start(id).await?;
-    runner.join(fleet, pool, kind);
+    let server = FakeTargetServer::start(id).await?;
+    server.join(fleet, pool, kind);
     Ok(Target {
         id: id.to_string(),
         pool,
         data_centre,
-        runner,
+        server,
         announced: AtomicU64::new(0),
     })
 }
 
 impl Target {
     async fn announce(&self, control_client: &ControlClient) {
-        if !self.runner.listens() {
+        if !self.server.listens() {
             return;
         }
         let number = self.announced.fetch_add(1, Ordering::Relaxed) + 1;
-        let runner = &self.runner;
-        let body = runner.announcement(self.pool, self.data_centre, "ready", number);
+        let server = &self.server;
+        let body = server.announcement(self.pool, self.data_centre, "ready", number);
         let path = format!("/v1/instances/{}/heartbeat", self.id);
         control_client.call(&path, &body).await;
     }
--- a/crates/deckwind-testkit/src/at_size/size.rs
+++ b/crates/deckwind-testkit/src/at_size/size.rs
@@ -1,6 +1,6 @@
 //! Sizes of deployments and the release that they run.
 
-use deckwind_fakes::{FleetPace, HOST};
+use deckwind_fakes::{FleetConfig, HOST};
 use serde_json::{Value, json};
 use std::time::Duration;
 
@@ -55,13 +55,13 @@
     /// Maximum number of targets that may run one request.
     pub attempts: u32,
     /// How engines run streams.
-    pub pace: FleetPace,
+    pub pace: FleetConfig,
 }
 
 impl Size {
     /// The size of a large deployment: 59 routers, 5 replicas, 93 engines with three
     /// kinds of accelerators, 3 plain targets, 296 requests per second.
-    pub fn of_hundreds() -> Self {
+    pub fn large() -> Self {
         let group = |kind, memory_mb, step_factor, read_factor, engines| EngineGroup {
             kind,
             memory_mb,
@@ -84,7 +84,7 @@
             repeats: (0.2, 302),
             window: Duration::from_secs(10),
             attempts: 2,
-            pace: FleetPace {
+            pace: FleetConfig {
                 events: 45,
                 gap: Duration::from_millis(90),
                 stall: Duration::from_millis(2_500),
@@ -95,8 +95,8 @@
 
     /// A tenth of that with short paths, for short runs: several paths remain while some
     /// engines are down, and the retry budget suffices for the retries that this costs.
-    pub fn of_tens() -> Self {
-        let mut size = Self::of_hundreds();
+    pub fn small() -> Self {
+        let mut size = Self::large();
         size.control = 3;
         size.routers = 6;
         size.callers = 24;
--- a/crates/deckwind-testkit/src/at_size/tally.rs
+++ b/crates/deckwind-testkit/src/at_size/tally.rs
@@ -31,7 +31,7 @@
 
 /// The window in which the largest part of the retry budget was used.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FullestWindow {
+pub struct PeakWindow {
     /// End of the window, relative to the first request.
     pub until: Duration,
     /// Number of arrivals in the window after the first one of their request.
@@ -42,7 +42,7 @@
     pub allowed: f64,
 }
 
-impl FullestWindow {
+impl PeakWindow {
     /// Returns the part of the budget that was used; above 1 it was exceeded.
     pub fn used(&self) -> f64 {
         self.repeats as f64 / self.allowed
@@ -53,11 +53,11 @@
 /// times of callers' requests for the pool in ascending order. The requests that count
 /// towards a window's budget are the largest number of those in the window itself, in the
 /// window before it and in the one half a window earlier.
-pub fn fullest_window(
+pub fn peak_window(
     budget: &RetryBudget,
     sent_at: &[Instant],
     received: &[ReceivedRequest],
-) -> Option<FullestWindow> {
+) -> Option<PeakWindow> {
     let first = *sent_at.first()?;
     let retries = retry_times(received);
     let windows = retries.iter().enumerate().map(|(i, until)| {
@@ -69,7 +69,7 @@
             count_within(sent_at, from - back, *until - back)
         });
         let requests = requests.into_iter().max().unwrap_or_default();
-        FullestWindow {
+        PeakWindow {
             until: until.saturating_duration_since(first),
             repeats: count,
             requests,
@@ -121,7 +121,7 @@
 
 /// Returns the number of arrivals after the first one of their request that no paid retry
 /// in the routers' log lines `paid` accounts for.
-pub fn unpaid(received: &[ReceivedRequest], paid: &[String]) -> usize {
+pub fn uncharged_retries(received: &[ReceivedRequest], paid: &[String]) -> usize {
     let mut paid_by_request: HashMap<&str, usize> = HashMap::new();
     for line in paid {
         let mut words = line.split(' ');
@@ -131,12 +131,13 @@
     }
     let mut seen = HashSet::new();
     let repeated = received.iter().filter(|s| !seen.insert(&s.request));
-    let unpaid = repeated.filter(|s| match paid_by_request.get_mut(s.request.as_str()) {
-        Some(paid) if *paid > 0 => {
-            *paid -= 1;
-            false
-        }
-        _ => true,
-    });
-    unpaid.count()
+    let uncharged_retries =
+        repeated.filter(|s| match paid_by_request.get_mut(s.request.as_str()) {
+            Some(paid) if *paid > 0 => {
+                *paid -= 1;
+                false
+            }
+            _ => true,
+        });
+    uncharged_retries.count()
 }
--- a/crates/deckwind-testkit/src/lab.rs
+++ b/crates/deckwind-testkit/src/control_simulation.rs
@@ -2,10 +2,10 @@
 //! disks, over a network that loses, duplicates and delays messages and can be
 //! partitioned.
 //!
-//! A seed reproduces its run. The invariants of `lab_checks` are checked during the run.
+//! A seed reproduces its run. The invariants of `simulation_checks` are checked during the run.
 
-use crate::lab_net::{InFlight, Requester};
-use crate::lab_routers::LabRouter;
+use crate::simulated_network::{InFlight, Requester};
+use crate::simulated_routers::SimulatedRouter;
 use deckwind_core::control::{ControlEvent, ControlLimits, OperatorReply, OperatorRequest};
 use deckwind_core::membership::{InForce, LeaseTiming};
 use deckwind_core::replication::{Entry, Index, ReplicaConfig, ReplicaId, Term};
@@ -52,7 +52,7 @@
 }
 
 /// A control VM of the simulation.
-pub(crate) struct LabNode {
+pub(crate) struct SimulatedNode {
     disk: MemoryDisk,
     pub(crate) node: Option<ControlNode>,
     frozen: bool,
@@ -63,7 +63,7 @@
     drift_per_mille: i64,
 }
 
-impl LabNode {
+impl SimulatedNode {
     fn describe(&self) -> String {
         let Some(node) = &self.node else {
             return "down".to_string();
@@ -83,13 +83,13 @@
 }
 
 /// Control replicas, routers and the network between them.
-pub struct Lab {
+pub struct ControlSimulation {
     pub(crate) now: Instant,
     pub(crate) rng: StdRng,
     pub(crate) faults: NetFaults,
-    pub(crate) nodes: Vec<LabNode>,
+    pub(crate) nodes: Vec<SimulatedNode>,
     /// The routers.
-    pub routers: Vec<LabRouter>,
+    pub routers: Vec<SimulatedRouter>,
     pub(crate) partitions: BTreeSet<(u32, u32)>,
     pub(crate) in_flight: BTreeMap<(Instant, u64), InFlight>,
     pub(crate) sequence: u64,
@@ -108,23 +108,23 @@
 /// Step of virtual time.
 const STEP: Duration = Duration::from_millis(5);
 
-impl Lab {
+impl ControlSimulation {
     /// Creates a simulation with this number of replicas and routers, and the default
     /// interval of announcements.
     pub fn new(replicas: usize, routers: usize, seed: u64, faults: NetFaults) -> Self {
         let period = ControlLimits::default().announce_every;
-        Self::with_period(replicas, routers, seed, faults, period)
+        Self::with_announce_interval(replicas, routers, seed, faults, period)
     }
 
     /// Creates a simulation with targets that announce themselves at this interval.
-    pub fn with_period(
+    pub fn with_announce_interval(
         replicas: usize,
         routers: usize,
         seed: u64,
         faults: NetFaults,
         announce_every: Duration,
     ) -> Self {
-        let mut lab = Self {
+        let mut sim = Self {
             now: Instant::from_millis(1_000),
             rng: StdRng::seed_from_u64(seed),
             faults,
@@ -149,8 +149,8 @@
             lease: LeaseTiming::default(),
         };
         for _ in 0..replicas {
-            let drift_per_mille = lab.rng.random_range(-10..=10);
-            lab.nodes.push(LabNode {
+            let drift_per_mille = sim.rng.random_range(-10..=10);
+            sim.nodes.push(SimulatedNode {
                 disk: MemoryDisk::default(),
                 node: None,
                 frozen: false,
@@ -160,12 +160,13 @@
             });
         }
         for slot in 0..replicas {
-            lab.start(slot);
+            sim.start(slot);
         }
         for i in 0..routers {
-            lab.routers.push(LabRouter::new(i, replicas, lab.lease));
+            sim.routers
+                .push(SimulatedRouter::new(i, replicas, sim.lease));
         }
-        lab
+        sim
     }
 
     /// The current virtual time.
@@ -273,7 +274,7 @@
     }
 
     /// Runs until a replica may answer; returns its slot.
-    pub fn run_until_led(&mut self) -> usize {
+    pub fn run_until_leader(&mut self) -> usize {
         const MAX_STEPS: usize = 8_000;
         for _ in 0..MAX_STEPS {
             self.step();
@@ -281,7 +282,7 @@
                 return slot;
             }
         }
-        let states: Vec<String> = self.nodes.iter().map(LabNode::describe).collect();
+        let states: Vec<String> = self.nodes.iter().map(SimulatedNode::describe).collect();
         panic!("no replica became leader: {states:#?}");
     }
 
@@ -362,7 +363,7 @@
         const MAX_ATTEMPTS: usize = 10;
         const STEPS_PER_ATTEMPT: usize = 2_500;
         for _ in 0..MAX_ATTEMPTS {
-            let slot = self.run_until_led();
+            let slot = self.run_until_leader();
             let before = self.replies.get(id).map_or(0, Vec::len);
             self.apply(slot, id, expected, change.clone());
             for _ in 0..STEPS_PER_ATTEMPT {
--- a/crates/deckwind-testkit/src/fan_out.rs
+++ b/crates/deckwind-testkit/src/fan_out.rs
@@ -74,7 +74,7 @@
 
 /// Traffic of the leader's link and time that the leader worked.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Carried {
+pub struct LinkTraffic {
     /// Renewals received.
     pub renewals: u64,
     /// Messages with answers sent.
@@ -111,7 +111,7 @@
     requesting_routers: BTreeMap<u64, usize>,
     next_number: u64,
     operator_events: Vec<ControlEvent>,
-    carried: Carried,
+    carried: LinkTraffic,
 }
 
 impl FanOut {
@@ -150,14 +150,14 @@
             requesting_routers: BTreeMap::new(),
             next_number: 1,
             operator_events: Vec::new(),
-            carried: Carried::default(),
+            carried: LinkTraffic::default(),
         };
         fan_out.run_for(Duration::from_secs(5))?;
         ensure!(
             fan_out.routers.iter().all(|r| r.was_live),
             "not all routers hold a lease"
         );
-        fan_out.carried = Carried::default();
+        fan_out.carried = LinkTraffic::default();
         Ok(fan_out)
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// Has each router report load at a quarter of this number of engines from now on.
-    pub fn hold_at(&mut self, engines: usize) {
+    pub fn set_engines_in_use(&mut self, engines: usize) {
         self.engines_in_use = engines;
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// Returns the traffic since the last call and resets it.
-    pub fn take_carried(&mut self) -> Carried {
+    pub fn take_traffic(&mut self) -> LinkTraffic {
         std::mem::take(&mut self.carried)
     }
 
@@ -235,7 +235,7 @@
 
     /// Returns the number of routers that may serve though they haven't applied the
     /// committed revision.
-    pub fn serving_behind(&self) -> usize {
+    pub fn serving_stale(&self) -> usize {
         let committed = self.revision();
         let is_serving_behind =
             |r: &&Router| r.lease.is_live(self.now) && r.lease.applied() < committed;
@@ -243,7 +243,7 @@
     }
 
     /// Returns the layers that an engine holds according to the committed state.
-    pub fn held_by(&self, id: &str) -> LayerRange {
+    pub fn layers_of(&self, id: &str) -> LayerRange {
         let instances = self.node.core().state_machine().configuration().instances();
         instances.get(id).map(|i| i.layers).unwrap_or_default()
     }
--- a/crates/deckwind-testkit/src/layout.rs
+++ b/crates/deckwind-testkit/src/layout.rs
@@ -194,7 +194,7 @@
 
     /// Writes the settings of the first control replica, with seeds in place of a list of
     /// control VMs and without a token for operators.
-    pub fn open_control_settings(&self) -> Result<PathBuf> {
+    pub fn control_without_token_settings(&self) -> Result<PathBuf> {
         let address = self.control[0];
         let settings = serde_json::json!({
             "vm": "open",
--- a/crates/deckwind-testkit/src/placing.rs
+++ b/crates/deckwind-testkit/src/placement_simulation.rs
@@ -54,10 +54,10 @@
 }
 
 /// Number of engines of each kind in each data centre, in the order of [`KINDS`].
-pub type Mix = [[usize; 5]];
+pub type Fleet = [[usize; 5]];
 
 /// Fleets over three data centres, with their names.
-pub const MIXES: [(&str, &Mix); 4] = [
+pub const FLEETS: [(&str, &Fleet); 4] = [
     (
         "93 engines, large small slow",
         &[[4, 0, 10, 11, 0], [3, 0, 14, 16, 0], [2, 0, 24, 9, 0]],
@@ -89,7 +89,7 @@
 
 /// Engines and the leader's placement of layers on them.
 #[derive(Clone)]
-pub struct Placing {
+pub struct PlacementSimulation {
     manager: PlacementManager,
     machine: StateMachine,
     release: Release,
@@ -109,9 +109,9 @@
     }
 }
 
-impl Placing {
+impl PlacementSimulation {
     /// Creates engines without layers that have just announced themselves.
-    pub fn new(mix: &Mix) -> Self {
+    pub fn new(fleet: &Fleet) -> Self {
         let pool = Pool {
             name: POOL.to_string(),
             max_connections: 1_000,
@@ -122,7 +122,7 @@
             pools: vec![pool],
             ..Release::default()
         };
-        let mut placing = Self {
+        let mut simulation = Self {
             manager: PlacementManager::default(),
             machine: StateMachine::default(),
             release,
@@ -131,12 +131,12 @@
             orders: 0,
             incarnations: 0,
         };
-        for (dc, counts) in mix.iter().enumerate() {
+        for (dc, counts) in fleet.iter().enumerate() {
             for (kind, count) in counts.iter().enumerate() {
-                (0..*count).for_each(|_| placing.add_engine(dc, kind));
+                (0..*count).for_each(|_| simulation.add_engine(dc, kind));
             }
         }
-        placing
+        simulation
     }
 
     fn add_engine(&mut self, dc: usize, kind: usize) {
@@ -202,7 +202,7 @@
 
     /// Replaces this number of engines, spread evenly over all, one after the other.
     /// Returns the capacity after each run of the planner.
-    pub fn replace_in_turn(&mut self, count: usize, gap: Duration) -> Vec<Room> {
+    pub fn replace_one_by_one(&mut self, count: usize, gap: Duration) -> Vec<Room> {
         let all = self.ready();
         let stride = all.len().div_ceil(count.max(1)).max(1);
         let mut capacities = Vec::new();
@@ -266,7 +266,7 @@
     /// tokens; an engine's token capacity is the same for each of the layers that it
     /// holds. Paths across data centres and chains with unequal capacities aren't
     /// counted.
-    pub fn most_room(&self) -> f64 {
+    pub fn max_capacity(&self) -> f64 {
         let mut by_data_centre: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         let ready = self.instances().iter();
         for i in ready.filter(|i| i.state == InstanceState::Ready) {
--- a/crates/deckwind-testkit/src/processes.rs
+++ b/crates/deckwind-testkit/src/processes.rs
@@ -183,8 +183,8 @@
     }
 
     /// Starts the first control replica with seeds and without a token for operators.
-    pub fn open_control(&self) -> Result<Process> {
-        self.start_daemon("open", self.layout.open_control_settings()?)
+    pub fn control_without_token(&self) -> Result<Process> {
+        self.start_daemon("open", self.layout.control_without_token_settings()?)
     }
 
     /// Starts a router.
--- a/crates/deckwind-testkit/src/lab_net.rs
+++ b/crates/deckwind-testkit/src/simulated_network.rs
@@ -1,7 +1,7 @@
 //! The simulated network: messages in flight between replicas, routers and targets, and
 //! the effects that replicas request.
 
-use crate::lab::Lab;
+use crate::control_simulation::ControlSimulation;
 use deckwind_core::control::{
     AnnouncementReport, ControlEvent, ControlRequest, OrderBatch, RelayedReplies, RelayedRequest,
 };
@@ -36,7 +36,7 @@
     Reply(usize, ControlRequest, Instant, ControlReply),
 }
 
-impl Lab {
+impl ControlSimulation {
     pub(crate) fn deliver(&mut self) {
         while let Some(((at, _), _)) = self.in_flight.first_key_value() {
             if *at > self.now {
--- a/crates/deckwind-testkit/src/lab_routers.rs
+++ b/crates/deckwind-testkit/src/simulated_routers.rs
@@ -27,7 +27,7 @@
 }
 
 /// A simulated router.
-pub struct LabRouter {
+pub struct SimulatedRouter {
     name: VmName,
     boot: u64,
     lease: RouterLeaseState,
@@ -78,7 +78,7 @@
 /// Number of keys that all routers draw from.
 const KEYS: u32 = 40;
 
-impl LabRouter {
+impl SimulatedRouter {
     /// Creates the router with number `i` of a cluster with this number of replicas.
     pub fn new(i: usize, replicas: usize, timing: LeaseTiming) -> Self {
         let name = VmName::from(format!("router-{i}"));
@@ -132,19 +132,19 @@
     }
 
     /// Adds this number of claims for it to make.
-    pub fn want_claims(&mut self, claims: u32) {
+    pub fn add_claims(&mut self, claims: u32) {
         self.claims_wanted += claims;
     }
 
     /// Has it serve a pool whose streams need this number of retries.
-    pub fn want_repeats(&mut self, repeats: u64) {
+    pub fn need_retries(&mut self, repeats: u64) {
         self.retries_wanted = repeats;
         self.budgets
             .get_or_insert_with(|| RetryBudgets::new(RETRY_LIMITS, START));
     }
 
     /// Returns the number of retries that it may use from its grants.
-    pub fn repeats_left(&mut self, now: Instant) -> u64 {
+    pub fn retries_left(&mut self, now: Instant) -> u64 {
         let budgets = self.budgets.as_mut();
         budgets.map_or(0, |b| b.of_pool(POOL).granted().available(now))
     }
--- a/crates/deckwind-testkit/src/lab_checks.rs
+++ b/crates/deckwind-testkit/src/simulation_checks.rs
@@ -1,5 +1,5 @@
 //! Invariants of the simulation. Those in this module are checked after each step, 7 on
-//! delivery in `lab_net`, and 6 by tests with [`LabRouter::ran`](crate::LabRouter::ran).
+//! delivery in `simulated_network`, and 6 by tests with [`SimulatedRouter::ran`](crate::LabRouter::ran).
 //!
 //! 1. at most one leader per term;
 //! 2. at most one replica may answer at a time;
@@ -12,14 +12,14 @@
 //!    check fences;
 //! 8. the retries of all routers in a window stay within the retry budget.
 
-use crate::lab::Lab;
-use crate::lab_routers::RETRY_LIMITS;
+use crate::control_simulation::ControlSimulation;
+use crate::simulated_routers::RETRY_LIMITS;
 use deckwind_core::state::Revision;
 
 /// Part of the retry budget that routers may use.
 const USABLE_SHARE: f64 = 0.8;
 
-impl Lab {
+impl ControlSimulation {
     /// Checks that all routers that may serve have applied a revision that was reported
     /// as in force.
     pub(super) fn check_in_force(&self, revision: Revision) {
--- a/crates/deckwind-testkit/src/soak/calls.rs
+++ b/crates/deckwind-testkit/src/soak/calls.rs
@@ -1,7 +1,7 @@
 //! Requests of callers and operators, and checks of their answers.
 
 use super::environment::Target;
-use super::notices::{Spans, id_at};
+use super::notices::{FaultSpans, id_for_router};
 use bytes::Bytes;
 use deckwind_fakes::{ENDS_ITS_TARGET, EVENTS, FakeCall, release_document};
 use http::{Request, StatusCode};
@@ -57,7 +57,7 @@
     pub not_run: Mutex<BTreeSet<String>>,
     pub violations: Mutex<Vec<String>>,
     /// Times at which each router was killed, stopped or suspended.
-    pub router_faults: Vec<Spans>,
+    pub router_faults: Vec<FaultSpans>,
     pub stop: AtomicBool,
 }
 
@@ -133,7 +133,7 @@
     pub async fn request(&self, kind: &str, id: &str, router: usize) -> Outcome {
         let router = router % self.routers.len();
         let address = self.routers[router];
-        let id = &id_at(id, router);
+        let id = &id_for_router(id, router);
         let (path, pause) = match kind {
             FLOOD => (
                 format!("/stream/flood-{}-{}", FLOOD_SIZE.0, FLOOD_SIZE.1),
--- a/crates/deckwind-testkit/src/soak/environment.rs
+++ b/crates/deckwind-testkit/src/soak/environment.rs
@@ -3,11 +3,11 @@
 
 use super::calls::{FLOOD, ONCE, Outcome, POISON, Shared};
 use super::limits::{LIMITS, check_limits};
-use super::notices::{self, REST_PERIOD, Spans};
+use super::notices::{self, FaultSpans, REST_PERIOD};
 use super::{Proxy, ProxyFault, Seen};
 use crate::layout::Layout;
 use anyhow::{Context, Result, bail, ensure};
-use deckwind_fakes::{FakeRunner, RunnerFault, request_id};
+use deckwind_fakes::{FakeTargetFault, FakeTargetServer, request_id};
 use hyper_util::client::legacy::Client;
 use hyper_util::rt::TokioExecutor;
 use rand::RngExt;
@@ -45,13 +45,13 @@
     id: String,
     pool: &'static str,
     data_centre: &'static str,
-    runner: FakeRunner,
+    server: FakeTargetServer,
     proxy: Proxy,
     is_leaving: AtomicBool,
     /// Number of announcements of the current incarnation.
     announced: AtomicU64,
     /// Times at which its connections were disturbed.
-    connection_faults: Spans,
+    connection_faults: FaultSpans,
 }
 
 /// Everything around the processes under test.
@@ -88,7 +88,11 @@
             refused: AtomicU64::new(0),
             not_run: Mutex::default(),
             violations: Mutex::default(),
-            router_faults: layout.routers.iter().map(|_| Spans::default()).collect(),
+            router_faults: layout
+                .routers
+                .iter()
+                .map(|_| FaultSpans::default())
+                .collect(),
             stop: AtomicBool::new(false),
         });
         let announcer = tokio::spawn(announce_all(shared.clone()));
@@ -113,17 +117,17 @@
     async fn add_target(&mut self, pool: &'static str, data_centre: &'static str) -> Result<()> {
         self.next_target += 1;
         let id = format!("{pool}-{}", self.next_target);
-        let runner = FakeRunner::start(&id).await?;
-        let proxy = Proxy::start(runner.address).await?;
+        let server = FakeTargetServer::start(&id).await?;
+        let proxy = Proxy::start(server.address).await?;
         let target = Target {
             id,
             pool,
             data_centre,
-            runner,
+            server,
             proxy,
             is_leaving: AtomicBool::new(false),
             announced: AtomicU64::new(0),
-            connection_faults: Spans::default(),
+            connection_faults: FaultSpans::default(),
         };
         let mut all = self.shared.targets.lock().expect("no holder panics");
         all.push(Arc::new(target));
@@ -202,7 +206,7 @@
         let live: Vec<&Arc<Target>> = live.collect();
         let old = live[rng.random_range(0..live.len())];
         self.add_target(old.pool, old.data_centre).await?;
-        old.runner.say_it_leaves(true);
+        old.server.set_leaving(true);
         old.is_leaving.store(true, Ordering::Relaxed);
         Ok(())
     }
@@ -213,12 +217,12 @@
         let targets = self.shared.targets.lock().expect("no holder panics");
         let target = targets[rng.random_range(0..targets.len())].clone();
         let rest = REST_PERIOD.as_secs_f64().to_string();
-        target.runner.ask_rest(Some(&rest));
-        let refuses = RunnerFault::Refuses { at_fault: None };
-        target.runner.set_fault(refuses);
+        target.server.set_retry_after(Some(&rest));
+        let refuses = FakeTargetFault::Refuses { at_fault: None };
+        target.server.set_fault(refuses);
         tokio::spawn(async move {
             tokio::time::sleep(length).await;
-            target.runner.set_fault(RunnerFault::None);
+            target.server.set_fault(FakeTargetFault::None);
         });
     }
 
@@ -230,11 +234,11 @@
         let mut limit = || LIMITS[rng.random_range(0..LIMITS.len())];
         let (first, then) = (limit(), limit());
         tokio::spawn(async move {
-            target.runner.name_limit(Some(first));
+            target.server.set_server_limit(Some(first));
             tokio::time::sleep(length / 2).await;
-            target.runner.name_limit(Some(then));
+            target.server.set_server_limit(Some(then));
             tokio::time::sleep(length / 2).await;
-            target.runner.name_limit(None);
+            target.server.set_server_limit(None);
         });
     }
 
@@ -249,7 +253,7 @@
     pub fn restart_target(&self, rng: &mut ChaCha8Rng) {
         let targets = self.shared.targets.lock().expect("no holder panics");
         let target = &targets[rng.random_range(0..targets.len())];
-        target.runner.start_again();
+        target.server.restart();
         target.announced.store(0, Ordering::Relaxed);
     }
 
@@ -262,7 +266,7 @@
 
     fn crashed_targets(&self) -> u32 {
         let targets = self.shared.targets.lock().expect("no holder panics");
-        targets.iter().map(|t| t.runner.ended_by_requests()).sum()
+        targets.iter().map(|t| t.server.crashes_by_request()).sum()
     }
 
     /// Checks that poison requests crash few targets and are refused from then on.
@@ -325,7 +329,7 @@
     /// limits.
     fn check_notices(&self) -> Result<()> {
         for target in self.shared.targets.lock().expect("no holder panics").iter() {
-            let arrivals = target.runner.arrivals();
+            let arrivals = target.server.arrivals();
             let checked = notices::check(
                 &arrivals,
                 &self.shared.router_faults,
@@ -349,7 +353,7 @@
         let not_run = self.shared.not_run.lock().expect("no holder panics");
         for target in self.shared.targets.lock().expect("no holder panics").iter() {
             // Requests that a target refused aren't in its list.
-            for id in target.runner.ran() {
+            for id in target.server.ran() {
                 ensure!(
                     !not_run.contains(&id),
                     "{id} ran, but its answer said that it did not run"
@@ -357,7 +361,7 @@
                 let again = !ran.insert(id.clone());
                 ensure!(!(again && id.starts_with(ONCE)), "{id} ran twice");
             }
-            for seen in target.runner.seen() {
+            for seen in target.server.seen() {
                 let id = request_id(&seen);
                 let key = seen.headers.contains_key("authorization");
                 ensure!(!key, "{id} was forwarded with the caller's key");
@@ -406,11 +410,11 @@
     loop {
         let targets = shared.targets.lock().expect("no holder panics").clone();
         // A target that crashed on a request doesn't listen.
-        for t in targets.iter().filter(|t| t.runner.listens()) {
+        for t in targets.iter().filter(|t| t.server.listens()) {
             let is_leaving = t.is_leaving.load(Ordering::Relaxed);
             let state = if is_leaving { "draining" } else { "ready" };
             let number = t.announced.fetch_add(1, Ordering::Relaxed) + 1;
-            let mut body = t.runner.announcement(t.pool, t.data_centre, state, number);
+            let mut body = t.server.announcement(t.pool, t.data_centre, state, number);
             body["address"] = json!(t.proxy.address);
             let path = format!("/v1/instances/{}/heartbeat", t.id);
             if shared.call_control("POST", &path, &body).await.is_none() {
--- a/crates/deckwind-testkit/src/soak/limits.rs
+++ b/crates/deckwind-testkit/src/soak/limits.rs
@@ -1,6 +1,6 @@
 //! Checks that all routers together keep to the rate limits that targets announce.
 
-use super::notices::{Spans, router_of};
+use super::notices::{FaultSpans, router_of};
 use anyhow::{Result, ensure};
 use deckwind_fakes::Arrival;
 use std::time::Duration;
@@ -25,8 +25,8 @@
 /// announced then.
 pub fn check_limits(
     arrivals: &[Arrival],
-    router_faults: &[Spans],
-    connection_faults: &Spans,
+    router_faults: &[FaultSpans],
+    connection_faults: &FaultSpans,
 ) -> Result<()> {
     let is_counted = |a: &&Arrival| {
         a.limit.is_some() && knew_limit(a, arrivals, router_faults, connection_faults)
@@ -55,8 +55,8 @@
 fn knew_limit(
     request: &Arrival,
     arrivals: &[Arrival],
-    router_faults: &[Spans],
-    connection_faults: &Spans,
+    router_faults: &[FaultSpans],
+    connection_faults: &FaultSpans,
 ) -> bool {
     let Some(router) = router_of(&request.request) else {
         return false;
--- a/crates/deckwind-testkit/src/soak/mod.rs
+++ b/crates/deckwind-testkit/src/soak/mod.rs
@@ -12,7 +12,7 @@
 mod proxy;
 
 pub use limits::check_limits;
-pub use notices::{Spans, id_at};
+pub use notices::{FaultSpans, id_for_router};
 pub use proxy::{Proxy, ProxyFault};
 
 use crate::processes::{Process, Processes};
--- a/crates/deckwind-testkit/src/soak/notices.rs
+++ b/crates/deckwind-testkit/src/soak/notices.rs
@@ -23,9 +23,9 @@
 
 /// Spans of time in which a fault was active.
 #[derive(Default)]
-pub struct Spans(Mutex<Vec<(Instant, Instant)>>);
+pub struct FaultSpans(Mutex<Vec<(Instant, Instant)>>);
 
-impl Spans {
+impl FaultSpans {
     /// Adds a span that begins now, lasts for `length`, and ends later by the time for
     /// which requests may be delayed.
     pub fn add(&self, length: Duration) {
@@ -47,7 +47,7 @@
 }
 
 /// Returns the id of a request sent to this router, which ends with the router's number.
-pub fn id_at(id: &str, router: usize) -> String {
+pub fn id_for_router(id: &str, router: usize) -> String {
     format!("{id}@{router}")
 }
 
@@ -62,8 +62,8 @@
 /// announced then.
 pub fn check(
     arrivals: &[Arrival],
-    router_faults: &[Spans],
-    connection_faults: &Spans,
+    router_faults: &[FaultSpans],
+    connection_faults: &FaultSpans,
 ) -> Result<()> {
     for notice in arrivals {
         let Some(router) = router_of(&notice.request) else {
--- a/crates/deckwind-testkit/src/synthetic_fleet.rs
+++ b/crates/deckwind-testkit/src/synthetic_fleet.rs
@@ -1,6 +1,6 @@
 //! Releases and engines of synthetic fleets, for runs in virtual time.
 
-use crate::placing::model_over;
+use crate::placement_simulation::model_over;
 use deckwind_core::state::{
     Instance, InstanceState, LayerRange, Pool, Release, Route, RouteKind, Split,
 };
--- a/crates/deckwind-testkit/tests/testsuite/at_size.rs
+++ b/crates/deckwind-testkit/tests/testsuite/at_size.rs
@@ -1,9 +1,9 @@
 //! Many real router and control processes at once, with engines that form chains of
 //! stages.
 
-use crate::processes::processes_of;
+use crate::processes::processes_with_layout;
 use crate::run;
-use deckwind_testkit::at_size::{self, Kind, Report, Size, Trouble, Troubles};
+use deckwind_testkit::at_size::{self, FaultEvent, FaultKind, FaultPlan, Report, Size};
 use std::time::Duration;
 
 /// Guards against counting a paused engine as crashed once for each check of it: requests
@@ -11,16 +11,16 @@
 #[test]
 fn engines_that_stand_still_give_requests_no_further_tries() {
     run(async {
-        let pauses = trouble(Kind::EnginesPause, 34);
-        let cuts = trouble(Kind::EnginesCut, 50);
+        let pauses = fault(FaultKind::EnginesPause, 34);
+        let cuts = fault(FaultKind::EnginesCut, 50);
         let report = run_processes(1, vec![pauses, cuts]).await;
         assert_eq!(report.beyond_attempts, 0, "{report:?}");
-        assert_eq!(report.unpaid, 0, "{report:?}");
+        assert_eq!(report.uncharged_retries, 0, "{report:?}");
     });
 }
 
-fn trouble(kind: Kind, percent: usize) -> Trouble {
-    Trouble {
+fn fault(kind: FaultKind, percent: usize) -> FaultEvent {
+    FaultEvent {
         kind,
         percent,
         length: Duration::from_millis(900),
@@ -28,10 +28,10 @@
     }
 }
 
-async fn run_processes(seed: u64, troubles: Vec<Trouble>) -> Report {
-    let size = Size::of_tens();
+async fn run_processes(seed: u64, faults: Vec<FaultEvent>) -> Report {
+    let size = Size::small();
     let layout = at_size::layout(&size).expect("a layout");
-    let (length, troubles) = (Duration::from_secs(15), Troubles::Given(troubles));
-    let ran = at_size::run(processes_of(layout), size, seed, length, &troubles);
+    let (length, faults) = (Duration::from_secs(15), FaultPlan::Given(faults));
+    let ran = at_size::run(processes_with_layout(layout), size, seed, length, &faults);
     ran.await.expect("a run")
 }
--- a/crates/deckwind-testkit/tests/testsuite/promises.rs
+++ b/crates/deckwind-testkit/tests/testsuite/attempt_results.rs
@@ -5,7 +5,7 @@
 use crate::{any, run};
 use deckwind_core::routes::{AttemptOutcome, AttemptResult, attempt_result};
 use deckwind_core::state::{Change, LayerRange, RouteKind};
-use deckwind_fakes::{EngineFault, FakeEngine, FakeEngineConfig, RunnerFault, serve};
+use deckwind_fakes::{EngineFault, FakeEngine, FakeEngineConfig, FakeTargetFault, serve};
 use deckwind_testkit::{Caller, Cluster, account, chat_template, engine_target, eventually_async};
 use std::sync::Arc;
 use yare::parameterized;
@@ -53,7 +53,7 @@
     run(async move {
         let rig = Rig::start(1, 1).await;
         rig.until_served("/once/x", false).await;
-        rig.plain[0].set_fault(RunnerFault::Answers(status));
+        rig.plain[0].set_fault(FakeTargetFault::Answers(status));
         let once = rig.ask("r1", "/once/x", KEY, false).await;
         assert_eq!(once.status.as_u16(), 502, "it may have run");
         assert!(!once.headers.contains_key("x-deckwind-response-seal"));
@@ -69,16 +69,16 @@
 
 /// `/tell/` is a route of streams that cannot be resumed.
 #[parameterized(
-    busy = { RunnerFault::Answers(503), 502 },
-    too_many = { RunnerFault::Answers(429), 502 },
-    own_failure = { RunnerFault::Answers(500), 500 },
-    refuses = { RunnerFault::Refuses { at_fault: None }, 503 },
-    cuts = { RunnerFault::Cuts, 502 },
+    busy = { FakeTargetFault::Answers(503), 502 },
+    too_many = { FakeTargetFault::Answers(429), 502 },
+    own_failure = { FakeTargetFault::Answers(500), 500 },
+    refuses = { FakeTargetFault::Refuses { at_fault: None }, 503 },
+    cuts = { FakeTargetFault::Cuts, 502 },
 )]
-fn a_stream_that_is_not_resumable_is_sent_once(fault: RunnerFault, status: u16) {
+fn a_stream_that_is_not_resumable_is_sent_once(fault: FakeTargetFault, status: u16) {
     run(async move {
         let mut rig = Rig::start(2, 0).await;
-        rig.until_in_force().await;
+        rig.wait_until_in_force().await;
         rig.until_served("/tell/x", true).await;
         rig.plain.iter().for_each(|p| p.set_fault(fault.clone()));
         let response = rig.ask("r1", "/tell/x", KEY, true).await;
@@ -96,9 +96,9 @@
 fn a_stream_that_is_not_resumable_and_breaks_off_is_not_taken_up() {
     run(async {
         let mut rig = Rig::start(2, 0).await;
-        rig.until_in_force().await;
+        rig.wait_until_in_force().await;
         rig.until_served("/tell/x", true).await;
-        let cuts = RunnerFault::CutsAfter(5);
+        let cuts = FakeTargetFault::BreaksStreamAfter(5);
         rig.plain.iter().for_each(|p| p.set_fault(cuts.clone()));
         let response = rig.ask("r1", "/tell/x", KEY, true).await;
         assert!(response.body.is_err(), "the body must not look complete");
--- a/crates/deckwind-testkit/tests/testsuite/connections.rs
+++ b/crates/deckwind-testkit/tests/testsuite/connections.rs
@@ -2,7 +2,7 @@
 //! so each router keeps a share of it.
 
 use deckwind_core::state::Pool;
-use deckwind_fakes::FakeRunner;
+use deckwind_fakes::FakeTargetServer;
 use deckwind_net::clock::Clock;
 use deckwind_net::targets::ConnectionPool;
 use http::HeaderMap;
@@ -35,7 +35,7 @@
 #[tokio::test]
 async fn idle_connections_above_the_limit_are_closed() {
     let idle_timeout = Duration::from_secs(60);
-    let target = FakeRunner::start("t").await.expect("a target");
+    let target = FakeTargetServer::start("t").await.expect("a target");
     let connections = ConnectionPool::new(Clock::start());
     let mut in_use = Vec::new();
     for _ in 0..5 {
--- a/crates/deckwind-testkit/tests/testsuite/contracts.rs
+++ b/crates/deckwind-testkit/tests/testsuite/contracts.rs
@@ -195,7 +195,7 @@
     run(async {
         let mut cfg = config();
         cfg.cache_prefixes = 1;
-        cfg.lose_event_every = 2;
+        cfg.lost_event_interval = 2;
         let (engine, _) = engine_for(transport, cfg).await;
         let _stage = open_stream(engine.as_ref(), "s").await;
         let seen = engine.cache_events(1).await.unwrap();
--- a/crates/deckwind-testkit/tests/testsuite/engine_use.rs
+++ b/crates/deckwind-testkit/tests/testsuite/engine_load.rs
@@ -20,11 +20,11 @@
         .into_iter()
         .for_each(|e| fan_out.announce(e));
     fan_out.run_for(Duration::from_secs(3)).unwrap();
-    fan_out.hold_at(engines);
+    fan_out.set_engines_in_use(engines);
     fan_out.run_for(Duration::from_secs(2)).unwrap();
-    fan_out.take_carried();
+    fan_out.take_traffic();
     fan_out.run_for(Duration::from_secs(4)).unwrap();
-    fan_out.take_carried().bytes / 4 / routers as u64
+    fan_out.take_traffic().bytes / 4 / routers as u64
 }
 
 #[parameterized(
--- a/crates/deckwind-testkit/tests/testsuite/fan_out.rs
+++ b/crates/deckwind-testkit/tests/testsuite/fan_out.rs
@@ -21,10 +21,10 @@
     let mut fan_out = FanOut::new(routers, 0, LINK_MBPS).unwrap();
     fan_out.publish(release(1, 240));
     fan_out.run_until_applied(Duration::from_secs(1)).unwrap();
-    fan_out.take_carried();
+    fan_out.take_traffic();
     fan_out.publish(release(2, 1_640));
     fan_out.run_until_applied(Duration::from_secs(1)).unwrap();
-    let carried = fan_out.take_carried();
+    let carried = fan_out.take_traffic();
     assert!(carried.longest_queue < MAX_QUEUE_DELAY, "{carried:?}");
     for held in fan_out.releases() {
         assert_eq!(held.routes.len(), 1_640);
@@ -38,7 +38,7 @@
     let mut fan_out = FanOut::new(195, 218, LINK_MBPS).unwrap();
     fan_out.publish(release(1, 1_640));
     fan_out.run_until_applied(Duration::from_secs(1)).unwrap();
-    fan_out.take_carried();
+    fan_out.take_traffic();
     let mut version = 1;
     for tick in 0..100u64 {
         fan_out.announce(engine((tick % 218) as u16, 1 + tick as u32, tick + 1));
@@ -48,7 +48,7 @@
         }
         fan_out.run_for(Duration::from_millis(50)).unwrap();
     }
-    let carried = fan_out.take_carried();
+    let carried = fan_out.take_traffic();
     fan_out
         .run_until_applied(Duration::from_millis(500))
         .unwrap();
@@ -65,14 +65,14 @@
     let mut fan_out = FanOut::new(195, 0, 10.0).unwrap();
     fan_out.publish(release(1, 240));
     fan_out.run_until_applied(Duration::from_secs(5)).unwrap();
-    fan_out.take_carried();
+    fan_out.take_traffic();
     fan_out.publish(release(2, 3_000));
     fan_out.run_for(Duration::from_millis(1_900)).unwrap();
     assert!(fan_out.lagging() > 0, "the state takes longer than this");
-    assert_eq!(fan_out.take_carried().leases_lost, 0);
+    assert_eq!(fan_out.take_traffic().leases_lost, 0);
     fan_out.run_for(Duration::from_millis(1_000)).unwrap();
     while fan_out.lagging() > 0 {
-        assert_eq!(fan_out.serving_behind(), 0);
+        assert_eq!(fan_out.serving_stale(), 0);
         fan_out.run_for(Duration::from_millis(10)).unwrap();
     }
 }
@@ -84,11 +84,11 @@
     let mut fan_out = FanOut::new(195, 0, 10.0).unwrap();
     fan_out.publish(release(1, 240));
     fan_out.run_until_applied(Duration::from_secs(5)).unwrap();
-    fan_out.take_carried();
+    fan_out.take_traffic();
     (0..2_000).for_each(|i| fan_out.announce(engine(i, 4, 1)));
     fan_out.run_for(Duration::from_secs(4)).unwrap();
     assert!(fan_out.lagging() > 0, "the state takes longer than this");
-    assert_eq!(fan_out.take_carried().leases_lost, 0);
+    assert_eq!(fan_out.take_traffic().leases_lost, 0);
 }
 
 /// All routers restart at once while the leader has a large release and hundreds of targets,
@@ -121,8 +121,8 @@
     let mut fan_out = FanOut::new(350, 0, LINK_MBPS).unwrap();
     fan_out.publish(release(1, 240));
     fan_out.run_until_applied(Duration::from_secs(1)).unwrap();
-    fan_out.take_carried();
+    fan_out.take_traffic();
     fan_out.run_for(Duration::from_secs(4)).unwrap();
-    let each = fan_out.take_carried().bytes / 4 / 350;
+    let each = fan_out.take_traffic().bytes / 4 / 350;
     assert!(each < 2_000, "{each} bytes per router and second");
 }
--- a/crates/deckwind-testkit/tests/testsuite/growth.rs
+++ b/crates/deckwind-testkit/tests/testsuite/growth.rs
@@ -2,7 +2,7 @@
 //! messages and bytes at one fleet size and at multiples of it. Runs in virtual time.
 
 use deckwind_core::control::ScanCounts;
-use deckwind_testkit::fan_out::{Carried, FanOut, engine_fleet, engine_release};
+use deckwind_testkit::fan_out::{FanOut, LinkTraffic, engine_fleet, engine_release};
 use std::time::Duration;
 use yare::parameterized;
 
@@ -23,7 +23,7 @@
 /// Announces all engines once, with the layers that they hold, and runs one interval.
 fn announce_all(fan_out: &mut FanOut, engines: usize, number: u64) {
     for mut engine in engine_fleet(engines) {
-        engine.layers = fan_out.held_by(&engine.id);
+        engine.layers = fan_out.layers_of(&engine.id);
         engine.in_memory = engine.layers.len();
         engine.announced = number;
         fan_out.announce(engine);
@@ -33,14 +33,14 @@
 
 /// Returns the rows that the leader of a settled system scanned, and the traffic that it
 /// sent, within [`MEASURED_INTERVALS`].
-fn settled_cost(routers: usize, engines: usize, relays: u32) -> (ScanCounts, Carried) {
+fn settled_cost(routers: usize, engines: usize, relays: u32) -> (ScanCounts, LinkTraffic) {
     let mut fan_out = FanOut::new(routers, 0, LINK_MBPS).unwrap();
     fan_out.publish(engine_release(1, 10));
     fan_out.pass_on(relays);
     fan_out.serve(MAX_RETRIES);
     (1..=SETTLING_INTERVALS).for_each(|number| announce_all(&mut fan_out, engines, number));
     assert!(fan_out.holding() > 0, "layers are placed");
-    fan_out.take_carried();
+    fan_out.take_traffic();
     let before = fan_out.scan_counts();
     let measured = SETTLING_INTERVALS + 1..=SETTLING_INTERVALS + MEASURED_INTERVALS;
     measured.for_each(|number| announce_all(&mut fan_out, engines, number));
@@ -52,7 +52,7 @@
         retries: after.retries - before.retries,
         cards: after.cards - before.cards,
     };
-    (rows_scanned, fan_out.take_carried())
+    (rows_scanned, fan_out.take_traffic())
 }
 
 /// The leader scans each pending renewal a few times, however many others are pending.
@@ -134,10 +134,10 @@
         fan_out.publish(engine_release(1, 10));
         fan_out.pass_on(4);
         fan_out.run_for(Duration::from_secs(2)).unwrap();
-        fan_out.take_carried();
+        fan_out.take_traffic();
         fan_out.publish(engine_release(2, 1_000));
         fan_out.run_until_applied(Duration::from_secs(2)).unwrap();
-        fan_out.take_carried().bytes
+        fan_out.take_traffic().bytes
     };
     let (few, many) = (bytes_of_release(100), bytes_of_release(200));
     let each = (many - few) / 100;
--- a/crates/deckwind-testkit/tests/testsuite/lives.rs
+++ b/crates/deckwind-testkit/tests/testsuite/incarnations.rs
@@ -9,7 +9,7 @@
 };
 use deckwind_core::time::Instant;
 use deckwind_testkit::fan_out::engine;
-use deckwind_testkit::{Lab, NetFaults};
+use deckwind_testkit::{ControlSimulation, NetFaults};
 use std::time::Duration;
 use yare::parameterized;
 
@@ -35,7 +35,7 @@
 }
 
 struct RestartRig {
-    lab: Lab,
+    sim: ControlSimulation,
     leader: usize,
     follower: usize,
 }
@@ -44,12 +44,12 @@
     /// Creates a cluster in which the engine's incarnation that started at
     /// [`FIRST_BORN_MS`] is registered, with four layers.
     fn new() -> Self {
-        let mut lab = Lab::new(3, 1, 11, NetFaults::NONE);
-        let leader = lab.run_until_led();
-        lab.run_for(Duration::from_secs(1));
+        let mut sim = ControlSimulation::new(3, 1, 11, NetFaults::NONE);
+        let leader = sim.run_until_leader();
+        sim.run_for(Duration::from_secs(1));
         let follower = usize::from(leader == 0);
         let mut rig = Self {
-            lab,
+            sim,
             leader,
             follower,
         };
@@ -59,12 +59,12 @@
     }
 
     fn announce(&mut self, instance: Instance) {
-        self.lab.announce(self.follower, instance);
-        self.lab.run_for(COMMIT_TIME);
+        self.sim.announce(self.follower, instance);
+        self.sim.run_for(COMMIT_TIME);
     }
 
     fn committed(&self, id: &str) -> Option<Instance> {
-        let node = self.lab.node(self.leader).expect("it is up");
+        let node = self.sim.node(self.leader).expect("it is up");
         let cfg = node.core().state_machine().configuration();
         cfg.instances().get(id).cloned()
     }
@@ -74,9 +74,9 @@
     }
 
     fn leave(&mut self, born: Option<u64>) -> OperatorReply {
-        self.lab.leave(self.leader, life_id(born));
-        self.lab.run_for(Duration::from_millis(600));
-        let reply = self.lab.last_reply("engine-1");
+        self.sim.leave(self.leader, life_id(born));
+        self.sim.run_for(Duration::from_millis(600));
+        let reply = self.sim.last_reply("engine-1");
         reply.expect("the leave is answered").clone()
     }
 }
@@ -102,7 +102,7 @@
     let want = if at_once { second } else { first };
     assert_eq!(rig.registered().map(|i| i.born), want, "at once");
     let mut rig = RestartRig::new();
-    rig.lab.run_for(Duration::from_secs(5));
+    rig.sim.run_for(Duration::from_secs(5));
     let silent = rig.registered().map(|i| i.state);
     assert_eq!(silent, Some(InstanceState::Silent));
     rig.announce(announcement(born, 0, 1));
@@ -169,7 +169,7 @@
     rig.announce(announcement(Some(FIRST_BORN_MS + 1), 0, 1));
     for number in 51..56 {
         rig.announce(announcement(Some(FIRST_BORN_MS), 4, number));
-        rig.lab.run_for(ANNOUNCE_INTERVAL);
+        rig.sim.run_for(ANNOUNCE_INTERVAL);
         assert_eq!(
             rig.registered().map(|i| i.born),
             Some(Some(FIRST_BORN_MS + 1))
@@ -184,7 +184,7 @@
 #[test]
 fn a_silent_incarnation_that_an_older_one_replaced_comes_back() {
     let mut rig = RestartRig::new();
-    rig.lab.run_for(Duration::from_secs(5));
+    rig.sim.run_for(Duration::from_secs(5));
     rig.announce(announcement(Some(FIRST_BORN_MS - 9), 6, 7));
     assert_eq!(
         rig.registered().map(|i| i.born),
@@ -195,7 +195,7 @@
         rig.registered().map(|i| i.born),
         Some(Some(FIRST_BORN_MS - 9))
     );
-    rig.lab.run_for(Duration::from_secs(5));
+    rig.sim.run_for(Duration::from_secs(5));
     rig.announce(announcement(Some(FIRST_BORN_MS), 4, 52));
     let now = rig.registered().expect("the engine is registered");
     assert_eq!((now.born, now.layers.len()), (Some(FIRST_BORN_MS), 4));
@@ -211,14 +211,14 @@
         ..announcement(Some(FIRST_BORN_MS - 9), 0, 3)
     };
     let leader = rig.leader;
-    rig.lab.announce(leader, draining.clone());
-    rig.lab.run_for(COMMIT_TIME);
-    let reply = rig.lab.last_reply("engine-1");
+    rig.sim.announce(leader, draining.clone());
+    rig.sim.run_for(COMMIT_TIME);
+    let reply = rig.sim.last_reply("engine-1");
     assert_eq!(reply, Some(&OperatorReply::Unconfirmed));
-    rig.lab.run_for(Duration::from_secs(5));
-    rig.lab.announce(leader, draining);
-    rig.lab.run_for(Duration::from_millis(600));
-    let reply = rig.lab.last_reply("engine-1");
+    rig.sim.run_for(Duration::from_secs(5));
+    rig.sim.announce(leader, draining);
+    rig.sim.run_for(Duration::from_millis(600));
+    let reply = rig.sim.last_reply("engine-1");
     assert!(
         matches!(reply, Some(OperatorReply::Accepted { .. })),
         "{reply:?}"
@@ -261,7 +261,7 @@
         OperatorReply::Unconfirmed
     );
     assert!(rig.registered().is_some());
-    rig.lab.run_for(Duration::from_secs(5));
+    rig.sim.run_for(Duration::from_secs(5));
     let reply = rig.leave(Some(FIRST_BORN_MS - 1));
     assert!(matches!(reply, OperatorReply::Accepted { .. }), "{reply:?}");
     assert_eq!(rig.registered(), None);
@@ -290,8 +290,8 @@
     let new = announcement(Some(FIRST_BORN_MS + 1), 2, 1);
     rig.announce(new.clone());
     let leader = rig.leader;
-    rig.lab.happens(leader, late);
-    rig.lab.run_for(COMMIT_TIME);
+    rig.sim.happens(leader, late);
+    rig.sim.run_for(COMMIT_TIME);
     assert_eq!(rig.registered(), Some(new));
 }
 
--- a/crates/deckwind-testkit/tests/testsuite/lives_at_routers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/incarnations_at_routers.rs
@@ -9,7 +9,7 @@
     Command, CommandBody, Instance, InstanceChange, InstanceState, StateMachine,
 };
 use deckwind_core::time::Instant;
-use deckwind_fakes::{FakeRunner, RunnerFault, SeenRequest, request_id};
+use deckwind_fakes::{FakeTargetFault, FakeTargetServer, SeenRequest, request_id};
 use deckwind_testkit::eventually_async;
 use http::StatusCode;
 use std::time::Duration;
@@ -25,10 +25,10 @@
     let path = path.to_string();
     run(async move {
         let mut rig = Rig::start(2, 0).await;
-        rig.until_in_force().await;
+        rig.wait_until_in_force().await;
         rig.until_served(&path, false).await;
         for target in &rig.plain {
-            target.set_fault(RunnerFault::Mute);
+            target.set_fault(FakeTargetFault::Mute);
         }
         let restart = async {
             let first = eventually_async("the request has reached a target", || async {
@@ -36,9 +36,9 @@
             })
             .await;
             for target in &rig.plain {
-                target.set_fault(RunnerFault::None);
+                target.set_fault(FakeTargetFault::None);
             }
-            first.start_again();
+            first.restart();
         };
         let (answer, ()) = tokio::join!(rig.ask("r1", &path, KEY, false), restart);
         assert_eq!(answer.status.as_u16(), status);
@@ -46,7 +46,7 @@
         for i in 0..2 {
             rig.announce("plain", "p", i, "ready").await;
         }
-        rig.until_in_force().await;
+        rig.wait_until_in_force().await;
         let next = rig.ask("r2", &path, KEY, false).await;
         assert_eq!(
             next.status,
@@ -67,7 +67,7 @@
 fn an_engine_that_starts_again_is_given_its_layers_again() {
     run(async {
         let mut rig = Rig::start(0, 4).await;
-        let held = |e: &FakeRunner| e.layers().1 - e.layers().0;
+        let held = |e: &FakeTargetServer| e.layers().1 - e.layers().0;
         eventually_async("the layers are placed", || async {
             rig.engines.iter().all(|e| held(e) > 0).then_some(())
         })
@@ -76,7 +76,7 @@
             rig.announce("engines", "e", i, "ready").await;
         }
         rig.until_served("/stream/x", true).await;
-        rig.engines[0].start_again();
+        rig.engines[0].restart();
         assert_eq!(held(&rig.engines[0]), 0);
         rig.announce("engines", "e", 0, "ready").await;
         eventually_async("the layers are placed on the engine again", || async {
--- a/crates/deckwind-testkit/tests/testsuite/other_writers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/invalid_announcements.rs
@@ -11,7 +11,7 @@
 use deckwind_core::state::{
     Command, CommandBody, Instance, Pool, PublishedRelease, Release, StateMachine,
 };
-use deckwind_fakes::{FakeRunner, RunnerFault};
+use deckwind_fakes::{FakeTargetFault, FakeTargetServer};
 use deckwind_testkit::eventually_async;
 use deckwindd::control::{REFUSAL_LOG_INTERVAL, RefusalLog};
 use http::StatusCode;
@@ -57,7 +57,7 @@
         let path = format!("/v1/instances/{id}/heartbeat");
         let status = post(rig.control(), &path, &body).await;
         assert_eq!(status, StatusCode::BAD_REQUEST);
-        rig.until_in_force().await;
+        rig.wait_until_in_force().await;
         let answer = rig.ask("r1", "/safe/x", KEY, false).await;
         assert_eq!(answer.status, StatusCode::OK);
         rig.cluster.close().await.expect("closed");
@@ -74,7 +74,7 @@
         rig.until_served("/safe/x", false).await;
         let status = post(rig.control(), "/v1/instances/p-0/leave", &body).await;
         assert_eq!(status, StatusCode::BAD_REQUEST);
-        rig.until_in_force().await;
+        rig.wait_until_in_force().await;
         let answer = rig.ask("r1", "/safe/x", KEY, false).await;
         assert_eq!(answer.status, StatusCode::OK);
         rig.cluster.close().await.expect("closed");
@@ -130,11 +130,16 @@
     run(async move {
         let rig = placed().await;
         for engine in &rig.engines {
-            engine.report_instead(&report);
+            engine.override_report(&report);
             let stage = engine.address;
-            engine.set_fault(RunnerFault::StallsAfter { event: 4, stage });
+            engine.set_fault(FakeTargetFault::StallsAfter { event: 4, stage });
         }
-        let reports = || rig.engines.iter().map(FakeRunner::reports).sum::<u32>();
+        let reports = || {
+            rig.engines
+                .iter()
+                .map(FakeTargetServer::reports)
+                .sum::<u32>()
+        };
         let before = reports();
         let recover = async {
             eventually_async("the engines have been probed several times", || async {
@@ -142,7 +147,7 @@
             })
             .await;
             for engine in &rig.engines {
-                engine.set_fault(RunnerFault::None);
+                engine.set_fault(FakeTargetFault::None);
             }
         };
         let (answer, ()) = tokio::join!(rig.ask("r1", "/stream/x", KEY, true), recover);
--- a/crates/deckwind-testkit/tests/testsuite/leader_changes.rs
+++ b/crates/deckwind-testkit/tests/testsuite/leader_changes.rs
@@ -3,12 +3,12 @@
 
 use deckwind_core::replication::Term;
 use deckwind_testkit::fan_out::{FanOut, engine_fleet, engine_release};
-use deckwind_testkit::{Lab, NetFaults};
+use deckwind_testkit::{ControlSimulation, NetFaults};
 use std::time::Duration;
 use yare::parameterized;
 
-fn term(lab: &Lab, slot: usize) -> Term {
-    let node = lab.node(slot).expect("it is up");
+fn term(sim: &ControlSimulation, slot: usize) -> Term {
+    let node = sim.node(slot).expect("it is up");
     node.core().replica().term()
 }
 
@@ -21,26 +21,26 @@
     partitioned_again = { 34, true },
 )]
 fn forced_leader_changes_cause_no_further_election(seed: u64, is_partition: bool) {
-    let mut lab = Lab::new(5, 12, seed, NetFaults::NONE);
+    let mut sim = ControlSimulation::new(5, 12, seed, NetFaults::NONE);
     for _ in 0..10 {
-        let leader = lab.run_until_led();
+        let leader = sim.run_until_leader();
         match is_partition {
-            true => lab.cut_off(leader, true),
-            false => lab.crash(leader, 0),
+            true => sim.cut_off(leader, true),
+            false => sim.crash(leader, 0),
         }
-        lab.run_for(Duration::from_secs(1));
-        lab.heal();
+        sim.run_for(Duration::from_secs(1));
+        sim.heal();
     }
-    let leader = lab.run_until_led();
-    lab.run_for(Duration::from_secs(3));
-    let (leader, led) = (lab.leader().unwrap_or(leader), lab.leader());
-    let first = term(&lab, leader);
+    let leader = sim.run_until_leader();
+    sim.run_for(Duration::from_secs(3));
+    let (leader, led) = (sim.leader().unwrap_or(leader), sim.leader());
+    let first = term(&sim, leader);
     assert!(led.is_some(), "a leader is elected");
     for _ in 0..20 {
-        lab.run_for(Duration::from_secs(1));
-        assert_eq!(lab.leader(), Some(leader));
-        assert_eq!(term(&lab, leader), first, "the term has not changed");
-        assert!(lab.routers.iter().all(|r| r.serves(lab.now())));
+        sim.run_for(Duration::from_secs(1));
+        assert_eq!(sim.leader(), Some(leader));
+        assert_eq!(term(&sim, leader), first, "the term has not changed");
+        assert!(sim.routers.iter().all(|r| r.serves(sim.now())));
     }
 }
 
@@ -55,11 +55,11 @@
         .for_each(|e| fan_out.announce(e));
     fan_out.run_for(Duration::from_secs(3)).unwrap();
     fan_out.restart_routers();
-    fan_out.take_carried();
+    fan_out.take_traffic();
     let before = fan_out.scan_counts().renewals;
     fan_out.run_until_applied(Duration::from_secs(2)).unwrap();
     let rows_scanned = fan_out.scan_counts().renewals - before;
-    (rows_scanned, fan_out.take_carried().bytes)
+    (rows_scanned, fan_out.take_traffic().bytes)
 }
 
 #[test]
--- a/crates/deckwind-testkit/tests/testsuite/crowding.rs
+++ b/crates/deckwind-testkit/tests/testsuite/overload.rs
@@ -15,7 +15,7 @@
 use deckwind_core::routing::placement::token_capacity;
 use deckwind_core::state::{DataCentre, Instance};
 use deckwind_core::time::Instant;
-use deckwind_testkit::placing::{KINDS, Placing, model};
+use deckwind_testkit::placement_simulation::{KINDS, PlacementSimulation, model};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::collections::{HashMap, HashSet, VecDeque};
@@ -45,9 +45,10 @@
 
 impl Simulation {
     fn new() -> Self {
-        let mut placing = Placing::new(&[[4, 0, 10, 11, 0], [3, 0, 14, 16, 0], [2, 0, 24, 9, 0]]);
-        placing.run_for(Duration::from_secs(60));
-        let engines: Vec<Instance> = placing.instances().iter().cloned().collect();
+        let mut sim =
+            PlacementSimulation::new(&[[4, 0, 10, 11, 0], [3, 0, 14, 16, 0], [2, 0, 24, 9, 0]]);
+        sim.run_for(Duration::from_secs(60));
+        let engines: Vec<Instance> = sim.instances().iter().cloned().collect();
         let capacity = |i: &Instance| {
             let kind = KINDS.iter().find(|k| Some(k.0) == i.accelerator.as_deref());
             let layers = i.layers.len();
--- a/crates/deckwind-testkit/tests/testsuite/ending_requests.rs
+++ b/crates/deckwind-testkit/tests/testsuite/poison_requests.rs
@@ -15,7 +15,7 @@
 
 use crate::rig::{Heard, KEY, Rig};
 use crate::run;
-use deckwind_fakes::{ENDS_ITS_TARGET, FakeRunner};
+use deckwind_fakes::{ENDS_ITS_TARGET, FakeTargetServer};
 use deckwind_testkit::{Layout, eventually_async};
 use http::StatusCode;
 use std::time::Duration;
@@ -33,12 +33,15 @@
     let mut layout = Layout::new(1, 2).expect("a layout");
     layout.repeats = (4.0, 200);
     let mut rig = Rig::start_with(layout, plain, engines).await;
-    rig.until_in_force().await;
+    rig.wait_until_in_force().await;
     rig
 }
 
-fn crashes(targets: &[FakeRunner]) -> u32 {
-    targets.iter().map(FakeRunner::ended_by_requests).sum()
+fn crashes(targets: &[FakeTargetServer]) -> u32 {
+    targets
+        .iter()
+        .map(FakeTargetServer::crashes_by_request)
+        .sum()
 }
 
 /// Waits until both routers serve a request, so that a refusal for want of a target is not
@@ -46,7 +49,9 @@
 async fn wait_until_both_serve(rig: &Rig, path: &str, tokens: bool) {
     for router in 0..2 {
         eventually_async("the router serves", || async {
-            let response = rig.ask_at(router, "warm-up", path, KEY, tokens, None).await;
+            let response = rig
+                .ask_router(router, "warm-up", path, KEY, tokens, None)
+                .await;
             (response.status == StatusCode::OK && response.body.is_ok()).then_some(())
         })
         .await;
@@ -67,7 +72,7 @@
         tokio::time::sleep(pause).await;
         wait_until_both_serve(rig, &other, tokens).await;
         let id = format!("r{i}");
-        last_response = Some(rig.ask_at(i % 2, &id, &path, KEY, tokens, None).await);
+        last_response = Some(rig.ask_router(i % 2, &id, &path, KEY, tokens, None).await);
     }
     last_response.expect("at least one request was sent")
 }
@@ -162,10 +167,10 @@
                 })
                 .await;
                 tokio::time::sleep(Duration::from_millis(30)).await;
-                engine.start_again();
+                engine.restart();
             };
             let id = format!("r{i}");
-            let request = rig.ask_at(i % 2, &id, "/stream/x", KEY, true, None);
+            let request = rig.ask_router(i % 2, &id, "/stream/x", KEY, true, None);
             tokio::join!(request, restart);
         }
         wait_until_both_serve(&rig, "/stream/x", true).await;
--- a/crates/deckwind-testkit/tests/testsuite/processes.rs
+++ b/crates/deckwind-testkit/tests/testsuite/processes.rs
@@ -12,11 +12,11 @@
 /// Returns a cluster with the given numbers of control replicas and routers; no
 /// process is started yet.
 pub fn processes(control: usize, routers: usize) -> Processes {
-    processes_of(Layout::new(control, routers).expect("the folder and ports are reserved"))
+    processes_with_layout(Layout::new(control, routers).expect("the folder and ports are reserved"))
 }
 
 /// Returns a cluster with the given layout; no process is started yet.
-pub fn processes_of(layout: Layout) -> Processes {
+pub fn processes_with_layout(layout: Layout) -> Processes {
     Processes::new(
         layout,
         env!("CARGO_BIN_EXE_testkit-daemon"),
--- a/crates/deckwind-testkit/tests/testsuite/published.rs
+++ b/crates/deckwind-testkit/tests/testsuite/published_releases.rs
@@ -1,7 +1,7 @@
 //! Releases, announced targets, event streams and the retry budget: table-driven unit tests
 //! and simulations in virtual time.
 
-use crate::repeat_rig::{Control, STARTED};
+use crate::retry_rig::{Control, RESTARTED};
 use crate::support::announced;
 use deckwind_core::routes::{
     EventSplitter, ReleaseIndex, RequestClass, RetryBudgets, RetryLimits, RetrySource,
@@ -333,7 +333,7 @@
         window: Duration::from_secs(10),
     };
     let mut budgets: Vec<_> = (0..routers)
-        .map(|_| RetryBudgets::new(limits, STARTED))
+        .map(|_| RetryBudgets::new(limits, RESTARTED))
         .collect();
     let mut control = Control::new(Instant::from_millis(1_000));
     let mut rng = ChaCha8Rng::seed_from_u64(7);
@@ -390,7 +390,7 @@
         extra: 0.0,
         window: Duration::from_secs(10),
     };
-    let mut budgets = RetryBudgets::new(limits, STARTED);
+    let mut budgets = RetryBudgets::new(limits, RESTARTED);
     let now = Instant::from_millis(1_000);
     for _ in 0..100 {
         budgets.of_pool("busy").record_request(now);
@@ -415,7 +415,7 @@
         window: Duration::from_secs(10),
     };
     let mut routers: Vec<_> = (0..9)
-        .map(|_| (RetryBudgets::new(limits, STARTED), 0u64))
+        .map(|_| (RetryBudgets::new(limits, RESTARTED), 0u64))
         .collect();
     let mut control = Control::new(Instant::from_millis(20_000));
     let mut retries = Vec::new();
@@ -428,7 +428,7 @@
         };
         for (i, (budgets, boot)) in routers.iter_mut().enumerate() {
             if stopped(i) {
-                (*budgets, *boot) = (RetryBudgets::new(limits, STARTED), 1);
+                (*budgets, *boot) = (RetryBudgets::new(limits, RESTARTED), 1);
                 continue;
             }
             budgets.of_pool("pool").record_request(now);
--- a/crates/deckwind-testkit/tests/testsuite/quarantine.rs
+++ b/crates/deckwind-testkit/tests/testsuite/quarantine.rs
@@ -11,7 +11,7 @@
     Command, CommandBody, ContentDigest, Incarnation, StateMachine, SuspectChange,
 };
 use deckwind_core::time::Instant;
-use deckwind_testkit::{Lab, NetFaults};
+use deckwind_testkit::{ControlSimulation, NetFaults};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::time::Duration;
@@ -345,7 +345,7 @@
 }
 
 /// Reports crashes under a content to the leader, as a router does.
-fn report_to_leader(lab: &mut Lab, leader: usize, changes: Vec<SuspectChange>) {
+fn report_to_leader(sim: &mut ControlSimulation, leader: usize, changes: Vec<SuspectChange>) {
     let request = ControlRequest::CutRuns(CutReport {
         broke: Vec::new(),
         changes,
@@ -354,14 +354,14 @@
         token: 9_999,
         request,
     };
-    lab.happens(leader, event);
-    lab.run_for(Duration::from_millis(300));
+    sim.happens(leader, event);
+    sim.run_for(Duration::from_millis(300));
 }
 
-fn quarantined_views(lab: &mut Lab, leader: usize) -> Vec<QuarantinedView> {
-    lab.ask(leader, "status", OperatorRequest::Status);
-    lab.run_for(Duration::from_millis(100));
-    match lab.last_reply("status") {
+fn quarantined_views(sim: &mut ControlSimulation, leader: usize) -> Vec<QuarantinedView> {
+    sim.ask(leader, "status", OperatorRequest::Status);
+    sim.run_for(Duration::from_millis(100));
+    match sim.last_reply("status") {
         Some(OperatorReply::Status(status)) => status.quarantined.clone(),
         other => panic!("{other:?}"),
     }
@@ -371,45 +371,45 @@
 /// there twice. All routers then refuse the content, also one that restarts.
 #[test]
 fn crashes_outlive_the_leader_they_were_reported_to() {
-    let mut lab = Lab::new(3, 2, 11, NetFaults::NONE);
+    let mut sim = ControlSimulation::new(3, 2, 11, NetFaults::NONE);
     let digest = content("it");
-    let leader = lab.run_until_led();
+    let leader = sim.run_until_leader();
     report_to_leader(
-        &mut lab,
+        &mut sim,
         leader,
         vec![
             crash(digest, incarnation("a")),
             crash(digest, incarnation("b")),
         ],
     );
-    lab.crash(leader, 0);
-    lab.run_for(Duration::from_secs(3));
-    let next = lab.run_until_led();
+    sim.crash(leader, 0);
+    sim.run_for(Duration::from_secs(3));
+    let next = sim.run_until_leader();
     assert_ne!(next, leader);
-    assert_eq!(quarantined_views(&mut lab, next), Vec::new());
+    assert_eq!(quarantined_views(&mut sim, next), Vec::new());
     for _ in 0..2 {
-        report_to_leader(&mut lab, next, vec![crash(digest, incarnation("c"))]);
+        report_to_leader(&mut sim, next, vec![crash(digest, incarnation("c"))]);
     }
-    lab.run_for(Duration::from_secs(1));
-    let views = quarantined_views(&mut lab, next);
+    sim.run_for(Duration::from_secs(1));
+    let views = quarantined_views(&mut sim, next);
     assert_eq!(views.len(), 1);
     assert_eq!(views[0].content, digest.to_string());
     assert_eq!(views[0].ended, ["a", "b", "c"]);
-    for router in &lab.routers {
+    for router in &sim.routers {
         assert!(!router.may_send(&digest), "{}", router.name());
     }
-    lab.routers[0].restart(LeaseTiming::default());
-    lab.run_for(Duration::from_secs(3));
-    assert!(!lab.routers[0].may_send(&digest), "after its restart");
+    sim.routers[0].restart(LeaseTiming::default());
+    sim.run_for(Duration::from_secs(3));
+    assert!(!sim.routers[0].may_send(&digest), "after its restart");
 
-    lab.ask(next, "lift", OperatorRequest::Lift(digest));
-    lab.run_for(Duration::from_secs(1));
+    sim.ask(next, "lift", OperatorRequest::Lift(digest));
+    sim.run_for(Duration::from_secs(1));
     assert!(matches!(
-        lab.last_reply("lift"),
+        sim.last_reply("lift"),
         Some(OperatorReply::Accepted { .. })
     ));
-    assert_eq!(quarantined_views(&mut lab, next), Vec::new());
-    for router in &lab.routers {
+    assert_eq!(quarantined_views(&mut sim, next), Vec::new());
+    for router in &sim.routers {
         assert!(router.may_send(&digest), "{}", router.name());
     }
 }
@@ -441,28 +441,28 @@
 )]
 fn what_was_agreed_survives_two_lost_disks_and_the_power(lost: [usize; 2], torn: usize) {
     const REPLICAS: usize = 5;
-    let mut lab = Lab::new(REPLICAS, 2, 12, NetFaults::NONE);
+    let mut sim = ControlSimulation::new(REPLICAS, 2, 12, NetFaults::NONE);
     let digest = content("it");
-    let leader = lab.run_until_led();
+    let leader = sim.run_until_leader();
     let crashes = ["a", "b", "c"].map(|name| crash(digest, incarnation(name)));
-    report_to_leader(&mut lab, leader, crashes.to_vec());
-    lab.run_for(Duration::from_secs(1));
+    report_to_leader(&mut sim, leader, crashes.to_vec());
+    sim.run_for(Duration::from_secs(1));
     for slot in 0..REPLICAS {
         match lost.contains(&slot) {
-            true => lab.lose_disk(slot),
-            false => lab.crash(slot, torn),
+            true => sim.lose_disk(slot),
+            false => sim.crash(slot, torn),
         }
     }
-    for router in &mut lab.routers {
+    for router in &mut sim.routers {
         router.restart(LeaseTiming::default());
     }
-    (0..REPLICAS).for_each(|slot| lab.start(slot));
-    lab.run_for(Duration::from_secs(10));
-    let next = lab.run_until_led();
-    let views = quarantined_views(&mut lab, next);
+    (0..REPLICAS).for_each(|slot| sim.start(slot));
+    sim.run_for(Duration::from_secs(10));
+    let next = sim.run_until_leader();
+    let views = quarantined_views(&mut sim, next);
     assert_eq!(views.len(), 1);
     assert_eq!(views[0].ended, ["a", "b", "c"]);
-    for router in &lab.routers {
+    for router in &sim.routers {
         assert!(!router.may_send(&digest), "{}", router.name());
     }
 }
--- a/crates/deckwind-testkit/tests/testsuite/passed_on.rs
+++ b/crates/deckwind-testkit/tests/testsuite/relayed_requests.rs
@@ -8,34 +8,34 @@
 use deckwind_core::replication::Term;
 use deckwind_core::state::{Delta, PackedDelta, Revision};
 use deckwind_core::time::Instant;
-use deckwind_testkit::{Lab, NetFaults};
+use deckwind_testkit::{ControlSimulation, NetFaults};
 use deckwind_wire::{PeerMessage, decode, encode};
 use std::collections::BTreeMap;
 use std::time::Duration;
 use yare::parameterized;
 
 /// Starts five replicas and twenty routers, each of which sends its requests to the replica
-/// that its name hashes to. Returns the lab and the leader.
-fn lab(seed: u64) -> (Lab, usize) {
-    let mut lab = Lab::new(5, 20, seed, NetFaults::NONE);
-    let leader = lab.run_until_led();
-    lab.run_for(Duration::from_secs(3));
-    (lab, leader)
+/// that its name hashes to. Returns the simulation and the leader.
+fn sim(seed: u64) -> (ControlSimulation, usize) {
+    let mut sim = ControlSimulation::new(5, 20, seed, NetFaults::NONE);
+    let leader = sim.run_until_leader();
+    sim.run_for(Duration::from_secs(3));
+    (sim, leader)
 }
 
-fn all_routers_serve(lab: &Lab) -> bool {
-    lab.routers.iter().all(|r| r.serves(lab.now()))
+fn all_routers_serve(sim: &ControlSimulation) -> bool {
+    sim.routers.iter().all(|r| r.serves(sim.now()))
 }
 
 #[parameterized(a = { 1 }, b = { 2 }, c = { 3 }, d = { 4 })]
 fn a_router_that_asks_a_follower_holds_its_lease_and_stays_there(seed: u64) {
-    let (mut lab, leader) = lab(seed);
-    let asked: Vec<usize> = lab.routers.iter().map(|r| r.asked()).collect();
+    let (mut sim, leader) = sim(seed);
+    let asked: Vec<usize> = sim.routers.iter().map(|r| r.asked()).collect();
     assert!(asked.iter().any(|slot| *slot != leader));
     for _ in 0..20 {
-        lab.run_for(Duration::from_millis(200));
-        assert!(all_routers_serve(&lab), "leader {leader}");
-        let now: Vec<usize> = lab.routers.iter().map(|r| r.asked()).collect();
+        sim.run_for(Duration::from_millis(200));
+        assert!(all_routers_serve(&sim), "leader {leader}");
+        let now: Vec<usize> = sim.routers.iter().map(|r| r.asked()).collect();
         assert_eq!(
             now, asked,
             "no router was redirected to the leader, {leader}"
@@ -47,35 +47,35 @@
 /// next leader may answer.
 #[parameterized(a = { 11 }, b = { 12 }, c = { 13 }, d = { 14 }, e = { 15 })]
 fn routers_serve_on_soon_with_the_next_leader(seed: u64) {
-    let (mut lab, leader) = lab(seed);
-    lab.crash(leader, 0);
-    lab.run_until_led();
-    lab.run_for(Duration::from_millis(200));
-    for router in lab.routers.iter().filter(|r| r.asked() != leader) {
-        assert!(router.serves(lab.now()), "{} has no lease", router.name());
+    let (mut sim, leader) = sim(seed);
+    sim.crash(leader, 0);
+    sim.run_until_leader();
+    sim.run_for(Duration::from_millis(200));
+    for router in sim.routers.iter().filter(|r| r.asked() != leader) {
+        assert!(router.serves(sim.now()), "{} has no lease", router.name());
     }
 }
 
 /// Claims, leases and committed entries stay consistent under message loss, duplication and
-/// crashes of replicas that relay requests. The lab checks its invariants at each step.
+/// crashes of replicas that relay requests. The simulation checks its invariants at each step.
 #[parameterized(a = { 21 }, b = { 22 }, c = { 23 }, d = { 24 }, e = { 25 }, f = { 26 })]
 fn relayed_requests_keep_all_invariants_under_faults(seed: u64) {
-    let mut lab = Lab::new(3, 4, seed, NetFaults::BAD);
-    lab.run_until_led();
+    let mut sim = ControlSimulation::new(3, 4, seed, NetFaults::BAD);
+    sim.run_until_leader();
     for round in 0..6 {
-        lab.routers.iter_mut().for_each(|r| r.want_claims(3));
+        sim.routers.iter_mut().for_each(|r| r.add_claims(3));
         let slot = (seed as usize + round) % 3;
         match round % 3 {
-            0 => lab.crash(slot, 7),
-            1 => lab.cut_off(slot, true),
-            _ => lab.freeze(slot, true),
+            0 => sim.crash(slot, 7),
+            1 => sim.cut_off(slot, true),
+            _ => sim.freeze(slot, true),
         }
-        lab.run_for(Duration::from_millis(1_500));
-        lab.heal();
-        lab.run_for(Duration::from_millis(1_500));
+        sim.run_for(Duration::from_millis(1_500));
+        sim.heal();
+        sim.run_for(Duration::from_millis(1_500));
     }
     let mut ran: BTreeMap<String, usize> = BTreeMap::new();
-    for key in lab.routers.iter().flat_map(|r| &r.ran) {
+    for key in sim.routers.iter().flat_map(|r| &r.ran) {
         *ran.entry(key.clone()).or_default() += 1;
     }
     assert!(ran.values().all(|runs| *runs == 1), "{ran:?}");
--- a/crates/deckwind-testkit/tests/testsuite/renewals.rs
+++ b/crates/deckwind-testkit/tests/testsuite/renewals.rs
@@ -8,7 +8,7 @@
 use deckwind_core::state::{Revision, RouterProcess};
 use deckwind_core::time::Instant;
 use deckwind_store::{MemoryDisk, Store};
-use deckwind_testkit::{Lab, NetFaults};
+use deckwind_testkit::{ControlSimulation, NetFaults};
 use deckwindd::control::{ControlNode, Effect, Now};
 use std::time::Duration;
 
@@ -88,18 +88,18 @@
 fn a_leader_is_found_soon_after_a_start_of_all() {
     let mut slowest = Duration::ZERO;
     for seed in 0..100 {
-        let mut lab = Lab::new(5, 0, seed, NetFaults::NONE);
-        lab.run_until_led();
-        (0..5).for_each(|slot| lab.crash(slot, 0));
+        let mut sim = ControlSimulation::new(5, 0, seed, NetFaults::NONE);
+        sim.run_until_leader();
+        (0..5).for_each(|slot| sim.crash(slot, 0));
         // The two others stay down, so all of these three are needed for a quorum.
         for slot in 0..2 {
-            lab.start(slot);
-            lab.run_for(Duration::from_millis(250));
+            sim.start(slot);
+            sim.run_for(Duration::from_millis(250));
         }
-        lab.start(2);
-        let begun = lab.now();
-        lab.run_until_led();
-        slowest = slowest.max(lab.now().since(begun));
+        sim.start(2);
+        let begun = sim.now();
+        sim.run_until_leader();
+        slowest = slowest.max(sim.now().since(begun));
     }
     // Takes 1,015 ms; 1,885 ms with the ordinary wait after each lost election instead
     // of the shorter one.
--- a/crates/deckwind-testkit/tests/testsuite/replication.rs
+++ b/crates/deckwind-testkit/tests/testsuite/replication.rs
@@ -1,4 +1,4 @@
-//! The replicated log under failures, in virtual time. [`Lab`] checks the invariants of
+//! The replicated log under failures, in virtual time. [`ControlSimulation`] checks the invariants of
 //! the log after every step.
 
 use deckwind_core::control::{ControlEvent, ControlLimits, OperatorReply};
@@ -7,7 +7,7 @@
 use deckwind_core::state::{Change, Rejection, Revision, TargetName};
 use deckwind_core::time::Instant;
 use deckwind_store::{MemoryDisk, Store};
-use deckwind_testkit::{Lab, NetFaults, chat_template, engine_target};
+use deckwind_testkit::{ControlSimulation, NetFaults, chat_template, engine_target};
 use deckwindd::control::{ControlNode, Now};
 use rand::RngExt;
 use std::collections::BTreeMap;
@@ -27,11 +27,11 @@
 
 #[test]
 fn three_new_replicas_form_one_cluster() {
-    let mut lab = Lab::new(3, 1, 1, NetFaults::NONE);
-    let slot = lab.run_until_led();
-    let members = lab.node(slot).unwrap().core().replica().members().clone();
+    let mut sim = ControlSimulation::new(3, 1, 1, NetFaults::NONE);
+    let slot = sim.run_until_leader();
+    let members = sim.node(slot).unwrap().core().replica().members().clone();
     assert_eq!(members.voters.len(), 3);
-    let reply = lab.apply_and_wait("first", None, template_change("rosters", 24));
+    let reply = sim.apply_and_wait("first", None, template_change("rosters", 24));
     assert_eq!(
         reply,
         OperatorReply::Accepted {
@@ -43,26 +43,26 @@
 
 #[test]
 fn two_of_three_new_replicas_form_none() {
-    let mut lab = Lab::new(3, 0, 2, NetFaults::NONE);
-    lab.crash(2, 0);
-    lab.run_for(Duration::from_secs(10));
-    assert_eq!(lab.leader(), None);
+    let mut sim = ControlSimulation::new(3, 0, 2, NetFaults::NONE);
+    sim.crash(2, 0);
+    sim.run_for(Duration::from_secs(10));
+    assert_eq!(sim.leader(), None);
 }
 
 #[test]
 fn accepted_changes_survive_a_restart_of_all_replicas() {
-    let mut lab = Lab::new(3, 1, 3, NetFaults::NONE);
+    let mut sim = ControlSimulation::new(3, 1, 3, NetFaults::NONE);
     for i in 0..300u32 {
         let id = format!("change-{i}");
         let name = format!("t{}", i % 7);
-        accepted(&lab.apply_and_wait(&id, None, template_change(&name, i + 1)));
+        accepted(&sim.apply_and_wait(&id, None, template_change(&name, i + 1)));
     }
     for slot in 0..3 {
-        lab.crash(slot, 0);
+        sim.crash(slot, 0);
     }
-    lab.heal();
-    let slot = lab.run_until_led();
-    let machine = lab.node(slot).unwrap().core().state_machine();
+    sim.heal();
+    let slot = sim.run_until_leader();
+    let machine = sim.node(slot).unwrap().core().state_machine();
     assert_eq!(machine.configuration().revision(), Revision(300));
     let last = machine.configuration().template(&"t5".into()).unwrap();
     assert_eq!(*last, chat_template("t5", 300));
@@ -70,15 +70,15 @@
 
 #[test]
 fn a_resent_request_gets_the_first_reply_and_changes_nothing() {
-    let mut lab = Lab::new(3, 1, 4, NetFaults::NONE);
-    let first = lab.apply_and_wait("same", None, template_change("rosters", 24));
-    let other = lab.apply_and_wait("other", None, template_change("rosters", 25));
-    let again = lab.apply_and_wait("same", None, template_change("rosters", 24));
+    let mut sim = ControlSimulation::new(3, 1, 4, NetFaults::NONE);
+    let first = sim.apply_and_wait("same", None, template_change("rosters", 24));
+    let other = sim.apply_and_wait("other", None, template_change("rosters", 25));
+    let again = sim.apply_and_wait("same", None, template_change("rosters", 24));
     assert_eq!(accepted(&first), Revision(1));
     assert_eq!(accepted(&other), Revision(2));
     assert_eq!(accepted(&again), Revision(1));
-    let slot = lab.run_until_led();
-    let cfg = lab
+    let slot = sim.run_until_leader();
+    let cfg = sim
         .node(slot)
         .unwrap()
         .core()
@@ -93,19 +93,19 @@
 
 #[test]
 fn of_two_operators_with_the_same_revision_one_wins_and_the_other_sees_it() {
-    let mut lab = Lab::new(3, 1, 5, NetFaults::NONE);
-    lab.apply_and_wait(
+    let mut sim = ControlSimulation::new(3, 1, 5, NetFaults::NONE);
+    sim.apply_and_wait(
         "first",
         Some(Revision::ZERO),
         template_change("rosters", 24),
     );
-    let slot = lab.run_until_led();
-    lab.apply(slot, "a", Some(Revision(1)), template_change("rosters", 25));
-    lab.apply(slot, "b", Some(Revision(1)), template_change("rosters", 26));
-    lab.run_for(Duration::from_secs(4));
-    assert_eq!(accepted(&lab.replies["a"][0]), Revision(2));
+    let slot = sim.run_until_leader();
+    sim.apply(slot, "a", Some(Revision(1)), template_change("rosters", 25));
+    sim.apply(slot, "b", Some(Revision(1)), template_change("rosters", 26));
+    sim.run_for(Duration::from_secs(4));
+    assert_eq!(accepted(&sim.replies["a"][0]), Revision(2));
     assert_eq!(
-        lab.replies["b"][0],
+        sim.replies["b"][0],
         OperatorReply::Rejected(Rejection::Conflict {
             current: Revision(2)
         })
@@ -114,23 +114,23 @@
 
 #[test]
 fn a_partitioned_leader_answers_nothing_and_its_change_is_not_lost_silently() {
-    let mut lab = Lab::new(3, 1, 6, NetFaults::NONE);
-    lab.apply_and_wait("before", None, template_change("rosters", 24));
-    let old = lab.run_until_led();
-    lab.cut_off(old, true);
-    lab.apply(old, "cut", None, template_change("rosters", 99));
-    lab.run_for(Duration::from_millis(700));
-    let new = lab.run_until_led();
+    let mut sim = ControlSimulation::new(3, 1, 6, NetFaults::NONE);
+    sim.apply_and_wait("before", None, template_change("rosters", 24));
+    let old = sim.run_until_leader();
+    sim.cut_off(old, true);
+    sim.apply(old, "cut", None, template_change("rosters", 99));
+    sim.run_for(Duration::from_millis(700));
+    let new = sim.run_until_leader();
     assert_ne!(new, old);
-    accepted(&lab.apply_and_wait("after", None, template_change("rosters", 30)));
+    accepted(&sim.apply_and_wait("after", None, template_change("rosters", 30)));
     assert!(
-        lab.replies
+        sim.replies
             .get("cut")
             .is_none_or(|r| r == &[OperatorReply::Unknown])
     );
-    lab.cut_off(old, false);
-    lab.run_for(Duration::from_secs(3));
-    let cfg = lab
+    sim.cut_off(old, false);
+    sim.run_for(Duration::from_secs(3));
+    let cfg = sim
         .node(old)
         .unwrap()
         .core()
@@ -141,43 +141,43 @@
         *cfg.template(&"rosters".into()).unwrap(),
         chat_template("rosters", 30)
     );
-    assert_eq!(lab.replies["cut"], [OperatorReply::Unknown]);
+    assert_eq!(sim.replies["cut"], [OperatorReply::Unknown]);
 }
 
 #[test]
 fn a_leader_that_was_frozen_does_not_go_on_leading() {
-    let mut lab = Lab::new(3, 1, 7, NetFaults::NONE);
-    lab.apply_and_wait("before", None, template_change("rosters", 24));
-    let old = lab.run_until_led();
-    lab.freeze(old, true);
-    lab.run_for(Duration::from_secs(4));
-    accepted(&lab.apply_and_wait("meanwhile", None, template_change("rosters", 25)));
-    lab.freeze(old, false);
-    lab.run_for(Duration::from_secs(1));
-    assert_ne!(lab.leader(), Some(old));
+    let mut sim = ControlSimulation::new(3, 1, 7, NetFaults::NONE);
+    sim.apply_and_wait("before", None, template_change("rosters", 24));
+    let old = sim.run_until_leader();
+    sim.freeze(old, true);
+    sim.run_for(Duration::from_secs(4));
+    accepted(&sim.apply_and_wait("meanwhile", None, template_change("rosters", 25)));
+    sim.freeze(old, false);
+    sim.run_for(Duration::from_secs(1));
+    assert_ne!(sim.leader(), Some(old));
 }
 
 #[test]
 fn a_replica_with_a_lost_disk_comes_back_under_a_new_identity() {
-    let mut lab = Lab::new(3, 1, 8, NetFaults::NONE);
+    let mut sim = ControlSimulation::new(3, 1, 8, NetFaults::NONE);
     for i in 0..40 {
         let id = format!("change-{i}");
-        lab.apply_and_wait(&id, None, template_change("rosters", i + 1));
+        sim.apply_and_wait(&id, None, template_change("rosters", i + 1));
     }
-    let leader = lab.run_until_led();
+    let leader = sim.run_until_leader();
     let lost = (leader + 1) % 3;
-    let old = lab.node(lost).unwrap().core().replica().id();
-    lab.lose_disk(lost);
-    lab.start(lost);
-    lab.run_for(Duration::from_secs(8));
-    let new = lab.node(lost).unwrap().core().replica().id();
+    let old = sim.node(lost).unwrap().core().replica().id();
+    sim.lose_disk(lost);
+    sim.start(lost);
+    sim.run_for(Duration::from_secs(8));
+    let new = sim.node(lost).unwrap().core().replica().id();
     assert_ne!(new, old);
-    let leader = lab.run_until_led();
-    let members = lab.node(leader).unwrap().core().replica().members().clone();
+    let leader = sim.run_until_leader();
+    let members = sim.node(leader).unwrap().core().replica().members().clone();
     assert!(members.voters.contains(&new), "{members:?}");
     assert!(!members.contains(old));
     assert_eq!(
-        lab.node(lost)
+        sim.node(lost)
             .unwrap()
             .core()
             .state_machine()
@@ -185,32 +185,32 @@
             .revision(),
         Revision(40)
     );
-    lab.crash((lost + 1) % 3, 0);
-    lab.run_for(Duration::from_secs(3));
-    accepted(&lab.apply_and_wait("with-it", None, template_change("rosters", 99)));
+    sim.crash((lost + 1) % 3, 0);
+    sim.run_for(Duration::from_secs(3));
+    accepted(&sim.apply_and_wait("with-it", None, template_change("rosters", 99)));
 }
 
 #[test]
 fn two_lost_disks_of_three_leave_no_quorum_and_form_no_second_cluster() {
-    let mut lab = Lab::new(3, 0, 9, NetFaults::NONE);
-    lab.apply_and_wait("before", None, template_change("rosters", 24));
-    lab.lose_disk(0);
-    lab.lose_disk(1);
-    lab.start(0);
-    lab.start(1);
-    lab.run_for(Duration::from_secs(20));
-    assert_eq!(lab.leader(), None);
+    let mut sim = ControlSimulation::new(3, 0, 9, NetFaults::NONE);
+    sim.apply_and_wait("before", None, template_change("rosters", 24));
+    sim.lose_disk(0);
+    sim.lose_disk(1);
+    sim.start(0);
+    sim.start(1);
+    sim.run_for(Duration::from_secs(20));
+    assert_eq!(sim.leader(), None);
 }
 
 #[test]
 fn in_force_waits_for_a_router_that_lags_until_its_lease_has_run_out() {
-    let mut lab = Lab::new(3, 2, 10, NetFaults::NONE);
-    lab.apply_and_wait("before", None, template_change("rosters", 24));
-    lab.run_for(Duration::from_secs(1));
-    let begun = lab.now();
-    let reply = lab.apply_and_wait("next", None, template_change("rosters", 25));
+    let mut sim = ControlSimulation::new(3, 2, 10, NetFaults::NONE);
+    sim.apply_and_wait("before", None, template_change("rosters", 24));
+    sim.run_for(Duration::from_secs(1));
+    let begun = sim.now();
+    let reply = sim.apply_and_wait("next", None, template_change("rosters", 25));
     assert_eq!(accepted(&reply), Revision(2));
-    assert!(lab.now().since(begun) < Duration::from_secs(3));
+    assert!(sim.now().since(begun) < Duration::from_secs(3));
 }
 
 /// Seeded random schedules that combine all faults: message loss and duplication, crashes
@@ -228,24 +228,24 @@
 }
 
 fn run_schedule(seed: u64) {
-    let mut lab = Lab::new(3, 3, seed, NetFaults::BAD);
-    lab.run_until_led();
+    let mut sim = ControlSimulation::new(3, 3, seed, NetFaults::BAD);
+    sim.run_until_leader();
     for round in 0..25 {
-        inject_fault(&mut lab);
-        for router in &mut lab.routers {
-            router.want_claims(2);
+        inject_fault(&mut sim);
+        for router in &mut sim.routers {
+            router.add_claims(2);
         }
-        let slot = lab.rng().random_range(0..3);
+        let slot = sim.rng().random_range(0..3);
         let id = format!("{seed}-{round}");
-        lab.apply(slot, &id, None, change_of_round(round));
-        let pause = lab.rng().random_range(50..900);
-        lab.run_for(Duration::from_millis(pause));
+        sim.apply(slot, &id, None, change_of_round(round));
+        let pause = sim.rng().random_range(50..900);
+        sim.run_for(Duration::from_millis(pause));
     }
-    lab.heal();
-    let reply = lab.apply_and_wait(&format!("{seed}-end"), None, template_change("rosters", 99));
+    sim.heal();
+    let reply = sim.apply_and_wait(&format!("{seed}-end"), None, template_change("rosters", 99));
     assert!(!matches!(reply, OperatorReply::Rejected(_)), "{reply:?}");
     let mut runs: BTreeMap<&str, u32> = BTreeMap::new();
-    for key in lab.routers.iter().flat_map(|r| &r.ran) {
+    for key in sim.routers.iter().flat_map(|r| &r.ran) {
         *runs.entry(key).or_default() += 1;
     }
     let twice: Vec<_> = runs.iter().filter(|(_, n)| **n > 1).collect();
@@ -267,39 +267,39 @@
 
 #[test]
 fn a_new_leader_gives_the_orders_again_with_a_higher_fence() {
-    let mut lab = Lab::new(3, 0, 11, NetFaults::NONE);
-    lab.apply_and_wait("runner", None, change_of_round(1));
-    lab.run_for(Duration::from_secs(1));
-    let first = lab.ordered()[&TargetName::from("runner-1")];
-    let leader = lab.run_until_led();
-    lab.crash(leader, 0);
-    lab.run_for(Duration::from_secs(4));
-    assert!(lab.ordered()[&TargetName::from("runner-1")] > first);
+    let mut sim = ControlSimulation::new(3, 0, 11, NetFaults::NONE);
+    sim.apply_and_wait("runner", None, change_of_round(1));
+    sim.run_for(Duration::from_secs(1));
+    let first = sim.ordered()[&TargetName::from("runner-1")];
+    let leader = sim.run_until_leader();
+    sim.crash(leader, 0);
+    sim.run_for(Duration::from_secs(4));
+    assert!(sim.ordered()[&TargetName::from("runner-1")] > first);
 }
 
-fn inject_fault(lab: &mut Lab) {
-    let slot = lab.rng().random_range(0..3usize);
-    match lab.rng().random_range(0..9) {
+fn inject_fault(sim: &mut ControlSimulation) {
+    let slot = sim.rng().random_range(0..3usize);
+    match sim.rng().random_range(0..9) {
         0 => {
-            let torn = lab.rng().random_range(0..40);
-            lab.crash(slot, torn);
+            let torn = sim.rng().random_range(0..40);
+            sim.crash(slot, torn);
         }
         1 => {
-            let operations = lab.rng().random_range(0..6);
-            lab.disk(slot).fail_after(operations);
+            let operations = sim.rng().random_range(0..6);
+            sim.disk(slot).fail_after(operations);
         }
-        2 => lab.cut_off(slot, true),
-        3 => lab.freeze(slot, true),
-        4 if all_are_committed_voters(lab) => {
-            lab.lose_disk(slot);
-            lab.start(slot);
+        2 => sim.cut_off(slot, true),
+        3 => sim.freeze(slot, true),
+        4 if all_are_committed_voters(sim) => {
+            sim.lose_disk(slot);
+            sim.start(slot);
         }
         5 => {
-            let routers = lab.routers.len();
-            let router = lab.rng().random_range(0..routers);
-            lab.routers[router].restart(Default::default());
+            let routers = sim.routers.len();
+            let router = sim.rng().random_range(0..routers);
+            sim.routers[router].restart(Default::default());
         }
-        6 => lab.heal(),
+        6 => sim.heal(),
         _ => {}
     }
 }
@@ -307,15 +307,15 @@
 /// Returns whether every replica is up, has committed as far as the leader, and is a voter
 /// in the committed membership. A membership change that isn't committed may be lost with
 /// its leader, and the next lost disk could then be the second of three.
-fn all_are_committed_voters(lab: &Lab) -> bool {
-    let Some(leader) = lab.leader() else {
+fn all_are_committed_voters(sim: &ControlSimulation) -> bool {
+    let Some(leader) = sim.leader() else {
         return false;
     };
-    let leader = lab.node(leader).unwrap().core().replica();
+    let leader = sim.node(leader).unwrap().core().replica();
     let commit = leader.commit();
     let members = leader.members_at(commit);
     (0..3).all(|slot| {
-        lab.node(slot).is_some_and(|n| {
+        sim.node(slot).is_some_and(|n| {
             let replica = n.core().replica();
             members.voters.contains(&replica.id()) && replica.commit() == commit
         })
--- a/crates/deckwind-testkit/tests/testsuite/rests.rs
+++ b/crates/deckwind-testkit/tests/testsuite/rest_periods.rs
@@ -13,7 +13,7 @@
 
 use crate::rig::{KEY, Kind, NOT_RESUMABLE, ONCE, REPEATABLE, Rig, STREAMS};
 use crate::run;
-use deckwind_fakes::{FakeRunner, RunnerFault};
+use deckwind_fakes::{FakeTargetFault, FakeTargetServer};
 use deckwind_testkit::{Layout, eventually_async};
 use http::StatusCode;
 use std::time::Duration;
@@ -45,7 +45,7 @@
 }
 
 /// Sends requests until one is served, and returns the target that serves the next one.
-async fn first_choice(rig: &Rig, kind: Kind) -> FakeRunner {
+async fn first_choice(rig: &Rig, kind: Kind) -> FakeTargetServer {
     rig.until_served(kind.path, kind.tokens).await;
     let before: Vec<usize> = rig.targets().map(|t| t.seen().len()).collect();
     let response = rig.ask("first", kind.path, KEY, kind.tokens).await;
@@ -59,7 +59,7 @@
 
 /// Sends requests until the target receives one, and returns how many it has received in all.
 /// On a busy machine another target may be the first choice for a moment.
-async fn request_until_received(rig: &Rig, target: &FakeRunner, kind: Kind) -> usize {
+async fn request_until_received(rig: &Rig, target: &FakeTargetServer, kind: Kind) -> usize {
     let before = target.seen().len();
     eventually_async("the target is sent a request", || async {
         rig.ask("told", kind.path, KEY, kind.tokens).await;
@@ -94,8 +94,8 @@
     run(async move {
         let rig = rig(kind).await;
         let target = first_choice(&rig, kind).await;
-        target.set_fault(RunnerFault::Refuses { at_fault: None });
-        target.ask_rest(Some(REST_PERIOD));
+        target.set_fault(FakeTargetFault::Refuses { at_fault: None });
+        target.set_retry_after(Some(REST_PERIOD));
         let seen = request_until_received(&rig, &target, kind).await;
         request_at_each_step(&rig, kind).await;
         assert_eq!(
@@ -103,7 +103,7 @@
             seen,
             "it was sent nothing in its rest period"
         );
-        target.set_fault(RunnerFault::None);
+        target.set_fault(FakeTargetFault::None);
         advance_time(&rig, Duration::from_secs(31)).await;
         eventually_async(
             "the target is sent requests after its rest period",
@@ -120,22 +120,22 @@
 /// The notice of leaving comes in a complete response, the head of a stream, a refusal, or a
 /// failure.
 #[parameterized(
-    streams = { STREAMS, RunnerFault::None },
-    streams_refused = { STREAMS, RunnerFault::Refuses { at_fault: None } },
-    repeatable = { REPEATABLE, RunnerFault::None },
-    repeatable_failed = { REPEATABLE, RunnerFault::Fails },
-    at_most_once = { ONCE, RunnerFault::None },
-    at_most_once_refused = { ONCE, RunnerFault::Refuses { at_fault: None } },
-    not_resumable = { NOT_RESUMABLE, RunnerFault::None },
+    streams = { STREAMS, FakeTargetFault::None },
+    streams_refused = { STREAMS, FakeTargetFault::Refuses { at_fault: None } },
+    repeatable = { REPEATABLE, FakeTargetFault::None },
+    repeatable_failed = { REPEATABLE, FakeTargetFault::Fails },
+    at_most_once = { ONCE, FakeTargetFault::None },
+    at_most_once_refused = { ONCE, FakeTargetFault::Refuses { at_fault: None } },
+    not_resumable = { NOT_RESUMABLE, FakeTargetFault::None },
 )]
-fn a_target_that_says_it_leaves_gets_nothing_new(kind: Kind, fault: RunnerFault) {
+fn a_target_that_says_it_leaves_gets_nothing_new(kind: Kind, fault: FakeTargetFault) {
     run(async move {
         let rig = rig(kind).await;
         let target = first_choice(&rig, kind).await;
         target.set_fault(fault);
-        target.say_it_leaves(true);
+        target.set_leaving(true);
         let seen = request_until_received(&rig, &target, kind).await;
-        target.set_fault(RunnerFault::None);
+        target.set_fault(FakeTargetFault::None);
         request_at_each_step(&rig, kind).await;
         assert_eq!(
             target.seen().len(),
@@ -157,7 +157,7 @@
     run(async move {
         let rig = rig(kind).await;
         let target = first_choice(&rig, kind).await;
-        target.set_fault(RunnerFault::Refuses { at_fault: None });
+        target.set_fault(FakeTargetFault::Refuses { at_fault: None });
         let response = rig.ask("refused", kind.path, KEY, kind.tokens).await;
         assert_eq!(response.status.as_u16(), status);
         if status == 503 {
@@ -186,8 +186,8 @@
         let rig = rig(kind).await;
         rig.until_served(kind.path, kind.tokens).await;
         for target in rig.targets() {
-            target.set_fault(RunnerFault::Refuses { at_fault: None });
-            target.ask_rest(Some(REST_PERIOD));
+            target.set_fault(FakeTargetFault::Refuses { at_fault: None });
+            target.set_retry_after(Some(REST_PERIOD));
         }
         let mut response = rig.ask("r", kind.path, KEY, kind.tokens).await;
         for i in 0..4 {
@@ -214,15 +214,15 @@
 async fn start_engines_that_refuse_orders(rest_period: &str) -> Rig {
     let mut rig = Rig::start(0, 0).await;
     for i in 0..4 {
-        let engine = FakeRunner::start(&format!("e-{i}")).await;
+        let engine = FakeTargetServer::start(&format!("e-{i}")).await;
         let engine = engine.expect("an engine");
-        engine.set_fault(RunnerFault::RefusesOrders);
-        engine.ask_rest(Some(rest_period));
+        engine.set_fault(FakeTargetFault::RefusesOrders);
+        engine.set_retry_after(Some(rest_period));
         rig.engines.push(engine);
         rig.announce("engines", "e", i, "ready").await;
     }
     eventually_async("each has refused an order", || async {
-        let refused = |e: &FakeRunner| e.orders_refused() > 0;
+        let refused = |e: &FakeTargetServer| e.orders_refused() > 0;
         rig.engines.iter().all(refused).then_some(())
     })
     .await;
@@ -246,7 +246,7 @@
     run(async {
         let rig = start_engines_that_refuse_orders("0.2").await;
         for engine in &rig.engines {
-            engine.set_fault(RunnerFault::None);
+            engine.set_fault(FakeTargetFault::None);
         }
         rig.until_served("/stream/x", true).await;
         rig.cluster.close().await.expect("closed");
--- a/crates/deckwind-testkit/tests/testsuite/repeat_rig.rs
+++ b/crates/deckwind-testkit/tests/testsuite/retry_rig.rs
@@ -16,7 +16,7 @@
 };
 
 /// Start of a router process in a system that has run before.
-pub const STARTED: ProcessStart = ProcessStart {
+pub const RESTARTED: ProcessStart = ProcessStart {
     at: Instant::ZERO,
     first: false,
 };
--- a/crates/deckwind-testkit/tests/testsuite/repeat_share.rs
+++ b/crates/deckwind-testkit/tests/testsuite/retry_share.rs
@@ -1,7 +1,7 @@
 //! The share of its own requests that each router may retry: all routers together must keep
 //! to it, also when processes restart and callers move to other routers. Virtual time.
 
-use crate::repeat_rig::{Control, LIMITS};
+use crate::retry_rig::{Control, LIMITS};
 use deckwind_core::routes::{ProcessStart, RequestClass, RetryBudgets};
 use deckwind_core::state::RouterProcess;
 use deckwind_core::time::Instant;
--- a/crates/deckwind-testkit/tests/testsuite/come_back.rs
+++ b/crates/deckwind-testkit/tests/testsuite/returning_callers.rs
@@ -7,7 +7,7 @@
 //! ended for want of a retry, and the first event came 120 ms (median) after a stream had
 //! been admitted.
 
-use crate::repeat_rig::Control;
+use crate::retry_rig::Control;
 use deckwind_core::routes::{ProcessStart, RefusalReason, RequestClass, RetryBudgets, RetryLimits};
 use deckwind_core::state::RouterProcess;
 use deckwind_core::time::Instant;
--- a/crates/deckwind-testkit/tests/testsuite/rig.rs
+++ b/crates/deckwind-testkit/tests/testsuite/rig.rs
@@ -1,7 +1,7 @@
 //! A small cluster with fake targets, for tests of routes.
 
 use bytes::Bytes;
-use deckwind_fakes::{FakeCall, FakeRunner, release_document};
+use deckwind_fakes::{FakeCall, FakeTargetServer, release_document};
 use deckwind_testkit::{Cluster, Layout, eventually_async};
 use http::{HeaderMap, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -57,8 +57,8 @@
 /// A control replica, a router and fake targets.
 pub struct Rig {
     pub cluster: Cluster,
-    pub plain: Vec<FakeRunner>,
-    pub engines: Vec<FakeRunner>,
+    pub plain: Vec<FakeTargetServer>,
+    pub engines: Vec<FakeTargetServer>,
     announcer: Announcer,
 }
 
@@ -67,7 +67,7 @@
 
 /// A target that announces itself, and the state that it announces.
 struct AnnouncedTarget {
-    runner: FakeRunner,
+    server: FakeTargetServer,
     pool: String,
     data_centre: &'static str,
     state: String,
@@ -109,8 +109,8 @@
 
 impl AnnouncedTarget {
     fn body(&self, number: u64) -> Value {
-        let Self { runner, state, .. } = self;
-        runner.announcement(&self.pool, self.data_centre, state, number)
+        let Self { server, state, .. } = self;
+        server.announcement(&self.pool, self.data_centre, state, number)
     }
 }
 
@@ -119,7 +119,7 @@
     let mut all = all.lock().expect("no holder panics");
     let (targets, number) = &mut *all;
     let ready = targets.iter().filter(|(_, t)| t.state == "ready");
-    let reachable = ready.filter(|(_, t)| t.runner.listens());
+    let reachable = ready.filter(|(_, t)| t.server.listens());
     let announcement = |(path, target): (&String, &AnnouncedTarget)| {
         *number += 1;
         (path.clone(), target.body(*number))
@@ -190,13 +190,13 @@
         })
         .await;
         for i in 0..plain {
-            let runner = FakeRunner::start(&format!("p-{i}")).await;
-            rig.plain.push(runner.expect("a target"));
+            let server = FakeTargetServer::start(&format!("p-{i}")).await;
+            rig.plain.push(server.expect("a target"));
             rig.announce("plain", "p", i, "ready").await;
         }
         for i in 0..engines {
-            let runner = FakeRunner::start(&format!("e-{i}")).await;
-            rig.engines.push(runner.expect("an engine"));
+            let server = FakeTargetServer::start(&format!("e-{i}")).await;
+            rig.engines.push(server.expect("an engine"));
             rig.announce("engines", "e", i, "ready").await;
         }
         rig
@@ -207,14 +207,14 @@
     pub async fn start_placed(layout: Layout, plain: usize, engines: usize) -> Self {
         let mut rig = Self::start_with(layout, plain, engines).await;
         eventually_async("the layers are placed", || async {
-            let holds = |e: &FakeRunner| e.layers().1 > e.layers().0;
+            let holds = |e: &FakeTargetServer| e.layers().1 > e.layers().0;
             rig.engines.iter().all(holds).then_some(())
         })
         .await;
         for i in 0..engines {
             rig.announce("engines", "e", i, "ready").await;
         }
-        rig.until_in_force().await;
+        rig.wait_until_in_force().await;
         rig
     }
 
@@ -228,13 +228,13 @@
     }
 
     pub async fn announce(&mut self, pool: &str, id: &str, i: usize, state: &str) {
-        let runner = match pool {
+        let server = match pool {
             "plain" => &self.plain[i],
             _ => &self.engines[i],
         };
         let path = format!("/v1/instances/{id}-{i}/heartbeat");
         let target = AnnouncedTarget {
-            runner: runner.clone(),
+            server: server.clone(),
             pool: pool.to_string(),
             data_centre: data_centre(i),
             state: state.to_string(),
@@ -250,11 +250,11 @@
     /// Waits until the routers know everything that was announced. A ready target's
     /// announcement is answered before that and a draining one's after it, so this
     /// announces a draining target.
-    pub async fn until_in_force(&mut self) {
-        let last = FakeRunner::start("last").await.expect("a target");
+    pub async fn wait_until_in_force(&mut self) {
+        let last = FakeTargetServer::start("last").await.expect("a target");
         let path = "/v1/instances/last/heartbeat";
         let target = AnnouncedTarget {
-            runner: last,
+            server: last,
             pool: "plain".to_string(),
             data_centre: data_centre(0),
             state: "draining".to_string(),
@@ -289,11 +289,11 @@
         tokens: bool,
         last_event: Option<u64>,
     ) -> Heard {
-        self.ask_at(0, id, path, key, tokens, last_event).await
+        self.ask_router(0, id, path, key, tokens, last_event).await
     }
 
     /// Sends a request to the given router, with `Last-Event-Id` if `last_event` is set.
-    pub async fn ask_at(
+    pub async fn ask_router(
         &self,
         router: usize,
         id: &str,
@@ -323,13 +323,13 @@
     }
 
     /// Returns all plain targets and engines.
-    pub fn targets(&self) -> impl Iterator<Item = &FakeRunner> {
+    pub fn targets(&self) -> impl Iterator<Item = &FakeTargetServer> {
         self.plain.iter().chain(&self.engines)
     }
 
     /// Returns how often the request with this id was sent to a target.
     pub fn sends(&self, id: &str) -> usize {
-        let seen = self.targets().flat_map(FakeRunner::seen);
+        let seen = self.targets().flat_map(FakeTargetServer::seen);
         seen.filter(|r| r.headers["x-deckwind-request-id"] == id)
             .count()
     }
--- a/crates/deckwind-testkit/tests/testsuite/routes.rs
+++ b/crates/deckwind-testkit/tests/testsuite/routes.rs
@@ -4,7 +4,7 @@
 use crate::run;
 use bytes::Bytes;
 use deckwind_core::state::InstanceState;
-use deckwind_fakes::{EVENTS, FakeRunner, RunnerFault, release_document, request_id};
+use deckwind_fakes::{EVENTS, FakeTargetFault, FakeTargetServer, release_document, request_id};
 use deckwind_testkit::{Layout, eventually_async};
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -40,23 +40,23 @@
 }
 
 #[parameterized(
-    fails_safe = { RunnerFault::Fails, "/safe/x", 200, 2 },
-    fails_once = { RunnerFault::Fails, "/once/x", 500, 1 },
-    cuts_safe = { RunnerFault::Cuts, "/safe/x", 200, 2 },
-    cuts_once = { RunnerFault::Cuts, "/once/x", 502, 1 },
-    mute_safe = { RunnerFault::Mute, "/safe/x", 200, 2 },
-    mute_once = { RunnerFault::Mute, "/once/x", 504, 1 },
-    other_id_safe = { RunnerFault::OtherId, "/safe/x", 200, 2 },
-    other_id_once = { RunnerFault::OtherId, "/once/x", 502, 1 },
-    unsigned_safe = { RunnerFault::Unsigned, "/safe/x", 200, 2 },
-    unsigned_once = { RunnerFault::Unsigned, "/once/x", 502, 1 },
-    refuses_safe = { RunnerFault::Refuses { at_fault: None }, "/safe/x", 200, 2 },
-    refuses_once = { RunnerFault::Refuses { at_fault: None }, "/once/x", 503, 1 },
-    unframed_once = { RunnerFault::Unframed, "/once/x", 200, 1 },
-    extra_once = { RunnerFault::Extra, "/once/x", 200, 1 },
+    fails_safe = { FakeTargetFault::Fails, "/safe/x", 200, 2 },
+    fails_once = { FakeTargetFault::Fails, "/once/x", 500, 1 },
+    cuts_safe = { FakeTargetFault::Cuts, "/safe/x", 200, 2 },
+    cuts_once = { FakeTargetFault::Cuts, "/once/x", 502, 1 },
+    mute_safe = { FakeTargetFault::Mute, "/safe/x", 200, 2 },
+    mute_once = { FakeTargetFault::Mute, "/once/x", 504, 1 },
+    other_id_safe = { FakeTargetFault::OtherId, "/safe/x", 200, 2 },
+    other_id_once = { FakeTargetFault::OtherId, "/once/x", 502, 1 },
+    unsigned_safe = { FakeTargetFault::Unsigned, "/safe/x", 200, 2 },
+    unsigned_once = { FakeTargetFault::Unsigned, "/once/x", 502, 1 },
+    refuses_safe = { FakeTargetFault::Refuses { at_fault: None }, "/safe/x", 200, 2 },
+    refuses_once = { FakeTargetFault::Refuses { at_fault: None }, "/once/x", 503, 1 },
+    unframed_once = { FakeTargetFault::Unframed, "/once/x", 200, 1 },
+    extra_once = { FakeTargetFault::Extra, "/once/x", 200, 1 },
 )]
 fn a_faulty_target_s_request_is_retried_where_the_route_allows_it(
-    fault: RunnerFault,
+    fault: FakeTargetFault,
     path: &str,
     status: u16,
     sends: usize,
@@ -66,10 +66,10 @@
         rig.until_served(path, false).await;
         // The second target is idle, and its data centre is as near: the router sends to
         // a random one of the two first.
-        let runner = FakeRunner::start("p-1").await.expect("a target");
-        rig.plain.push(runner);
+        let server = FakeTargetServer::start("p-1").await.expect("a target");
+        rig.plain.push(server);
         rig.announce("plain", "p", 1, "ready").await;
-        rig.until_in_force().await;
+        rig.wait_until_in_force().await;
         rig.plain[0].set_fault(fault);
         let mut faulty_first = 0;
         for i in 0..40 {
@@ -109,8 +109,8 @@
     run(async {
         let rig = Rig::start(2, 0).await;
         rig.until_served("/safe/x", false).await;
-        rig.plain[0].set_fault(RunnerFault::Fails);
-        rig.plain[1].set_fault(RunnerFault::Refuses { at_fault: None });
+        rig.plain[0].set_fault(FakeTargetFault::Fails);
+        rig.plain[1].set_fault(FakeTargetFault::Refuses { at_fault: None });
         for i in 0..12 {
             let answer = rig.ask(&format!("r{i}"), "/safe/x", KEY, false).await;
             assert_eq!(answer.status.as_u16(), 500, "request r{i}");
@@ -207,7 +207,7 @@
     for i in 0..4 {
         rig.announce("engines", "e", i, "ready").await;
     }
-    rig.until_in_force().await;
+    rig.wait_until_in_force().await;
     eventually_async("the router knows the layers of both data centres", || {
         let router = rig.cluster.router(0).router().expect("a router");
         let instances = router.shared().routes.instances();
@@ -226,7 +226,7 @@
         let rig = placed().await;
         let answer = rig.ask("r1", "/stream/x", KEY, true).await;
         assert_eq!(answer.body, Ok(whole_stream()));
-        let seen = rig.engines.iter().flat_map(FakeRunner::seen);
+        let seen = rig.engines.iter().flat_map(FakeTargetServer::seen);
         let seen: Vec<_> = seen
             .filter(|r| r.headers["x-deckwind-request-id"] == "r1")
             .collect();
@@ -253,10 +253,10 @@
     run(async {
         let mut rig = Rig::start(0, 0).await;
         for i in 0..4 {
-            let runner = FakeRunner::start(&format!("e-{i}")).await;
-            let runner = runner.expect("an engine");
-            runner.set_fault(RunnerFault::OrdersLate);
-            rig.engines.push(runner);
+            let server = FakeTargetServer::start(&format!("e-{i}")).await;
+            let server = server.expect("an engine");
+            server.set_fault(FakeTargetFault::DelaysOrders);
+            rig.engines.push(server);
             rig.announce("engines", "e", i, "ready").await;
         }
         eventually_async("the layers are placed", || {
@@ -268,7 +268,7 @@
             async move { (held >= 8).then_some(()) }
         })
         .await;
-        let orders: Vec<u64> = rig.engines.iter().map(FakeRunner::orders).collect();
+        let orders: Vec<u64> = rig.engines.iter().map(FakeTargetServer::orders).collect();
         assert_eq!(orders, [1; 4], "the late order was refused by its number");
         rig.cluster.close().await.expect("closed");
     });
@@ -296,9 +296,9 @@
         for i in [0, 2] {
             let engine = &rig.engines[i];
             engine.set_fault(match fault {
-                StreamFault::Cuts(event) => RunnerFault::CutsAfter(event),
-                StreamFault::Refuses => RunnerFault::Refuses { at_fault: None },
-                StreamFault::Stalls(event) => RunnerFault::StallsAfter {
+                StreamFault::Cuts(event) => FakeTargetFault::BreaksStreamAfter(event),
+                StreamFault::Refuses => FakeTargetFault::Refuses { at_fault: None },
+                StreamFault::Stalls(event) => FakeTargetFault::StallsAfter {
                     event,
                     stage: engine.address,
                 },
@@ -318,20 +318,24 @@
 /// `at_home` is the fault of the engines in the router's own data centre, which get the
 /// request first.
 #[parameterized(
-    may_have_run = { RunnerFault::Cuts, 502 },
-    has_not_run = { RunnerFault::Refuses { at_fault: None }, 503 },
+    may_have_run = { FakeTargetFault::Cuts, 502 },
+    has_not_run = { FakeTargetFault::Refuses { at_fault: None }, 503 },
 )]
-fn only_a_stream_that_has_not_run_is_refused_as_not_run(at_home: RunnerFault, status: u16) {
+fn only_a_stream_that_has_not_run_is_refused_as_not_run(at_home: FakeTargetFault, status: u16) {
     run(async move {
         let rig = placed().await;
         for (i, engine) in rig.engines.iter().enumerate() {
             engine.set_fault(match i % 2 {
                 0 => at_home.clone(),
-                _ => RunnerFault::Refuses { at_fault: None },
+                _ => FakeTargetFault::Refuses { at_fault: None },
             });
         }
         let answer = rig.ask("r1", "/stream/x", KEY, true).await;
-        let at_home = rig.engines.iter().step_by(2).flat_map(FakeRunner::seen);
+        let at_home = rig
+            .engines
+            .iter()
+            .step_by(2)
+            .flat_map(FakeTargetServer::seen);
         let mut at_home = at_home.map(|r| request_id(&r));
         assert!(
             at_home.any(|id| id == "r1"),
@@ -351,28 +355,32 @@
         let rig = placed().await;
         for (i, engine) in rig.engines.iter().enumerate() {
             engine.set_fault(match i % 2 {
-                0 => RunnerFault::StallsAfter {
+                0 => FakeTargetFault::StallsAfter {
                     event: 4,
                     stage: engine.address,
                 },
-                _ => RunnerFault::Refuses { at_fault: None },
+                _ => FakeTargetFault::Refuses { at_fault: None },
             });
         }
         let resume = async {
             eventually_async("another target has refused the stream", || async {
                 let away = rig.engines.iter().skip(1).step_by(2);
-                let mut seen = away.flat_map(FakeRunner::seen);
+                let mut seen = away.flat_map(FakeTargetServer::seen);
                 let arrived = seen.any(|r| r.headers["x-deckwind-request-id"] == "r1");
                 arrived.then_some(())
             })
             .await;
             for engine in rig.engines.iter().step_by(2) {
-                engine.set_fault(RunnerFault::None);
+                engine.set_fault(FakeTargetFault::None);
             }
         };
         let (answer, ()) = tokio::join!(rig.ask("r1", "/stream/x", KEY, true), resume);
         assert_eq!(answer.body, Ok(whole_stream()));
-        let at_home = rig.engines.iter().step_by(2).flat_map(FakeRunner::seen);
+        let at_home = rig
+            .engines
+            .iter()
+            .step_by(2)
+            .flat_map(FakeTargetServer::seen);
         let sent = at_home.filter(|r| r.headers["x-deckwind-request-id"] == "r1");
         assert_eq!(sent.count(), 1, "the stream stayed at its first target");
         rig.cluster.close().await.expect("closed");
@@ -390,22 +398,22 @@
         let home = || rig.engines.iter().step_by(2);
         let away = || rig.engines.iter().skip(1).step_by(2);
         for engine in home() {
-            engine.set_fault(RunnerFault::StallsAfter {
+            engine.set_fault(FakeTargetFault::StallsAfter {
                 event: 4,
                 stage: engine.address,
             });
         }
-        away().for_each(|e| e.set_fault(RunnerFault::Refuses { at_fault: None }));
+        away().for_each(|e| e.set_fault(FakeTargetFault::Refuses { at_fault: None }));
         let break_streams = async {
             eventually_async("another target has refused the stream", || async {
-                let mut seen = away().flat_map(FakeRunner::seen);
+                let mut seen = away().flat_map(FakeTargetServer::seen);
                 let arrived = seen.any(|r| r.headers["x-deckwind-request-id"] == "r1");
                 arrived.then_some(())
             })
             .await;
-            away().for_each(|e| e.set_fault(RunnerFault::CutsAfter(8)));
-            home().for_each(|e| e.set_fault(RunnerFault::CutsAfter(9)));
-            home().for_each(FakeRunner::close_connections);
+            away().for_each(|e| e.set_fault(FakeTargetFault::BreaksStreamAfter(8)));
+            home().for_each(|e| e.set_fault(FakeTargetFault::BreaksStreamAfter(9)));
+            home().for_each(FakeTargetServer::close_connections);
         };
         let (answer, ()) = tokio::join!(rig.ask("r1", "/stream/x", KEY, true), break_streams);
         assert!(answer.body.is_err(), "broke off: {:?}", answer.body);
@@ -422,12 +430,17 @@
         layout.repeats = (0.0, 0);
         let rig = placed_with(layout).await;
         for engine in rig.engines.iter().step_by(2) {
-            engine.set_fault(RunnerFault::StallsAfter {
+            engine.set_fault(FakeTargetFault::StallsAfter {
                 event: 0,
                 stage: engine.address,
             });
         }
-        let reports = || rig.engines.iter().map(FakeRunner::reports).sum::<u32>();
+        let reports = || {
+            rig.engines
+                .iter()
+                .map(FakeTargetServer::reports)
+                .sum::<u32>()
+        };
         let before = reports();
         let resume = async {
             eventually_async("the router has probed the stalled stream", || async {
@@ -435,7 +448,7 @@
             })
             .await;
             for engine in &rig.engines {
-                engine.set_fault(RunnerFault::None);
+                engine.set_fault(FakeTargetFault::None);
             }
         };
         let (answer, ()) = tokio::join!(rig.ask("r1", "/stream/x", KEY, true), resume);
@@ -451,8 +464,8 @@
 fn a_router_that_stops_lets_no_streams_in_before_it_refuses_the_rest() {
     run(async {
         let mut rig = placed().await;
-        let runner = FakeRunner::start("p-0").await.expect("a target");
-        rig.plain.push(runner);
+        let server = FakeTargetServer::start("p-0").await.expect("a target");
+        rig.plain.push(server);
         rig.announce("plain", "p", 0, "ready").await;
         rig.until_served("/once/x", false).await;
         let router = rig.cluster.take_router(0);
@@ -483,7 +496,7 @@
     run(async {
         let rig = placed().await;
         for engine in &rig.engines {
-            engine.set_fault(RunnerFault::CutsAfter(5));
+            engine.set_fault(FakeTargetFault::BreaksStreamAfter(5));
         }
         let answer = rig.ask("r1", "/stream/x", KEY, true).await;
         assert!(answer.body.is_err(), "broke off: {:?}", answer.body);
--- a/crates/deckwind-testkit/tests/testsuite/sessions.rs
+++ b/crates/deckwind-testkit/tests/testsuite/sessions.rs
@@ -150,7 +150,7 @@
         let both_crashed = || async {
             let crashed = rig
                 .range(range)
-                .all(|e| e.open_stages() == 0 && e.is_dead());
+                .all(|e| e.open_stages() == 0 && e.has_crashed());
             (crashed || answer_task.is_finished()).then_some(())
         };
         eventually_async("both engines of the range have crashed", both_crashed).await;
@@ -177,7 +177,7 @@
         eventually_async(
             "all four have crashed or the answer is complete",
             || async {
-                let crashed = [0, 1, 3, 4].iter().all(|i| rig.engines[*i].is_dead());
+                let crashed = [0, 1, 3, 4].iter().all(|i| rig.engines[*i].has_crashed());
                 (crashed || answer_task.is_finished()).then_some(())
             },
         )
--- a/crates/deckwind-testkit/tests/testsuite/shared_bound.rs
+++ b/crates/deckwind-testkit/tests/testsuite/shared_retry_budget.rs
@@ -1,7 +1,7 @@
 //! The shared retry budget over routers that start, stop and lose their leader, with delayed,
 //! lost and duplicated messages and drifting clocks.
 
-use crate::repeat_rig::{Control, LIMITS, STARTED, USED_FRACTION};
+use crate::retry_rig::{Control, LIMITS, RESTARTED, USED_FRACTION};
 use deckwind_core::control::RetryGrant;
 use deckwind_core::routes::{RequestClass, RetryBudgets};
 use deckwind_core::state::RouterProcess;
@@ -100,7 +100,7 @@
                 vm: format!("r{number}").as_str().into(),
                 boot,
             },
-            budgets: RetryBudgets::new(LIMITS, STARTED),
+            budgets: RetryBudgets::new(LIMITS, RESTARTED),
             pending_since_ms: None,
             clock_drift,
         }
--- a/crates/deckwind-testkit/tests/testsuite/slow_readers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/slow_readers.rs
@@ -3,7 +3,7 @@
 
 use crate::rig::{KEY, Rig};
 use crate::run;
-use deckwind_fakes::{FakeRunner, HOST, RunnerFault};
+use deckwind_fakes::{FakeTargetFault, FakeTargetServer, HOST};
 use deckwind_testkit::{Layout, eventually_async};
 use deckwindd::collect::{ByteBudget, CollectError, ReserveBytes};
 use http::StatusCode;
@@ -101,18 +101,18 @@
     }
 }
 
-fn flood() -> RunnerFault {
-    RunnerFault::Floods {
+fn flood() -> FakeTargetFault {
+    FakeTargetFault::Floods {
         events: EVENTS,
         bytes: EVENT_BYTES,
-        goes_on: false,
+        continues: false,
     }
 }
 
 async fn placed(layout: Layout, engines: usize) -> Rig {
     let mut rig = Rig::start_with(layout, 1, engines).await;
     eventually_async("the layers are placed", || {
-        let ranges = rig.engines.iter().map(FakeRunner::layers);
+        let ranges = rig.engines.iter().map(FakeTargetServer::layers);
         let held: u32 = ranges.map(|(from, to)| to - from).sum();
         async move { (held as usize >= 2 * engines).then_some(()) }
     })
@@ -120,7 +120,7 @@
     for i in 0..engines {
         rig.announce("engines", "e", i, "ready").await;
     }
-    rig.until_in_force().await;
+    rig.wait_until_in_force().await;
     rig.until_served("/stream/x", true).await;
     rig.until_served("/once/x", false).await;
     rig
@@ -134,7 +134,7 @@
 
 async fn wait_until_written(rig: &Rig, id: &str) {
     eventually_async("an engine has written its whole answer", || async {
-        let written = rig.engines.iter().flat_map(FakeRunner::written);
+        let written = rig.engines.iter().flat_map(FakeTargetServer::written);
         written.into_iter().any(|w| w == id).then_some(())
     })
     .await;
@@ -241,10 +241,10 @@
 fn past_the_bound_a_new_request_is_refused_at_once_and_not_run() {
     run(async {
         let rig = placed(layout(LOW_MEMORY_MB), 2).await;
-        let flood = RunnerFault::Floods {
+        let flood = FakeTargetFault::Floods {
             events: 1,
             bytes: 1,
-            goes_on: true,
+            continues: true,
         };
         rig.engines.iter().for_each(|e| e.set_fault(flood.clone()));
         let router = rig.cluster.layout.routers[0].routes;
@@ -280,16 +280,16 @@
 fn a_stream_with_a_slow_caller_still_changes_its_path() {
     run(async {
         let mut rig = placed(layout(400.0), 8).await;
-        let fault = RunnerFault::Floods {
+        let fault = FakeTargetFault::Floods {
             events: EVENTS,
             bytes: EVENT_BYTES,
-            goes_on: true,
+            continues: true,
         };
         rig.engines.iter().for_each(|e| e.set_fault(fault.clone()));
         let router = rig.cluster.layout.routers[0].routes;
         let caller = SlowCaller::stream(router, "r1", None).await;
         wait_until_written(&rig, "r1").await;
-        let seen = rig.engines.iter().flat_map(FakeRunner::seen);
+        let seen = rig.engines.iter().flat_map(FakeTargetServer::seen);
         let seen = seen
             .into_iter()
             .find(|r| r.headers["x-deckwind-request-id"] == "r1");
@@ -303,13 +303,13 @@
         rig.announce("engines", "e", i.expect("the engine is known"), "draining")
             .await;
         eventually_async("the path is changed", || async {
-            let changes = rig.engines.iter().map(FakeRunner::path_changes);
+            let changes = rig.engines.iter().map(FakeTargetServer::path_changes);
             (changes.sum::<u32>() > 0).then_some(())
         })
         .await;
         rig.engines
             .iter()
-            .for_each(|e| e.set_fault(RunnerFault::None));
+            .for_each(|e| e.set_fault(FakeTargetFault::None));
         let read = caller.read().await;
         assert!(read.complete);
         let count = read.events.len() as u64;
@@ -327,7 +327,7 @@
 fn a_whole_answer_reaches_a_slow_caller_unchanged(bytes: usize) {
     run(async move {
         let rig = placed(layout(LOW_MEMORY_MB), 2).await;
-        rig.plain[0].set_fault(RunnerFault::Long(bytes));
+        rig.plain[0].set_fault(FakeTargetFault::Long(bytes));
         let router = rig.cluster.layout.routers[0].routes;
         let headers = "Content-Length: 0\r\n";
         let mut caller = SlowCaller::ask(router, "r1", "/once/x", headers, b"").await;
--- a/crates/deckwind-testkit/tests/testsuite/specification.rs
+++ b/crates/deckwind-testkit/tests/testsuite/specification.rs
@@ -2,9 +2,9 @@
 //! run `cargo run --release -p deckwind-spec --example explore`.
 
 use deckwind_spec::{
-    Case, ClaimRules, ClaimSpec, LimitBounds, LimitRules, LimitSpec, LogBounds, LogRules, LogSpec,
-    PassOnSpec, RepeatBounds, RepeatRules, RepeatSpec, Spec, claim_cases, explore, limit_cases,
-    log_cases, pass_on_cases, repeat_cases,
+    Case, ClaimRules, ClaimSpec, ForwardingSpec, LimitBounds, LimitRules, LimitSpec, LogBounds,
+    LogRules, LogSpec, RetryBounds, RetryRules, RetrySpec, Spec, claim_cases, explore,
+    forwarding_cases, limit_cases, log_cases, retry_cases,
 };
 
 /// Asserts that without any one rule, exploration finds a run that violates the
@@ -50,9 +50,9 @@
 
 #[test]
 fn with_all_rules_routers_keep_the_retry_budget() {
-    for bounds in RepeatBounds::SMALL {
-        let rules = RepeatRules::ALL;
-        let explored = explore(&RepeatSpec { rules, bounds });
+    for bounds in RetryBounds::SMALL {
+        let rules = RetryRules::ALL;
+        let explored = explore(&RetrySpec { rules, bounds });
         assert_eq!(explored.counterexample, None, "{bounds:?}");
         assert!(explored.states > 10_000, "{bounds:?}: {}", explored.states);
     }
@@ -60,7 +60,7 @@
 
 #[test]
 fn without_any_one_of_their_rules_retries_exceed_the_budget() {
-    assert_each_rule_is_needed(repeat_cases());
+    assert_each_rule_is_needed(retry_cases());
 }
 
 #[test]
@@ -80,10 +80,10 @@
 
 #[test]
 fn with_all_rules_forwarding_keeps_leases_apart() {
-    assert_eq!(explore(&PassOnSpec::SMALL).counterexample, None);
+    assert_eq!(explore(&ForwardingSpec::SMALL).counterexample, None);
 }
 
 #[test]
 fn without_any_one_of_its_rules_forwarding_breaks() {
-    assert_each_rule_is_needed(pass_on_cases());
+    assert_each_rule_is_needed(forwarding_cases());
 }
--- a/crates/deckwind-testkit/tests/testsuite/status.rs
+++ b/crates/deckwind-testkit/tests/testsuite/status.rs
@@ -5,13 +5,13 @@
 use deckwind_core::control::{ClusterStatus, EngineView, OperatorReply, OperatorRequest};
 use deckwind_core::state::InstanceState;
 use deckwind_testkit::fan_out::engine;
-use deckwind_testkit::{HELD_BYTES, Lab, NetFaults, eventually};
+use deckwind_testkit::{ControlSimulation, HELD_BYTES, NetFaults, eventually};
 use std::time::Duration;
 
-fn status(lab: &mut Lab, leader: usize) -> ClusterStatus {
-    lab.ask(leader, "status", OperatorRequest::Status);
-    lab.run_for(Duration::from_millis(100));
-    match lab.last_reply("status") {
+fn status(sim: &mut ControlSimulation, leader: usize) -> ClusterStatus {
+    sim.ask(leader, "status", OperatorRequest::Status);
+    sim.run_for(Duration::from_millis(100));
+    match sim.last_reply("status") {
         Some(OperatorReply::Status(status)) => status.clone(),
         other => panic!("{other:?}"),
     }
@@ -25,13 +25,13 @@
 
 #[test]
 fn the_leader_reports_routers_replicas_and_targets() {
-    let mut lab = Lab::new(3, 2, 7, NetFaults::NONE);
-    let leader = lab.run_until_led();
-    lab.run_for(Duration::from_secs(1));
-    lab.announce(leader, engine(1, 8, 1));
-    lab.announce(leader, engine(2, 0, 1));
-    lab.run_for(Duration::from_millis(800));
-    let reported = status(&mut lab, leader);
+    let mut sim = ControlSimulation::new(3, 2, 7, NetFaults::NONE);
+    let leader = sim.run_until_leader();
+    sim.run_for(Duration::from_secs(1));
+    sim.announce(leader, engine(1, 8, 1));
+    sim.announce(leader, engine(2, 0, 1));
+    sim.run_for(Duration::from_millis(800));
+    let reported = status(&mut sim, leader);
     assert_eq!(reported.routers.len(), 2);
     for router in &reported.routers {
         assert_eq!(router.behind, reported.revision.0 - router.applied.0);
@@ -49,9 +49,9 @@
     assert!(loaded.heard_ms.is_some_and(|ms| ms < 1_200), "{loaded:?}");
     assert!(engine_view(&reported, "engine-2").layers.is_empty());
 
-    lab.routers.iter_mut().for_each(|r| r.want_repeats(1));
-    lab.run_for(Duration::from_secs(10));
-    let later = status(&mut lab, leader);
+    sim.routers.iter_mut().for_each(|r| r.need_retries(1));
+    sim.run_for(Duration::from_secs(10));
+    let later = status(&mut sim, leader);
     for router in &later.routers {
         assert!(router.repeats.is_some(), "{router:?}");
     }
@@ -60,12 +60,12 @@
 
 #[test]
 fn a_status_round_trips_and_one_without_engines_is_read() {
-    let mut lab = Lab::new(1, 1, 7, NetFaults::NONE);
-    let leader = lab.run_until_led();
-    lab.run_for(Duration::from_secs(1));
-    lab.announce(leader, engine(1, 8, 1));
-    lab.run_for(Duration::from_millis(800));
-    let reported = status(&mut lab, leader);
+    let mut sim = ControlSimulation::new(1, 1, 7, NetFaults::NONE);
+    let leader = sim.run_until_leader();
+    sim.run_for(Duration::from_secs(1));
+    sim.announce(leader, engine(1, 8, 1));
+    sim.run_for(Duration::from_millis(800));
+    let reported = status(&mut sim, leader);
     let mut json = serde_json::to_value(&reported).expect("the status serializes");
     let back: ClusterStatus =
         serde_json::from_value(json.clone()).expect("the status deserializes");
@@ -82,7 +82,7 @@
 #[test]
 fn without_an_operator_token_only_the_status_is_served() {
     let cluster = processes(1, 0);
-    let _control = cluster.open_control().unwrap();
+    let _control = cluster.control_without_token().unwrap();
     let args = ["status", "--engines", "--format", "json"];
     let reported = eventually("the replica leads", || {
         let output = cluster.cli_without_token(&args).unwrap();
--- a/crates/deckwind-testkit/tests/testsuite/support.rs
+++ b/crates/deckwind-testkit/tests/testsuite/support.rs
@@ -3,7 +3,7 @@
 
 use deckwind_core::routing::placement::{EngineCard, RepairMode, plan_chain};
 use deckwind_core::state::{EngineModel, Instance, InstanceChange, InstanceState, LayerRange};
-use deckwind_testkit::placing::model_over;
+use deckwind_testkit::placement_simulation::model_over;
 use std::net::SocketAddr;
 
 /// Accelerator kinds: name, memory in MB, and step and read time as a multiple of
