--- a/crates/deckwind-testkit/tests/testsuite/suspended.rs
+++ b/crates/deckwind-testkit/tests/testsuite/suspended_vms.rs
@@ -6,8 +6,8 @@
 use deckwind_core::membership::{LeaseGrant, LeaseTiming, RouterLeaseState};
 use deckwind_core::replication::Term;
 use deckwind_core::state::Delta;
-use deckwind_fakes::{FakeRunner, RunnerFault};
-use deckwind_testkit::{Lab, NetFaults, VmTime, eventually_async};
+use deckwind_fakes::{FakeTargetFault, FakeTargetServer};
+use deckwind_testkit::{ControlSimulation, NetFaults, VmTime, eventually_async};
 use http::StatusCode;
 use std::time::Duration;
 
@@ -71,7 +71,7 @@
 fn a_router_that_wakes_sends_nothing_on_its_old_lease() {
     run(async {
         let mut rig = Rig::start(2, 0).await;
-        rig.until_in_force().await;
+        rig.wait_until_in_force().await;
         rig.until_served("/once/x", false).await;
         rig.cluster.take_control(0).close().await.expect("closed");
         rig.cluster.router_was_suspended(0, SUSPENSION);
@@ -87,9 +87,9 @@
 fn a_request_whose_time_was_suspended_ends_soon() {
     run(async {
         let mut rig = Rig::start(1, 0).await;
-        rig.until_in_force().await;
+        rig.wait_until_in_force().await;
         rig.until_served("/once/x", false).await;
-        rig.plain[0].set_fault(RunnerFault::Mute);
+        rig.plain[0].set_fault(FakeTargetFault::Mute);
         let suspend = async {
             eventually_async("the request has arrived", || async {
                 (rig.sends("r1") > 0).then_some(())
@@ -116,10 +116,15 @@
 fn suspended_time_counts_as_idle_time_of_connections() {
     run(async {
         let mut rig = Rig::start(1, 0).await;
-        rig.until_in_force().await;
+        rig.wait_until_in_force().await;
         rig.until_served("/safe/x", false).await;
         rig.ask("r1", "/safe/x", KEY, false).await;
-        let connections = || rig.plain.iter().map(FakeRunner::connections).sum::<u32>();
+        let connections = || {
+            rig.plain
+                .iter()
+                .map(FakeTargetServer::connections)
+                .sum::<u32>()
+        };
         let before = connections();
         rig.ask("r2", "/safe/x", KEY, false).await;
         assert_eq!(connections(), before, "the connection is reused");
@@ -138,18 +143,18 @@
 /// nothing and gives no vote on its outdated state.
 #[test]
 fn a_leader_that_wakes_answers_nobody() {
-    let mut lab = Lab::new(3, 2, 7, NetFaults::NONE);
-    let leader = lab.run_until_led();
-    lab.freeze(leader, true);
-    lab.run_for(SUSPENSION);
-    let node = lab.node(leader).expect("the replica exists");
-    let now = lab.now();
+    let mut sim = ControlSimulation::new(3, 2, 7, NetFaults::NONE);
+    let leader = sim.run_until_leader();
+    sim.freeze(leader, true);
+    sim.run_for(SUSPENSION);
+    let node = sim.node(leader).expect("the replica exists");
+    let now = sim.now();
     assert!(!node.core().replica().can_serve_reads(now));
-    let other = lab.leader().expect("another replica leads");
+    let other = sim.leader().expect("another replica leads");
     assert_ne!(other, leader);
-    lab.freeze(leader, false);
-    lab.run_for(Duration::from_secs(2));
-    assert!(lab.leader().is_some());
+    sim.freeze(leader, false);
+    sim.run_for(Duration::from_secs(2));
+    assert!(sim.leader().is_some());
 }
 
 /// A lone control replica still has its log after it has resumed, and becomes leader
@@ -158,7 +163,7 @@
 fn a_control_replica_that_wakes_leads_again() {
     run(async {
         let mut rig = Rig::start(2, 0).await;
-        rig.until_in_force().await;
+        rig.wait_until_in_force().await;
         rig.cluster.control_was_suspended(0, SUSPENSION);
         eventually_async("a release is accepted", || async {
             (rig.publish(2, &[KEY]).await == StatusCode::OK).then_some(())
--- a/crates/deckwind-testkit/tests/testsuite/limits.rs
+++ b/crates/deckwind-testkit/tests/testsuite/target_limits.rs
@@ -12,7 +12,7 @@
 
 use crate::rig::{KEY, Kind, NOT_RESUMABLE, ONCE, REPEATABLE, Rig, STREAMS};
 use crate::run;
-use deckwind_testkit::soak::{Spans, check_limits, id_at};
+use deckwind_testkit::soak::{FaultSpans, check_limits, id_for_router};
 use deckwind_testkit::{Layout, eventually_async};
 use http::StatusCode;
 use std::time::Duration;
@@ -47,9 +47,9 @@
 async fn ask_all_routers(rig: &Rig, name: &str, count: usize, kind: Kind) {
     for i in 0..count {
         let ask = |router: usize| {
-            let id = id_at(&format!("{name}-{i}"), router);
+            let id = id_for_router(&format!("{name}-{i}"), router);
             async move {
-                rig.ask_at(router, &id, kind.path, KEY, kind.tokens, None)
+                rig.ask_router(router, &id, kind.path, KEY, kind.tokens, None)
                     .await
             }
         };
@@ -68,13 +68,15 @@
     run(async move {
         let rig = rig(kind).await;
         rig.until_served(kind.path, kind.tokens).await;
-        rig.targets().for_each(|t| t.name_limit(Some(LIMIT)));
+        rig.targets().for_each(|t| t.set_server_limit(Some(LIMIT)));
         ask_all_routers(&rig, "told", LEARNING_REQUESTS, kind).await;
         tokio::time::sleep(SETTLE_TIME).await;
         ask_all_routers(&rig, "r", REQUESTS, kind).await;
-        let no_disturbances: Vec<Spans> = (0..ROUTERS).map(|_| Spans::default()).collect();
+        let no_disturbances: Vec<FaultSpans> =
+            (0..ROUTERS).map(|_| FaultSpans::default()).collect();
         for target in rig.targets() {
-            let checked = check_limits(&target.arrivals(), &no_disturbances, &Spans::default());
+            let checked =
+                check_limits(&target.arrivals(), &no_disturbances, &FaultSpans::default());
             assert!(checked.is_ok(), "{:#}", checked.unwrap_err());
         }
         rig.cluster.close().await.expect("closed");
@@ -94,17 +96,22 @@
         rig.until_served(kind.path, kind.tokens).await;
         let limited = rig.targets().find(|t| !t.seen().is_empty());
         let limited = limited.expect("a target has served").clone();
-        limited.name_limit(Some("0.2"));
+        limited.set_server_limit(Some("0.2"));
         ask_all_routers(&rig, "told", LEARNING_REQUESTS, kind).await;
         for i in 0..REQUESTS {
-            let id = id_at(&format!("r-{i}"), i % ROUTERS);
+            let id = id_for_router(&format!("r-{i}"), i % ROUTERS);
             let response = rig
-                .ask_at(i % ROUTERS, &id, kind.path, KEY, kind.tokens, None)
+                .ask_router(i % ROUTERS, &id, kind.path, KEY, kind.tokens, None)
                 .await;
             assert_eq!(response.status, StatusCode::OK, "{:?}", response.body);
         }
-        let no_disturbances: Vec<Spans> = (0..ROUTERS).map(|_| Spans::default()).collect();
-        let checked = check_limits(&limited.arrivals(), &no_disturbances, &Spans::default());
+        let no_disturbances: Vec<FaultSpans> =
+            (0..ROUTERS).map(|_| FaultSpans::default()).collect();
+        let checked = check_limits(
+            &limited.arrivals(),
+            &no_disturbances,
+            &FaultSpans::default(),
+        );
         assert!(checked.is_ok(), "{:#}", checked.unwrap_err());
         rig.cluster.close().await.expect("closed");
     });
@@ -121,7 +128,7 @@
     run(async move {
         let rig = rig(kind).await;
         rig.until_served(kind.path, kind.tokens).await;
-        rig.targets().for_each(|t| t.name_limit(Some("0.1")));
+        rig.targets().for_each(|t| t.set_server_limit(Some("0.1")));
         ask_all_routers(&rig, "told", LEARNING_REQUESTS, kind).await;
         let refused = eventually_async("a request is refused", || async {
             let response = rig.ask("r", kind.path, KEY, kind.tokens).await;
@@ -148,15 +155,15 @@
     run(async move {
         let rig = rig(kind).await;
         rig.until_served(kind.path, kind.tokens).await;
-        rig.targets().for_each(|t| t.name_limit(Some(&limit)));
+        rig.targets().for_each(|t| t.set_server_limit(Some(&limit)));
         ask_all_routers(&rig, "told", LEARNING_REQUESTS, kind).await;
-        rig.targets().for_each(|t| t.name_limit(None));
+        rig.targets().for_each(|t| t.set_server_limit(None));
         for router in 0..ROUTERS {
             eventually_async("ten in a row are served", || async {
                 for i in 0..10 {
                     let id = format!("after-{i}");
                     let response = rig
-                        .ask_at(router, &id, kind.path, KEY, kind.tokens, None)
+                        .ask_router(router, &id, kind.path, KEY, kind.tokens, None)
                         .await;
                     if response.status != StatusCode::OK {
                         return None;
@@ -180,7 +187,7 @@
         })
         .await;
         rig.until_served("/safe/x", false).await;
-        rig.plain[0].name_limit(Some("a few"));
+        rig.plain[0].set_server_limit(Some("a few"));
         for i in 0..REQUESTS {
             let response = rig.ask(&format!("r-{i}"), "/safe/x", KEY, false).await;
             assert_eq!(response.status, StatusCode::OK);
--- a/crates/deckwind-testkit/tests/testsuite/target_periods.rs
+++ b/crates/deckwind-testkit/tests/testsuite/target_periods.rs
@@ -3,7 +3,7 @@
 
 use deckwind_core::state::InstanceState;
 use deckwind_testkit::fan_out::engine;
-use deckwind_testkit::{Lab, NetFaults};
+use deckwind_testkit::{ControlSimulation, NetFaults};
 use deckwindd::context::announce_interval;
 use std::time::Duration;
 use yare::parameterized;
@@ -18,19 +18,19 @@
 )]
 fn a_target_is_silent_after_three_of_its_periods(period_ms: u64) {
     let period = Duration::from_millis(period_ms);
-    let mut lab = Lab::with_period(3, 1, 7, NetFaults::NONE, period);
-    let leader = lab.run_until_led();
-    lab.run_for(Duration::from_secs(1));
-    lab.announce(leader, engine(1, 4, 1));
-    let state = |lab: &Lab| {
-        let node = lab.node(leader).expect("the replica is running");
+    let mut sim = ControlSimulation::with_announce_interval(3, 1, 7, NetFaults::NONE, period);
+    let leader = sim.run_until_leader();
+    sim.run_for(Duration::from_secs(1));
+    sim.announce(leader, engine(1, 4, 1));
+    let state = |sim: &ControlSimulation| {
+        let node = sim.node(leader).expect("the replica is running");
         let instances = node.core().state_machine().configuration().instances();
         instances.get("engine-1").map(|i| i.state)
     };
-    lab.run_for(period * 5 / 2);
-    assert_eq!(state(&lab), Some(InstanceState::Ready));
-    lab.run_for(period * 3 / 4);
-    assert_eq!(state(&lab), Some(InstanceState::Silent));
+    sim.run_for(period * 5 / 2);
+    assert_eq!(state(&sim), Some(InstanceState::Ready));
+    sim.run_for(period * 3 / 4);
+    assert_eq!(state(&sim), Some(InstanceState::Silent));
 }
 
 /// A period outside 100 ms to 60 s is ignored, and the default period is used.
