--- a/crates/deckwind-fakes/src/platform.rs
+++ b/crates/deckwind-fakes/src/platform.rs
@@ -17,7 +17,7 @@
 
 impl FakePlatformList {
     /// Creates a list whose answers omit the last `lag` changes.
-    pub fn lagging(lag: usize) -> Self {
+    pub fn with_lag(lag: usize) -> Self {
         Self {
             lag,
             history: Arc::default(),
--- a/crates/deckwind-fakes/src/target_server/answers.rs
+++ b/crates/deckwind-fakes/src/target_server/answers.rs
@@ -3,8 +3,8 @@
 
 use super::fleet::{Fleet, PathError, parse_path};
 use super::{
-    CRASH_DOWNTIME, ENDS_ITS_TARGET, EVENT_GAP, EVENTS, FakeTargetFault, SeenRequest, State,
-    start_incarnation,
+    CRASH_DOWNTIME, ENDS_ITS_TARGET, EVENT_GAP, EVENTS_PER_STREAM, FakeTargetFault, SeenRequest,
+    State, start_incarnation,
 };
 use anyhow::Result;
 use serde_json::{Value, json};
@@ -107,7 +107,7 @@
         );
         return write_response(s, state, &head, b"").await;
     }
-    if let FakeTargetFault::Answers(status) = &fault {
+    if let FakeTargetFault::AnswersStatus(status) = &fault {
         let head = format!(
             "{status} Own\r\nX-Deckwind-Request-Id: {request}\r\nX-Deckwind-Response-Seal: s"
         );
@@ -179,12 +179,12 @@
         let mut next = last + 1;
         let mut stalled_since = None;
         while next <= self.fleet.events(&self.request) {
-            tokio::time::sleep(pace.gap).await;
+            tokio::time::sleep(pace.event_interval).await;
             wait_while_paused(state).await;
             if let Some(down) = stream.down_engine() {
                 let since = *stalled_since.get_or_insert_with(Instant::now);
                 self.update_stall(state, Some(down));
-                match (since.elapsed() >= pace.stall, next == last + 1) {
+                match (since.elapsed() >= pace.stall_timeout, next == last + 1) {
                     (false, _) => continue,
                     (true, true) => return self.refuse(s, PathError::Down(down), state).await,
                     (true, false) => return Ok(false),
@@ -268,7 +268,7 @@
         format!("200 OK\r\nX-Deckwind-Request-Id: {request}\r\nX-Deckwind-Response-Seal: s");
     let body = format!("answer to {request}");
     match fault {
-        FakeTargetFault::Mute => {
+        FakeTargetFault::NeverAnswers => {
             tokio::time::sleep(Duration::from_secs(600)).await;
             Ok(false)
         }
@@ -278,7 +278,7 @@
             );
             write_response(s, state, &head, b"failed").await
         }
-        FakeTargetFault::Cuts => {
+        FakeTargetFault::ClosesMidAnswer => {
             let head = format!(
                 "HTTP/1.1 {ok_head}{}\r\nContent-Length: 500\r\n\r\n{body}",
                 target_headers(state, false)
@@ -294,7 +294,7 @@
             let head = format!("200 OK\r\nX-Deckwind-Request-Id: {request}");
             write_response(s, state, &head, body.as_bytes()).await
         }
-        FakeTargetFault::Long(bytes) => {
+        FakeTargetFault::LongBody(bytes) => {
             write_response(s, state, &ok_head, "y".repeat(*bytes).as_bytes()).await
         }
         FakeTargetFault::Unframed => {
@@ -305,7 +305,7 @@
             s.write_all(head.as_bytes()).await?;
             Ok(false)
         }
-        FakeTargetFault::Extra => {
+        FakeTargetFault::SecondAnswer => {
             write_response(s, state, &ok_head, body.as_bytes()).await?;
             write_response(s, state, &ok_head.replace(request, "stale"), b"stale").await
         }
@@ -323,7 +323,7 @@
     let last = req.headers.get("last-event-id");
     let last = last.and_then(|l| l.parse().ok()).unwrap_or(0);
     let head = stream_head(request, state);
-    if *fault == FakeTargetFault::Cuts {
+    if *fault == FakeTargetFault::ClosesMidAnswer {
         return Ok(false);
     }
     if let FakeTargetFault::Floods {
@@ -337,7 +337,7 @@
     }
     // The head is sent with the first event, as the users' engines do.
     let mut head = Some(head);
-    for event in last + 1..=EVENTS {
+    for event in last + 1..=EVENTS_PER_STREAM {
         tokio::time::sleep(EVENT_GAP).await;
         let stalls = matches!(fault, FakeTargetFault::StallsAfter { event: at, .. } if event > *at);
         if let Some(head) = head.take_if(|_| !stalls) {
--- a/crates/deckwind-fakes/src/target_server/fleet.rs
+++ b/crates/deckwind-fakes/src/target_server/fleet.rs
@@ -14,13 +14,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FleetConfig {
     /// Mean number of events of a stream; streams have between 0.5 and 1.5 times as many.
-    pub events: u64,
+    pub mean_events: u64,
     /// Time between two events.
-    pub gap: Duration,
+    pub event_interval: Duration,
     /// Time after which a stream that is stalled by a down engine is broken off.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
     /// Maximum number of streams that pass through one engine.
-    pub room: usize,
+    pub max_streams: usize,
 }
 
 /// A request that a target of the fleet received.
@@ -163,7 +163,7 @@
     pub(super) fn events(&self, request: &str) -> u64 {
         let mut hasher = DefaultHasher::new();
         request.hash(&mut hasher);
-        let mean = self.0.pace.events;
+        let mean = self.0.pace.mean_events;
         mean / 2 + hasher.finish() % mean.max(1)
     }
 
@@ -206,7 +206,7 @@
         let count = |a: &SocketAddr| active.streams.get(a).copied().unwrap_or_default();
         let is_new = |p: &&PathStage| !held.contains(p);
         let mut new = path.iter().filter(is_new);
-        match new.find(|p| count(&p.address) >= self.0.pace.room) {
+        match new.find(|p| count(&p.address) >= self.0.pace.max_streams) {
             Some(full) => Err(PathError::Full(full.address)),
             None => Ok(()),
         }
--- a/crates/deckwind-fakes/src/target_server/mod.rs
+++ b/crates/deckwind-fakes/src/target_server/mod.rs
@@ -35,9 +35,9 @@
     Fails,
     /// Answers with this status and a signature, but does not mark the request as not
     /// executed. The request is not recorded as run.
-    Answers(u16),
+    AnswersStatus(u16),
     /// Answers plain requests with a body of this many bytes.
-    Long(usize),
+    LongBody(usize),
     /// Writes the events of a stream as fast as they are read.
     Floods {
         /// Number of events.
@@ -49,9 +49,9 @@
     },
     /// Runs requests and closes the connection in the middle of the answer; of a
     /// stream, before the head.
-    Cuts,
+    ClosesMidAnswer,
     /// Runs plain requests and does not answer for 600 s, then closes the connection.
-    Mute,
+    NeverAnswers,
     /// Answers plain requests with the ID of another request.
     OtherId,
     /// Answers plain requests without a signature.
@@ -59,7 +59,7 @@
     /// Answers plain requests without a content length and closes the connection.
     Unframed,
     /// Sends a second, unrequested answer after the answer to a plain request.
-    Extra,
+    SecondAnswer,
     /// Leaves every other order unanswered, and applies it only after the order that
     /// follows it.
     DelaysOrders,
@@ -96,7 +96,7 @@
     /// Time of receipt.
     pub at: Instant,
     /// Rest period that the refusal asked for, if the request was refused with one.
-    pub rest: Option<Duration>,
+    pub rest_period: Option<Duration>,
     /// Whether the answer announces that the target leaves.
     pub leaves: bool,
     /// Limit that the answer states, in requests per second.
@@ -162,7 +162,7 @@
         self.arrivals.push(Arrival {
             request: request.to_string(),
             at: Instant::now(),
-            rest: seconds.filter(|_| refuses).map(Duration::from_secs_f64),
+            rest_period: seconds.filter(|_| refuses).map(Duration::from_secs_f64),
             leaves: self.leaves,
             limit: self.limit.as_ref().and_then(|l| l.parse().ok()),
         });
@@ -216,7 +216,7 @@
 pub const CRASH_DOWNTIME: Duration = Duration::from_millis(400);
 
 /// Number of events in a complete stream.
-pub const EVENTS: u64 = 12;
+pub const EVENTS_PER_STREAM: u64 = 12;
 
 /// Time between two events, and polling interval for a pause or stall to end.
 const EVENT_GAP: Duration = Duration::from_millis(15);
@@ -322,7 +322,7 @@
     }
 
     /// Sets the layers that it holds, as an applied order would.
-    pub fn hold(&self, first: u32, last: u32) {
+    pub fn set_layers(&self, first: u32, last: u32) {
         self.lock().layers = (first, last);
     }
 
@@ -349,7 +349,7 @@
     }
 
     /// Returns the received requests, without report requests and orders.
-    pub fn seen(&self) -> Vec<SeenRequest> {
+    pub fn received_requests(&self) -> Vec<SeenRequest> {
         self.lock().seen.clone()
     }
 
@@ -359,7 +359,7 @@
     }
 
     /// Returns the IDs of the requests that it started to run, one entry for each run.
-    pub fn ran(&self) -> Vec<String> {
+    pub fn run_request_ids(&self) -> Vec<String> {
         self.lock().ran.clone()
     }
 
@@ -384,7 +384,7 @@
     }
 
     /// Returns the IDs of the requests whose flood of events was written completely.
-    pub fn written(&self) -> Vec<String> {
+    pub fn completed_floods(&self) -> Vec<String> {
         self.lock().written.clone()
     }
 
@@ -414,7 +414,7 @@
     }
 
     /// Whether it listens and is neither down nor paused.
-    pub fn listens(&self) -> bool {
+    pub fn is_reachable(&self) -> bool {
         !self.task.is_finished() && !self.lock().is_down()
     }
 
--- a/crates/deckwind-testkit/examples/capacity_after_loss.rs
+++ b/crates/deckwind-testkit/examples/capacity_after_loss.rs
@@ -35,10 +35,10 @@
 }
 
 fn lose(baseline: &PlacementSimulation, lost: &BTreeSet<String>) -> RemainingCapacity {
-    let capacity = baseline.room().narrowest;
+    let capacity = baseline.capacity().narrowest;
     let mut simulation = baseline.clone();
-    simulation.lose(lost);
-    let fraction = |simulation: &PlacementSimulation| simulation.room().narrowest / capacity;
+    simulation.crash_engines(lost);
+    let fraction = |simulation: &PlacementSimulation| simulation.capacity().narrowest / capacity;
     let at_loss = fraction(&simulation);
     let bound = simulation.max_capacity() / capacity;
     simulation.run_for(FIRST_CHECK);
@@ -85,7 +85,7 @@
         baseline.run_for(START_TIME);
         println!(
             "{name}: without faults {:.0}, bound {:.0}",
-            baseline.room().narrowest / 1e3,
+            baseline.capacity().narrowest / 1e3,
             baseline.max_capacity() / 1e3
         );
         let ids = baseline.ready();
--- a/crates/deckwind-testkit/examples/many_targets.rs
+++ b/crates/deckwind-testkit/examples/many_targets.rs
@@ -27,8 +27,8 @@
     let mut fan_out = FanOut::new(routers, 0, LINK_MBPS)?;
     fan_out.publish(engine_release(1, 240));
     fan_out.run_until_applied(Duration::from_secs(5))?;
-    fan_out.pass_on(relays);
-    fan_out.serve(MAX_RETRIES);
+    fan_out.relay_through(relays);
+    fan_out.enable_retries(MAX_RETRIES);
     fan_out.take_traffic();
     let fleet = engine_fleet(targets);
     let batch_size = targets.div_ceil(STEPS_PER_PERIOD as usize);
@@ -49,13 +49,13 @@
             "  until {:>5.1} s: worked {:>7.1} ms per second, longest batch {:>7.1} ms, queue {:>5.1} ms, \
              {:>6.2} MB in {:>5} messages, {:>4} engines hold layers, {} routers lag, {} leases lost",
             period as f64 * ANNOUNCE_INTERVAL.as_secs_f64(),
-            carried.worked.as_secs_f64() * 1e3 / ANNOUNCE_INTERVAL.as_secs_f64(),
+            carried.work_time.as_secs_f64() * 1e3 / ANNOUNCE_INTERVAL.as_secs_f64(),
             carried.longest_batch.as_secs_f64() * 1e3,
             carried.longest_queue.as_secs_f64() * 1e3,
             carried.bytes as f64 / 1e6,
             carried.messages,
-            fan_out.holding(),
-            fan_out.lagging(),
+            fan_out.engines_with_layers(),
+            fan_out.routers_behind(),
             carried.leases_lost,
         );
     }
--- a/crates/deckwind-testkit/examples/placement_capacity.rs
+++ b/crates/deckwind-testkit/examples/placement_capacity.rs
@@ -5,7 +5,7 @@
 //!
 //! `cargo run --release -p deckwind-testkit --example placement_capacity`
 
-use deckwind_testkit::placement_simulation::{FLEETS, PlacementSimulation, Room};
+use deckwind_testkit::placement_simulation::{FLEETS, PlacementSimulation, TokenCapacity};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -16,7 +16,7 @@
 const START_TIME: Duration = Duration::from_secs(60);
 
 /// Returns the mean of a value over all measurements, in thousands.
-fn mean(measurements: &[Room], value: impl Fn(&Room) -> f64) -> f64 {
+fn mean(measurements: &[TokenCapacity], value: impl Fn(&TokenCapacity) -> f64) -> f64 {
     measurements.iter().map(value).sum::<f64>() / measurements.len() as f64 / 1e3
 }
 
@@ -27,12 +27,12 @@
     for (name, fleet) in FLEETS {
         let mut start = PlacementSimulation::new(fleet);
         start.run_for(START_TIME);
-        let capacity = start.room();
+        let capacity = start.capacity();
         println!(
             "{name}: start {:>5.0} {:>5.0} {:>3} {:>4}",
             capacity.narrowest / 1e3,
             capacity.mean / 1e3,
-            capacity.empty,
+            capacity.empty_engines,
             start.orders
         );
         let mut measurements = Vec::new();
@@ -44,7 +44,7 @@
             let mut ids = simulation.ready();
             ids.shuffle(&mut StdRng::seed_from_u64(seed));
             let lost: BTreeSet<String> = ids.iter().take(ids.len() / 6).cloned().collect();
-            simulation.lose(&lost);
+            simulation.crash_engines(&lost);
             measurements.extend(simulation.run_for(Duration::from_millis(4_500)));
             simulation.replace(&lost);
             measurements.extend(simulation.run_for(Duration::from_millis(7_500)));
@@ -59,7 +59,7 @@
             "    losses: {:>5.0} {:>5.0} {:>5.1} {:>4}, worst {worst:>4.0}",
             mean(&measurements, |r| r.narrowest),
             mean(&measurements, |r| r.mean),
-            mean(&measurements, |r| r.empty as f64) * 1e3,
+            mean(&measurements, |r| r.empty_engines as f64) * 1e3,
             orders / 8
         );
         let mut simulation = PlacementSimulation::new(fleet);
--- a/crates/deckwind-testkit/examples/slow_readers.rs
+++ b/crates/deckwind-testkit/examples/slow_readers.rs
@@ -82,7 +82,7 @@
     eventually_async("the router serves requests", || async {
         drop(open_stream(routes, "warm-up").await.ok()?);
         target
-            .seen()
+            .received_requests()
             .iter()
             .any(|r| r.line.contains("flood"))
             .then_some(())
@@ -91,14 +91,14 @@
     println!("memory {:?} MB, answers of 8 MB", cluster.layout.memory_mb);
     println!("no slow callers: {} KiB", resident_kib(router.id())?);
     for callers in [5, 10, 20, 40, 80] {
-        let written_before = target.written().len();
+        let written_before = target.completed_floods().len();
         let mut open = Vec::new();
         for i in 0..callers {
             open.push(open_stream(routes, &format!("slow-{callers}-{i}")).await?);
         }
         // Long enough to transfer the answers over loopback; the callers don't read.
         tokio::time::sleep(Duration::from_millis(1_500)).await;
-        let written = target.written().len() - written_before;
+        let written = target.completed_floods().len() - written_before;
         let resident = resident_kib(router.id())?;
         println!(
             "{callers:>4} slow callers: {resident:>7} KiB, {written} answers read completely from the target"
--- a/crates/deckwind-testkit/src/at_size/mod.rs
+++ b/crates/deckwind-testkit/src/at_size/mod.rs
@@ -289,7 +289,7 @@
 
 impl Target {
     async fn announce(&self, control_client: &ControlClient) {
-        if !self.server.listens() {
+        if !self.server.is_reachable() {
             return;
         }
         let number = self.announced.fetch_add(1, Ordering::Relaxed) + 1;
--- a/crates/deckwind-testkit/src/at_size/size.rs
+++ b/crates/deckwind-testkit/src/at_size/size.rs
@@ -85,10 +85,10 @@
             window: Duration::from_secs(10),
             attempts: 2,
             pace: FleetConfig {
-                events: 45,
-                gap: Duration::from_millis(90),
-                stall: Duration::from_millis(2_500),
-                room: 160,
+                mean_events: 45,
+                event_interval: Duration::from_millis(90),
+                stall_timeout: Duration::from_millis(2_500),
+                max_streams: 160,
             },
         }
     }
--- a/crates/deckwind-testkit/src/control_simulation.rs
+++ b/crates/deckwind-testkit/src/control_simulation.rs
@@ -26,7 +26,7 @@
     /// Rate of lost messages.
     pub lost: u32,
     /// Rate of duplicated messages.
-    pub doubled: u32,
+    pub duplicated: u32,
     /// Rate of orders whose confirmation is lost, so that the leader repeats them.
     pub orders_unanswered: u32,
     /// Maximum delay of a message.
@@ -37,7 +37,7 @@
     /// A network without faults.
     pub const NONE: NetFaults = NetFaults {
         lost: 0,
-        doubled: 0,
+        duplicated: 0,
         orders_unanswered: 0,
         max_delay: Duration::from_millis(1),
     };
@@ -45,7 +45,7 @@
     /// A network with many faults.
     pub const BAD: NetFaults = NetFaults {
         lost: 100,
-        doubled: 50,
+        duplicated: 50,
         orders_unanswered: 900,
         max_delay: Duration::from_millis(60),
     };
@@ -98,7 +98,7 @@
     pub(crate) leaders: BTreeMap<Term, ReplicaId>,
     pub(crate) committed: BTreeMap<Index, Entry>,
     pub(crate) accepted: Revision,
-    pub(crate) ordered: BTreeMap<TargetName, Term>,
+    pub(crate) newest_terms: BTreeMap<TargetName, Term>,
     /// Replies to operators and targets, by request or instance id.
     pub replies: BTreeMap<String, Vec<OperatorReply>>,
     limits: ControlLimits,
@@ -138,7 +138,7 @@
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
             accepted: Revision::ZERO,
-            ordered: BTreeMap::new(),
+            newest_terms: BTreeMap::new(),
             replies: BTreeMap::new(),
             limits: ControlLimits {
                 compact_after: 24,
@@ -212,10 +212,10 @@
         let seed = self.rng.random();
         let cfg = ReplicaConfig::new(opened.id, 0..self.nodes.len() as u32, seed);
         let node = ControlNode::new(cfg, self.lease, self.limits, store, opened, now);
-        let lab_node = &mut self.nodes[slot];
-        lab_node.node = Some(node.expect("the snapshot can be read"));
-        lab_node.checked_up_to = Index(0);
-        lab_node.inbox.clear();
+        let node_state = &mut self.nodes[slot];
+        node_state.node = Some(node.expect("the snapshot can be read"));
+        node_state.checked_up_to = Index(0);
+        node_state.inbox.clear();
     }
 
     /// Simulates a power loss: data that wasn't synced is lost, except for `torn` bytes.
@@ -237,11 +237,11 @@
     }
 
     /// Partitions a replica from the others, or removes the partition.
-    pub fn cut_off(&mut self, slot: usize, is_cut_off: bool) {
+    pub fn set_partitioned(&mut self, slot: usize, is_partitioned: bool) {
         for other in 0..self.nodes.len() as u32 {
             let slot = slot as u32;
             for pair in [(slot, other), (other, slot)] {
-                if is_cut_off {
+                if is_partitioned {
                     self.partitions.insert(pair);
                 } else {
                     self.partitions.remove(&pair);
@@ -343,7 +343,7 @@
     }
 
     /// Adds an event to a replica's inbox.
-    pub fn happens(&mut self, slot: usize, event: ControlEvent) {
+    pub fn push_event(&mut self, slot: usize, event: ControlEvent) {
         self.nodes[slot].inbox.push(event);
     }
 
@@ -393,18 +393,18 @@
 
     fn step_node(&mut self, slot: usize) {
         let now = self.local_time(slot);
-        let lab_node = &mut self.nodes[slot];
-        let Some(node) = &mut lab_node.node else {
-            lab_node.inbox.clear();
+        let node_state = &mut self.nodes[slot];
+        let Some(node) = &mut node_state.node else {
+            node_state.inbox.clear();
             return;
         };
-        if lab_node.frozen {
+        if node_state.frozen {
             return;
         }
-        let batch = std::mem::take(&mut lab_node.inbox);
+        let batch = std::mem::take(&mut node_state.inbox);
         let mut effects = Vec::new();
         if node.process_batch(now, batch, &mut effects).is_err() {
-            lab_node.node = None;
+            node_state.node = None;
         }
         for effect in effects {
             self.apply_effect(slot, effect);
@@ -412,8 +412,8 @@
     }
 
     /// Newest leader term of the orders that each target has received.
-    pub fn ordered(&self) -> &BTreeMap<TargetName, Term> {
-        &self.ordered
+    pub fn newest_terms(&self) -> &BTreeMap<TargetName, Term> {
+        &self.newest_terms
     }
 
     pub(crate) fn record_reply(&mut self, id: &str, reply: OperatorReply) {
--- a/crates/deckwind-testkit/src/fan_out.rs
+++ b/crates/deckwind-testkit/src/fan_out.rs
@@ -86,7 +86,7 @@
     /// Leases that expired.
     pub leases_lost: u64,
     /// Time that the leader spent on batches, by this machine's clock.
-    pub worked: Duration,
+    pub work_time: Duration,
     /// Time spent on the longest batch, by this machine's clock: the longest delay that a
     /// heartbeat may see.
     pub longest_batch: Duration,
@@ -111,7 +111,7 @@
     requesting_routers: BTreeMap<u64, usize>,
     next_number: u64,
     operator_events: Vec<ControlEvent>,
-    carried: LinkTraffic,
+    traffic: LinkTraffic,
 }
 
 impl FanOut {
@@ -150,19 +150,19 @@
             requesting_routers: BTreeMap::new(),
             next_number: 1,
             operator_events: Vec::new(),
-            carried: LinkTraffic::default(),
+            traffic: LinkTraffic::default(),
         };
         fan_out.run_for(Duration::from_secs(5))?;
         ensure!(
             fan_out.routers.iter().all(|r| r.was_live),
             "not all routers hold a lease"
         );
-        fan_out.carried = LinkTraffic::default();
+        fan_out.traffic = LinkTraffic::default();
         Ok(fan_out)
     }
 
     /// Has this number of replicas relay the routers' requests from now on.
-    pub fn pass_on(&mut self, relays: u32) {
+    pub fn relay_through(&mut self, relays: u32) {
         self.relays = relays;
     }
 
@@ -178,13 +178,13 @@
 
     /// Has all routers serve the pool and hold retries in reserve from now on; they may
     /// be granted this number of retries.
-    pub fn serve(&mut self, repeats: u64) {
+    pub fn enable_retries(&mut self, repeats: u64) {
         self.repeats = Some(repeats);
     }
 
     /// Returns the traffic since the last call and resets it.
     pub fn take_traffic(&mut self) -> LinkTraffic {
-        std::mem::take(&mut self.carried)
+        std::mem::take(&mut self.traffic)
     }
 
     /// Restarts all routers at once, without leases and state.
@@ -216,7 +216,7 @@
     }
 
     /// Returns the number of routers that haven't applied the committed revision.
-    pub fn lagging(&self) -> usize {
+    pub fn routers_behind(&self) -> usize {
         let committed = self.revision();
         let is_lagging = |r: &&Router| r.lease.applied() < committed;
         self.routers.iter().filter(is_lagging).count()
@@ -249,7 +249,7 @@
     }
 
     /// Returns the number of engines that hold layers.
-    pub fn holding(&self) -> usize {
+    pub fn engines_with_layers(&self) -> usize {
         let instances = self.node.core().state_machine().configuration().instances();
         instances.iter().filter(|i| !i.layers.is_empty()).count()
     }
@@ -263,11 +263,11 @@
     pub fn run_until_applied(&mut self, timeout: Duration) -> Result<Duration> {
         let begun = self.now;
         self.step()?;
-        while self.lagging() > 0 {
+        while self.routers_behind() > 0 {
             ensure!(
                 self.now.since(begun) < timeout,
                 "{} routers still lag",
-                self.lagging()
+                self.routers_behind()
             );
             self.step()?;
         }
@@ -309,8 +309,8 @@
         let begun = std::time::Instant::now();
         self.node.process_batch(now, batch, &mut effects)?;
         let took = begun.elapsed();
-        self.carried.worked += took;
-        self.carried.longest_batch = self.carried.longest_batch.max(took);
+        self.traffic.work_time += took;
+        self.traffic.longest_batch = self.traffic.longest_batch.max(took);
         let mut relayed: BTreeMap<u32, Vec<(u64, ControlReply)>> = BTreeMap::new();
         for effect in effects {
             match effect {
@@ -341,7 +341,7 @@
         self.next_number += 1;
         let token = self.next_number;
         self.requesting_routers.insert(token, router);
-        self.carried.renewals += 1;
+        self.traffic.renewals += 1;
         let request = ControlRequest::Renew(renewal);
         let Some(relay) = self.relay_of(token) else {
             return ControlEvent::Request { token, request };
@@ -365,7 +365,7 @@
         let in_use = self.engine_load_of(router);
         let r = &mut self.routers[router];
         let is_live = r.lease.is_live(self.now);
-        self.carried.leases_lost += u64::from(r.was_live && !is_live);
+        self.traffic.leases_lost += u64::from(r.was_live && !is_live);
         r.was_live = is_live;
         if r.sent_at.is_some() {
             return;
@@ -429,9 +429,9 @@
         let transfer_time = Duration::from_secs_f64(link_bytes as f64 / self.bytes_per_s);
         self.link_free_at = transfer_start + transfer_time;
         let queue_time = self.link_free_at.since(self.now);
-        self.carried.longest_queue = self.carried.longest_queue.max(queue_time);
-        self.carried.messages += 1;
-        self.carried.bytes += link_bytes as u64;
+        self.traffic.longest_queue = self.traffic.longest_queue.max(queue_time);
+        self.traffic.messages += 1;
+        self.traffic.bytes += link_bytes as u64;
         for (token, reply) in answers {
             // Answers to requests from before a restart are dropped.
             if let Some(router) = self.requesting_routers.remove(&token) {
--- a/crates/deckwind-testkit/src/placement_simulation.rs
+++ b/crates/deckwind-testkit/src/placement_simulation.rs
@@ -78,13 +78,13 @@
 
 /// Token capacity of the engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Room {
+pub struct TokenCapacity {
     /// Capacity at the narrowest layer of each data centre, summed over the data centres.
     pub narrowest: f64,
     /// Mean capacity over the layers of each data centre, summed over the data centres.
     pub mean: f64,
     /// Number of engines that hold no layers.
-    pub empty: usize,
+    pub empty_engines: usize,
 }
 
 /// Engines and the leader's placement of layers on them.
@@ -179,7 +179,7 @@
     }
 
     /// Simulates the crash of engines; the leader is informed at once.
-    pub fn lose(&mut self, ids: &BTreeSet<String>) {
+    pub fn crash_engines(&mut self, ids: &BTreeSet<String>) {
         self.loading.retain(|(_, id), _| !ids.contains(id));
         let left = ids
             .iter()
@@ -202,13 +202,13 @@
 
     /// Replaces this number of engines, spread evenly over all, one after the other.
     /// Returns the capacity after each run of the planner.
-    pub fn replace_one_by_one(&mut self, count: usize, gap: Duration) -> Vec<Room> {
+    pub fn replace_one_by_one(&mut self, count: usize, gap: Duration) -> Vec<TokenCapacity> {
         let all = self.ready();
         let stride = all.len().div_ceil(count.max(1)).max(1);
         let mut capacities = Vec::new();
         for id in all.iter().step_by(stride) {
             let lost = BTreeSet::from([id.clone()]);
-            self.lose(&lost);
+            self.crash_engines(&lost);
             capacities.extend(self.run_for(gap / 2));
             self.replace(&lost);
             capacities.extend(self.run_for(gap / 2));
@@ -217,14 +217,14 @@
     }
 
     /// Advances the time; returns the capacity after each run of the planner.
-    pub fn run_for(&mut self, time: Duration) -> Vec<Room> {
+    pub fn run_for(&mut self, time: Duration) -> Vec<TokenCapacity> {
         let end = self.now + time;
         let mut capacities = Vec::new();
         while self.now < end {
             self.now = self.now + PLANNING_INTERVAL;
             self.complete_orders();
             self.run_planner();
-            capacities.push(self.room());
+            capacities.push(self.capacity());
         }
         capacities
     }
@@ -285,16 +285,16 @@
     }
 
     /// The current token capacity.
-    pub fn room(&self) -> Room {
+    pub fn capacity(&self) -> TokenCapacity {
         let mut by_data_centre: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
-        let mut room = Room::default();
+        let mut capacity = TokenCapacity::default();
         let ready = self.instances().iter();
         for i in ready.filter(|i| i.state == InstanceState::Ready) {
             let layers = by_data_centre
                 .entry(i.data_centre.as_str())
                 .or_insert_with(|| vec![0.0; model().layers as usize]);
             if i.layers.is_empty() {
-                room.empty += usize::from(i.in_memory == 0);
+                capacity.empty_engines += usize::from(i.in_memory == 0);
                 continue;
             }
             let kind = KINDS.iter().find(|k| Some(k.0) == i.accelerator.as_deref());
@@ -305,10 +305,10 @@
             }
         }
         for layers in by_data_centre.values() {
-            room.narrowest += layers.iter().copied().fold(f64::INFINITY, f64::min);
-            room.mean += layers.iter().sum::<f64>() / layers.len() as f64;
+            capacity.narrowest += layers.iter().copied().fold(f64::INFINITY, f64::min);
+            capacity.mean += layers.iter().sum::<f64>() / layers.len() as f64;
         }
-        room
+        capacity
     }
 }
 
--- a/crates/deckwind-testkit/src/simulated_network.rs
+++ b/crates/deckwind-testkit/src/simulated_network.rs
@@ -140,7 +140,10 @@
     fn deliver_orders(&mut self, slot: usize, batch: OrderBatch) {
         for order in &batch.orders {
             let term = order.fence.term;
-            let newest = self.ordered.entry(batch.target.clone()).or_insert(term);
+            let newest = self
+                .newest_terms
+                .entry(batch.target.clone())
+                .or_insert(term);
             assert!(
                 term >= *newest,
                 "{} got an order of {term:?} after {newest:?}",
@@ -161,7 +164,7 @@
         }
         let micros = self.faults.max_delay.as_micros() as u64;
         let delay = Duration::from_micros(self.rng.random_range(0..=micros));
-        if self.rng.random_range(0..1_000) < self.faults.doubled
+        if self.rng.random_range(0..1_000) < self.faults.duplicated
             && let InFlight::Message(m) = &in_flight
         {
             let duplicate = InFlight::Message(m.clone());
@@ -181,7 +184,7 @@
             let Some(request) = request else {
                 continue;
             };
-            let slot = self.routers[i].choose(self.now);
+            let slot = self.routers[i].choose_replica(self.now);
             let token = self.next_token;
             self.next_token += 1;
             let requester = Requester::Router(i, Box::new(request.clone()), self.now);
--- a/crates/deckwind-testkit/src/simulated_routers.rs
+++ b/crates/deckwind-testkit/src/simulated_routers.rs
@@ -40,7 +40,7 @@
     /// Slot of the replica that the last request went to.
     last_slot: u32,
     /// Keys of the requests that it ran, with one entry per run.
-    pub ran: Vec<String>,
+    pub executed_keys: Vec<String>,
     timing: LeaseTiming,
     budgets: Option<RetryBudgets>,
     /// Time of the last report that retries run short.
@@ -48,7 +48,7 @@
     /// Number of retries that its streams still need.
     retries_wanted: u64,
     /// Times of the retries, over all restarts of the router.
-    pub repeated: Vec<Instant>,
+    pub retry_times: Vec<Instant>,
 }
 
 /// Time without an answer after which a request is sent again.
@@ -93,12 +93,12 @@
             claim: None,
             claims_wanted: 0,
             nonce: 0,
-            ran: Vec::new(),
+            executed_keys: Vec::new(),
             timing,
             budgets: None,
             last_short_report: None,
             retries_wanted: 0,
-            repeated: Vec::new(),
+            retry_times: Vec::new(),
         }
     }
 
@@ -162,7 +162,7 @@
                 break;
             }
             self.retries_wanted -= 1;
-            self.repeated.push(now);
+            self.retry_times.push(now);
         }
     }
 
@@ -189,13 +189,13 @@
     }
 
     /// Chooses the replica for the next request and returns its slot.
-    pub fn choose(&mut self, now: Instant) -> u32 {
+    pub fn choose_replica(&mut self, now: Instant) -> u32 {
         self.last_slot = self.choice.next(now).unwrap_or_default();
         self.last_slot
     }
 
     /// Slot of the replica that the last request went to.
-    pub fn asked(&self) -> usize {
+    pub fn last_slot(&self) -> usize {
         self.last_slot as usize
     }
 
@@ -332,7 +332,7 @@
         if nonce.is_multiple_of(3) {
             return Outcome::NotRun;
         }
-        self.ran.push(key.to_string());
+        self.executed_keys.push(key.to_string());
         Outcome::Answer {
             status: 200,
             body: Vec::new(),
--- a/crates/deckwind-testkit/src/simulation_checks.rs
+++ b/crates/deckwind-testkit/src/simulation_checks.rs
@@ -54,7 +54,7 @@
     }
 
     fn check_retries(&self) {
-        let used = self.routers.iter().flat_map(|r| &r.repeated);
+        let used = self.routers.iter().flat_map(|r| &r.retry_times);
         let used = used.filter(|at| self.now.since(**at) < RETRY_LIMITS.window);
         let used = used.count();
         let max_retries = USABLE_SHARE * RETRY_LIMITS.extra;
--- a/crates/deckwind-testkit/src/soak/calls.rs
+++ b/crates/deckwind-testkit/src/soak/calls.rs
@@ -3,7 +3,7 @@
 use super::environment::Target;
 use super::notices::{FaultSpans, id_for_router};
 use bytes::Bytes;
-use deckwind_fakes::{ENDS_ITS_TARGET, EVENTS, FakeCall, release_document};
+use deckwind_fakes::{ENDS_ITS_TARGET, EVENTS_PER_STREAM, FakeCall, release_document};
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -196,7 +196,7 @@
 
 fn stream_body() -> String {
     let event = |i| format!("id: {i}\ndata: token {i}\n\n");
-    (1..=EVENTS).map(event).collect()
+    (1..=EVENTS_PER_STREAM).map(event).collect()
 }
 
 fn flood_body() -> String {
--- a/crates/deckwind-testkit/src/soak/environment.rs
+++ b/crates/deckwind-testkit/src/soak/environment.rs
@@ -353,7 +353,7 @@
         let not_run = self.shared.not_run.lock().expect("no holder panics");
         for target in self.shared.targets.lock().expect("no holder panics").iter() {
             // Requests that a target refused aren't in its list.
-            for id in target.server.ran() {
+            for id in target.server.run_request_ids() {
                 ensure!(
                     !not_run.contains(&id),
                     "{id} ran, but its answer said that it did not run"
@@ -361,7 +361,7 @@
                 let again = !ran.insert(id.clone());
                 ensure!(!(again && id.starts_with(ONCE)), "{id} ran twice");
             }
-            for seen in target.server.seen() {
+            for seen in target.server.received_requests() {
                 let id = request_id(&seen);
                 let key = seen.headers.contains_key("authorization");
                 ensure!(!key, "{id} was forwarded with the caller's key");
@@ -410,7 +410,7 @@
     loop {
         let targets = shared.targets.lock().expect("no holder panics").clone();
         // A target that crashed on a request doesn't listen.
-        for t in targets.iter().filter(|t| t.server.listens()) {
+        for t in targets.iter().filter(|t| t.server.is_reachable()) {
             let is_leaving = t.is_leaving.load(Ordering::Relaxed);
             let state = if is_leaving { "draining" } else { "ready" };
             let number = t.announced.fetch_add(1, Ordering::Relaxed) + 1;
--- a/crates/deckwind-testkit/src/soak/notices.rs
+++ b/crates/deckwind-testkit/src/soak/notices.rs
@@ -82,7 +82,7 @@
             let after = |a: &Arrival| (a.request.clone(), a.at - notice.at);
             later.map(after).collect::<Vec<_>>()
         };
-        if let Some(rest) = notice.rest {
+        if let Some(rest) = notice.rest_period {
             let late = later_arrivals(Some(rest));
             ensure!(
                 late.len() <= MAX_DURING_REST,
--- a/crates/deckwind-testkit/tests/testsuite/announcements.rs
+++ b/crates/deckwind-testkit/tests/testsuite/announcements.rs
@@ -127,7 +127,7 @@
     let mut sim = sim(3);
     let leader = sim.run_until_leader();
     let follower = follower_of(leader);
-    sim.cut_off(follower, true);
+    sim.set_partitioned(follower, true);
     sim.run_for(LEADER_LOSS_TIMEOUT);
     sim.announce(follower, engine(1, 4, 1));
     sim.run_for(Duration::from_millis(200));
@@ -152,7 +152,7 @@
 #[test]
 fn an_announcement_to_a_replica_without_a_leader_is_acknowledged_once_it_has_one() {
     let (mut sim, leader, follower) = announced_to_partitioned_follower();
-    sim.cut_off(follower, false);
+    sim.set_partitioned(follower, false);
     sim.run_for(Duration::from_millis(400));
     assert_eq!(sim.last_reply("engine-1"), Some(&OperatorReply::Heard));
     sim.run_for(Duration::from_millis(100));
--- a/crates/deckwind-testkit/tests/testsuite/at_most_once.rs
+++ b/crates/deckwind-testkit/tests/testsuite/at_most_once.rs
@@ -1,7 +1,7 @@
 //! At-most-once requests run no more than once, however often they are sent. The fake
 //! service counts the runs of each idempotency key.
 
-use crate::any;
+use crate::any_loopback_port;
 use deckwind_core::state::Change;
 use deckwind_fakes::{FakeService, ServiceFault, serve};
 use deckwind_testkit::{
@@ -30,7 +30,7 @@
             .await
             .unwrap();
         let service = FakeService::new("confirm");
-        let served = serve::service(any(), Arc::new(service.clone()))
+        let served = serve::service(any_loopback_port(), Arc::new(service.clone()))
             .await
             .unwrap();
         let target = service_target("confirm-1", served.address, "confirm");
@@ -62,7 +62,7 @@
 
 #[test]
 fn a_resend_through_another_router_gets_the_recorded_answer() {
-    crate::run(async {
+    crate::run_async(async {
         let rig = Rig::start(2).await;
         let first = rig.confirm(0, "k", "{}").await;
         let again = rig.confirm(1, "k", "{}").await;
@@ -76,7 +76,7 @@
 
 #[test]
 fn the_same_key_with_another_body_is_refused() {
-    crate::run(async {
+    crate::run_async(async {
         let rig = Rig::start(1).await;
         rig.confirm(0, "k", "{}").await;
         let other = rig.confirm(0, "k", "{\"week\":50}").await;
@@ -89,7 +89,7 @@
 
 #[test]
 fn another_accounts_key_never_shows_its_answer() {
-    crate::run(async {
+    crate::run_async(async {
         let rig = Rig::start(1).await;
         let mine = rig.confirm(0, "k", "mine").await;
         let theirs = rig.confirm_as(0, "other-key", "k", "theirs").await;
@@ -105,7 +105,7 @@
     freezes = { ServiceFault::RunsThenFreezes },
 )]
 fn what_may_have_run_is_never_sent_again(fault: ServiceFault) {
-    crate::run(async {
+    crate::run_async(async {
         let rig = Rig::start(2).await;
         rig.service.set_fault(fault);
         let first = rig.confirm(0, "k", "{}").await;
@@ -126,7 +126,7 @@
 
 #[test]
 fn what_was_told_not_run_did_not_run_and_may_be_sent_again() {
-    crate::run(async {
+    crate::run_async(async {
         let rig = Rig::start(2).await;
         rig.service.set_fault(ServiceFault::Refuses);
         let refused = rig.confirm(0, "k", "{}").await;
@@ -149,7 +149,7 @@
 /// The rest period is longer than the router's own avoidance time and than its lease.
 #[test]
 fn a_target_that_asks_for_rest_is_left_alone() {
-    crate::run(async {
+    crate::run_async(async {
         let rig = Rig::start(1).await;
         rig.service.set_fault(ServiceFault::Rests(120_500));
         assert_eq!(rig.confirm(0, "k", "{}").await.status, 503);
@@ -177,7 +177,7 @@
 
 #[test]
 fn many_tries_at_once_through_two_routers_run_once() {
-    crate::run(async {
+    crate::run_async(async {
         let rig = Arc::new(Rig::start(2).await);
         let mut attempts = Vec::new();
         for i in 0..24 {
@@ -202,7 +202,7 @@
 
 #[test]
 fn without_a_quorum_nothing_that_must_not_repeat_is_sent() {
-    crate::run(async {
+    crate::run_async(async {
         let mut rig = Rig::start(1).await;
         rig.cluster.take_control(0).close().await.unwrap();
         let caller = Caller::new(rig.cluster.callers(0), "key");
--- a/crates/deckwind-testkit/tests/testsuite/at_size.rs
+++ b/crates/deckwind-testkit/tests/testsuite/at_size.rs
@@ -2,7 +2,7 @@
 //! stages.
 
 use crate::processes::processes_with_layout;
-use crate::run;
+use crate::run_async;
 use deckwind_testkit::at_size::{self, FaultEvent, FaultKind, FaultPlan, Report, Size};
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 /// then ran at up to five targets on routes that allow two.
 #[test]
 fn engines_that_stand_still_give_requests_no_further_tries() {
-    run(async {
+    run_async(async {
         let pauses = fault(FaultKind::EnginesPause, 34);
         let cuts = fault(FaultKind::EnginesCut, 50);
         let report = run_processes(1, vec![pauses, cuts]).await;
--- a/crates/deckwind-testkit/tests/testsuite/attempt_results.rs
+++ b/crates/deckwind-testkit/tests/testsuite/attempt_results.rs
@@ -1,8 +1,8 @@
 //! Statuses 429, 503, 408 and 421 are returned only for requests that have not run and never
 //! will.
 
-use crate::rig::{KEY, Rig};
-use crate::{any, run};
+use crate::rig::{API_KEY, Rig};
+use crate::{any_loopback_port, run_async};
 use deckwind_core::routes::{AttemptOutcome, AttemptResult, attempt_result};
 use deckwind_core::state::{Change, LayerRange, RouteKind};
 use deckwind_fakes::{EngineFault, FakeEngine, FakeEngineConfig, FakeTargetFault, serve};
@@ -50,17 +50,17 @@
     timeout = { 408 },
 )]
 fn a_target_s_own_refusal_without_a_promise_becomes_ours(status: u16) {
-    run(async move {
+    run_async(async move {
         let rig = Rig::start(1, 1).await;
-        rig.until_served("/once/x", false).await;
-        rig.plain[0].set_fault(FakeTargetFault::Answers(status));
-        let once = rig.ask("r1", "/once/x", KEY, false).await;
+        rig.wait_until_served("/once/x", false).await;
+        rig.plain[0].set_fault(FakeTargetFault::AnswersStatus(status));
+        let once = rig.ask("r1", "/once/x", API_KEY, false).await;
         assert_eq!(once.status.as_u16(), 502, "it may have run");
         assert!(!once.headers.contains_key("x-deckwind-response-seal"));
         assert!(!once.headers.contains_key("retry-after"));
         assert_eq!(once.body.map(|b| b.contains("own words")), Ok(false));
-        assert_eq!(rig.sends("r1"), 1);
-        let repeatable = rig.ask("r2", "/safe/x", KEY, false).await;
+        assert_eq!(rig.send_count("r1"), 1);
+        let repeatable = rig.ask("r2", "/safe/x", API_KEY, false).await;
         assert_eq!(repeatable.status.as_u16(), status, "it may be retried");
         assert_eq!(repeatable.headers["x-deckwind-response-seal"], "s");
         rig.cluster.close().await.expect("closed");
@@ -69,40 +69,40 @@
 
 /// `/tell/` is a route of streams that cannot be resumed.
 #[parameterized(
-    busy = { FakeTargetFault::Answers(503), 502 },
-    too_many = { FakeTargetFault::Answers(429), 502 },
-    own_failure = { FakeTargetFault::Answers(500), 500 },
+    busy = { FakeTargetFault::AnswersStatus(503), 502 },
+    too_many = { FakeTargetFault::AnswersStatus(429), 502 },
+    own_failure = { FakeTargetFault::AnswersStatus(500), 500 },
     refuses = { FakeTargetFault::Refuses { at_fault: None }, 503 },
-    cuts = { FakeTargetFault::Cuts, 502 },
+    cuts = { FakeTargetFault::ClosesMidAnswer, 502 },
 )]
 fn a_stream_that_is_not_resumable_is_sent_once(fault: FakeTargetFault, status: u16) {
-    run(async move {
+    run_async(async move {
         let mut rig = Rig::start(2, 0).await;
         rig.wait_until_in_force().await;
-        rig.until_served("/tell/x", true).await;
+        rig.wait_until_served("/tell/x", true).await;
         rig.plain.iter().for_each(|p| p.set_fault(fault.clone()));
-        let response = rig.ask("r1", "/tell/x", KEY, true).await;
+        let response = rig.ask("r1", "/tell/x", API_KEY, true).await;
         assert_eq!(response.status.as_u16(), status);
         let is_sealed = response.headers.contains_key("x-deckwind-response-seal");
         assert_eq!(is_sealed, status == 500);
         let is_refused = status == 503;
         assert_eq!(response.headers.contains_key("retry-after"), is_refused);
-        assert_eq!(rig.sends("r1"), if is_refused { 2 } else { 1 });
+        assert_eq!(rig.send_count("r1"), if is_refused { 2 } else { 1 });
         rig.cluster.close().await.expect("closed");
     });
 }
 
 #[test]
 fn a_stream_that_is_not_resumable_and_breaks_off_is_not_taken_up() {
-    run(async {
+    run_async(async {
         let mut rig = Rig::start(2, 0).await;
         rig.wait_until_in_force().await;
-        rig.until_served("/tell/x", true).await;
+        rig.wait_until_served("/tell/x", true).await;
         let cuts = FakeTargetFault::BreaksStreamAfter(5);
         rig.plain.iter().for_each(|p| p.set_fault(cuts.clone()));
-        let response = rig.ask("r1", "/tell/x", KEY, true).await;
+        let response = rig.ask("r1", "/tell/x", API_KEY, true).await;
         assert!(response.body.is_err(), "the body must not look complete");
-        assert_eq!(rig.sends("r1"), 1);
+        assert_eq!(rig.send_count("r1"), 1);
         rig.cluster.close().await.expect("closed");
     });
 }
@@ -111,12 +111,12 @@
 /// run nor run again.
 #[test]
 fn a_chat_that_may_have_run_is_not_refused_and_not_run_again() {
-    run(async {
+    run_async(async {
         let cluster = Cluster::start(1, 1).await.expect("a cluster");
         let mut template = chat_template("t", 4);
         template.repeatable = false;
         let engine = FakeEngine::new(FakeEngineConfig::new(LayerRange::new(0, 4), 4));
-        let served = serve::engine(any(), Arc::new(engine.clone())).await;
+        let served = serve::engine(any_loopback_port(), Arc::new(engine.clone())).await;
         let target = engine_target("engine", served.expect("served").address, 0, 4);
         let changes = [
             Change::Template(template),
--- a/crates/deckwind-testkit/tests/testsuite/attempted_targets.rs
+++ b/crates/deckwind-testkit/tests/testsuite/attempted_targets.rs
@@ -1,6 +1,6 @@
 //! Number of targets that may run one request of a caller.
 
-use crate::support::{announced, cards, instances};
+use crate::support::{announced_change, announced_instances, engine_cards};
 use deckwind_core::routes::{AttemptedTargets, InstanceIndex};
 use deckwind_core::state::{
     Command, CommandBody, Instance, InstanceChange, InstanceState, StateMachine,
@@ -75,7 +75,7 @@
 }
 
 fn target() -> Instance {
-    instances(&cards("a", 1, 0, 0)).remove(0)
+    announced_instances(&engine_cards("a", 1, 0, 0)).remove(0)
 }
 
 fn another(id: &str) -> Instance {
@@ -87,7 +87,7 @@
 }
 
 fn announced_at_same_address(id: &str, born: Option<u64>) -> InstanceChange {
-    announced(Instance {
+    announced_change(Instance {
         id: id.to_string(),
         born,
         ..target()
@@ -100,7 +100,7 @@
     let mut machine = StateMachine::default();
     machine.apply(Command {
         at_ms: 1,
-        body: CommandBody::Instances([&[announced(target.clone())], changes].concat()),
+        body: CommandBody::Instances([&[announced_change(target.clone())], changes].concat()),
     });
     InstanceIndex::new(machine.configuration())
 }
--- a/crates/deckwind-testkit/tests/testsuite/caller_bodies.rs
+++ b/crates/deckwind-testkit/tests/testsuite/caller_bodies.rs
@@ -1,8 +1,8 @@
 //! Requests that a router can't parse: each gets a clear error status, no target
 //! receives any part of it, and the next request is served.
 
-use crate::rig::{KEY, Rig};
-use crate::run;
+use crate::rig::{API_KEY, Rig};
+use crate::run_async;
 use deckwind_fakes::HOST;
 use http::StatusCode;
 use std::time::Duration;
@@ -41,7 +41,7 @@
         false => format!("X-Deckwind-Request-Id: {id}\r\n"),
     };
     format!(
-        "POST /once/x HTTP/1.1\r\nHost: {HOST}\r\nConnection: close\r\nAuthorization: Bearer {KEY}\r\n\
+        "POST /once/x HTTP/1.1\r\nHost: {HOST}\r\nConnection: close\r\nAuthorization: Bearer {API_KEY}\r\n\
          {id}X-Deckwind-Deadline-Ms: 3000\r\n{headers}\r\n{body}"
     )
     .into_bytes()
@@ -66,18 +66,22 @@
     status: Option<u16>,
 ) {
     let bytes = request(id, headers, body);
-    run(async move {
+    run_async(async move {
         let rig = Rig::start(1, 0).await;
-        rig.until_served("/once/x", false).await;
-        let before = rig.plain[0].seen().len();
+        rig.wait_until_served("/once/x", false).await;
+        let before = rig.plain[0].received_requests().len();
         let answered = send_raw(&rig, &bytes, half_close).await;
         if status.is_some() {
             assert_eq!(answered, status);
         } else {
             assert!(matches!(answered, None | Some(400)), "{answered:?}");
         }
-        assert_eq!(rig.plain[0].seen().len(), before, "no target received it");
-        let next = rig.ask("next", "/once/x", KEY, false).await;
+        assert_eq!(
+            rig.plain[0].received_requests().len(),
+            before,
+            "no target received it"
+        );
+        let next = rig.ask("next", "/once/x", API_KEY, false).await;
         assert_eq!(next.status, StatusCode::OK);
         rig.cluster.close().await.expect("closed");
     });
@@ -91,12 +95,12 @@
     let hidden = hidden.expect("text");
     let headers = "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n";
     let bytes = request("outer", headers, &format!("0\r\n\r\n{hidden}"));
-    run(async move {
+    run_async(async move {
         let rig = Rig::start(1, 0).await;
-        rig.until_served("/once/x", false).await;
+        rig.wait_until_served("/once/x", false).await;
         send_raw(&rig, &bytes, false).await;
-        rig.ask("next", "/once/x", KEY, false).await;
-        assert_eq!(rig.sends("hidden"), 0);
+        rig.ask("next", "/once/x", API_KEY, false).await;
+        assert_eq!(rig.send_count("hidden"), 0);
         rig.cluster.close().await.expect("closed");
     });
 }
--- a/crates/deckwind-testkit/tests/testsuite/callers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/callers.rs
@@ -1,7 +1,7 @@
 //! Answers of a router to callers: unknown keys, limits, error codes, readiness and
 //! bursts of connections.
 
-use crate::any;
+use crate::any_loopback_port;
 use deckwind_core::state::Change;
 use deckwind_fakes::{FakeService, serve};
 use deckwind_testkit::{Caller, Cluster, account, service_target, service_template};
@@ -19,7 +19,9 @@
         .await
         .unwrap();
     let service = FakeService::new("card-status");
-    let served = serve::service(any(), Arc::new(service)).await.unwrap();
+    let served = serve::service(any_loopback_port(), Arc::new(service))
+        .await
+        .unwrap();
     let target = service_target("card-status-1", served.address, "card-status");
     cluster.apply(Change::Target(target)).await.unwrap();
     cluster
@@ -27,7 +29,7 @@
 
 #[test]
 fn bad_requests_get_a_stable_code_and_were_not_run() {
-    crate::run(async {
+    crate::run_async(async {
         let cluster = cluster().await;
         let caller = Caller::new(cluster.callers(0), "key");
         let unknown_caller = Caller::new(cluster.callers(0), "wrong");
@@ -93,7 +95,7 @@
 
 #[test]
 fn an_account_over_its_limit_hears_when_to_come_back() {
-    crate::run(async {
+    crate::run_async(async {
         let cluster = cluster().await;
         let caller = Caller::new(cluster.callers(0), "small-key");
         let mut refused = None;
@@ -116,7 +118,7 @@
 
 #[test]
 fn a_router_without_a_lease_is_not_ready() {
-    crate::run(async {
+    crate::run_async(async {
         let mut cluster = cluster().await;
         let caller = Caller::new(cluster.callers(0), "key");
         assert_eq!(caller.post("/ready", "", &[]).await.unwrap().status, 200);
@@ -138,7 +140,7 @@
 
 #[test]
 fn a_head_that_is_too_long_is_refused_and_the_router_goes_on() {
-    crate::run(async {
+    crate::run_async(async {
         let cluster = cluster().await;
         let caller = Caller::new(cluster.callers(0), "key");
         let long = "x".repeat(70 * 1024);
@@ -156,8 +158,8 @@
 /// connection that doesn't fit would wait a second until its SYN is retransmitted.
 #[test]
 fn five_hundred_callers_at_once_lose_no_handshake() {
-    crate::run(async {
-        let listener = deckwindd::router::listen(any()).unwrap();
+    crate::run_async(async {
+        let listener = deckwindd::router::listen(any_loopback_port()).unwrap();
         let address = listener.local_addr().unwrap();
         let mut open = Vec::new();
         for _ in 0..500 {
--- a/crates/deckwind-testkit/tests/testsuite/command_line.rs
+++ b/crates/deckwind-testkit/tests/testsuite/command_line.rs
@@ -1,7 +1,7 @@
 //! The operators' command line, run against a live cluster.
 
-use crate::any;
-use crate::processes::processes;
+use crate::any_loopback_port;
+use crate::processes::process_cluster;
 use deckwind_fakes::{FakeService, serve};
 use deckwind_testkit::{Caller, account, eventually_async, service_target, service_template};
 use std::process::Output;
@@ -16,7 +16,7 @@
 
 #[test]
 fn changes_conflict_resend_and_read_back() {
-    let cluster = processes(1, 0);
+    let cluster = process_cluster(1, 0);
     let control = cluster.control(0).unwrap();
     let folder = cluster.layout.folder();
     let file = folder.join("t.jsonc");
@@ -84,7 +84,7 @@
 
 #[test]
 fn a_wrong_token_is_refused() {
-    let cluster = processes(1, 0);
+    let cluster = process_cluster(1, 0);
     let _control = cluster.control(0).unwrap();
     let wrong = cluster.layout.folder().join("wrong");
     std::fs::write(&wrong, "wrong").unwrap();
@@ -103,7 +103,7 @@
 
 #[test]
 fn a_settings_file_is_checked_by_both_programs() {
-    let cluster = processes(1, 1);
+    let cluster = process_cluster(1, 1);
     let good = cluster
         .layout
         .router_settings(0)
@@ -125,8 +125,8 @@
 /// The burn report counts both answered and refused calls.
 #[test]
 fn the_burn_report_comes_as_table_json_and_page() {
-    crate::run(async {
-        let cluster = processes(1, 1);
+    crate::run_async(async {
+        let cluster = process_cluster(1, 1);
         let _control = cluster.control(0).unwrap();
         let _router = cluster.router(0).unwrap();
         cluster
@@ -141,7 +141,7 @@
         .await;
         assert_eq!(refused.status, 503);
         let service = FakeService::new("gates");
-        let served = serve::service(any(), std::sync::Arc::new(service))
+        let served = serve::service(any_loopback_port(), std::sync::Arc::new(service))
             .await
             .unwrap();
         cluster
@@ -181,7 +181,7 @@
 
 #[test]
 fn keys_are_made_once_and_never_written_over() {
-    let cluster = processes(1, 0);
+    let cluster = process_cluster(1, 0);
     let folder = cluster
         .layout
         .folder()
--- a/crates/deckwind-testkit/tests/testsuite/contracts.rs
+++ b/crates/deckwind-testkit/tests/testsuite/contracts.rs
@@ -2,7 +2,7 @@
 //! runs against the fake in this process, and through the real HTTP client against
 //! the same fake behind a server. Both must pass.
 
-use crate::{any, run};
+use crate::{any_loopback_port, run_async};
 use deckwind_core::membership::PlatformStatus;
 use deckwind_core::replication::{Fence, Term};
 use deckwind_core::session::{Activation, StepOrder};
@@ -33,7 +33,9 @@
     match transport {
         Transport::Fake => (Arc::new(fake.clone()), fake),
         Transport::OverHttp => {
-            let served = serve::engine(any(), Arc::new(fake.clone())).await.unwrap();
+            let served = serve::engine(any_loopback_port(), Arc::new(fake.clone()))
+                .await
+                .unwrap();
             (Arc::new(HttpEngine::new(served.address)), fake)
         }
     }
@@ -72,7 +74,7 @@
 
 #[parameterized(fake = { Transport::Fake }, http = { Transport::OverHttp })]
 fn an_engine_runs_steps_and_replays_what_it_holds(transport: Transport) {
-    run(async {
+    run_async(async {
         let (engine, fake) = engine_for(transport, config()).await;
         let mut stage = open_stream(engine.as_ref(), "s").await;
         let first = stage
@@ -94,7 +96,7 @@
 
 #[parameterized(fake = { Transport::Fake }, http = { Transport::OverHttp })]
 fn an_engine_refuses_an_older_attempt(transport: Transport) {
-    run(async {
+    run_async(async {
         let (engine, fake) = engine_for(transport, config()).await;
         let mut stage = open_stream(engine.as_ref(), "s").await;
         stage.step(step_order(2, 0, &["a"], false)).await.unwrap();
@@ -106,7 +108,7 @@
 
 #[parameterized(fake = { Transport::Fake }, http = { Transport::OverHttp })]
 fn an_engine_refuses_layers_that_it_does_not_hold(transport: Transport) {
-    run(async {
+    run_async(async {
         let (engine, _) = engine_for(transport, config()).await;
         let mut wrong = open_request("s");
         wrong.layers = LayerRange::new(4, 12);
@@ -120,7 +122,7 @@
     http_closed = { Transport::OverHttp, true }, http_dropped = { Transport::OverHttp, false },
 )]
 fn an_engine_frees_a_stage_that_is_closed_or_dropped(transport: Transport, close: bool) {
-    run(async {
+    run_async(async {
         let (engine, fake) = engine_for(transport, config()).await;
         let mut stage = open_stream(engine.as_ref(), "s").await;
         stage.step(step_order(1, 0, &["a"], false)).await.unwrap();
@@ -139,7 +141,7 @@
 
 #[parameterized(fake = { Transport::Fake }, http = { Transport::OverHttp })]
 fn a_step_that_never_ends_can_be_cancelled(transport: Transport) {
-    run(async {
+    run_async(async {
         let (engine, fake) = engine_for(transport, config()).await;
         let mut stage = open_stream(engine.as_ref(), "s").await;
         fake.set_fault(EngineFault::Frozen);
@@ -158,7 +160,7 @@
 
 #[parameterized(fake = { Transport::Fake }, http = { Transport::OverHttp })]
 fn an_engines_kv_cache_moves_to_another(transport: Transport) {
-    run(async {
+    run_async(async {
         let (from, _) = engine_for(transport, config()).await;
         let (to, fake) = engine_for(transport, config()).await;
         let mut stage = open_stream(from.as_ref(), "s").await;
@@ -179,7 +181,7 @@
 
 #[parameterized(fake = { Transport::Fake }, http = { Transport::OverHttp })]
 fn an_engine_reports_its_load_with_a_lag(transport: Transport) {
-    run(async {
+    run_async(async {
         let mut cfg = config();
         cfg.load_lag = Duration::from_secs(3_600);
         let (engine, _) = engine_for(transport, cfg).await;
@@ -192,7 +194,7 @@
 
 #[parameterized(fake = { Transport::Fake }, http = { Transport::OverHttp })]
 fn cache_events_come_with_gaps(transport: Transport) {
-    run(async {
+    run_async(async {
         let mut cfg = config();
         cfg.cache_prefixes = 1;
         cfg.lost_event_interval = 2;
@@ -211,7 +213,7 @@
     fake_does_not = { Transport::Fake, false }, http_does_not = { Transport::OverHttp, false },
 )]
 fn an_order_with_an_old_fence_is_refused_by_those_who_check(transport: Transport, checks: bool) {
-    run(async {
+    run_async(async {
         let mut cfg = config();
         cfg.checks_fences = checks;
         let (engine, fake) = engine_for(transport, cfg).await;
@@ -235,7 +237,9 @@
     match transport {
         Transport::Fake => Arc::new(fake.clone()),
         Transport::OverHttp => {
-            let served = serve::service(any(), Arc::new(fake.clone())).await.unwrap();
+            let served = serve::service(any_loopback_port(), Arc::new(fake.clone()))
+                .await
+                .unwrap();
             Arc::new(HttpService::new(served.address))
         }
     }
@@ -256,7 +260,7 @@
     http = { Transport::OverHttp },
 )]
 fn a_service_says_how_long_it_rests(transport: Transport) {
-    run(async move {
+    run_async(async move {
         let fake = FakeService::new("s");
         fake.set_fault(ServiceFault::Rests(1_500));
         let service = service_for(transport, &fake).await;
@@ -281,7 +285,7 @@
     certainly_not_run: bool,
     runs: u32,
 ) {
-    run(async {
+    run_async(async {
         let fake = FakeService::new("s");
         fake.set_fault(fault);
         let service = service_for(transport, &fake).await;
@@ -293,7 +297,7 @@
 
 #[parameterized(fake = { Transport::Fake }, http = { Transport::OverHttp })]
 fn a_service_answers(transport: Transport) {
-    run(async {
+    run_async(async {
         let fake = FakeService::new("s");
         let answer = service_for(transport, &fake)
             .await
@@ -310,8 +314,8 @@
 
 #[test]
 fn a_service_that_is_not_there_was_not_run() {
-    run(async {
-        let unused_address = std::net::TcpListener::bind(any())
+    run_async(async {
+        let unused_address = std::net::TcpListener::bind(any_loopback_port())
             .unwrap()
             .local_addr()
             .unwrap();
@@ -325,12 +329,14 @@
 
 #[parameterized(fake = { Transport::Fake }, http = { Transport::OverHttp })]
 fn the_platforms_list_lags(transport: Transport) {
-    run(async {
-        let fake = FakePlatformList::lagging(1);
+    run_async(async {
+        let fake = FakePlatformList::with_lag(1);
         let list: Arc<dyn PlatformList> = match transport {
             Transport::Fake => Arc::new(fake.clone()),
             Transport::OverHttp => {
-                let served = serve::platform(any(), fake.clone()).await.unwrap();
+                let served = serve::platform(any_loopback_port(), fake.clone())
+                    .await
+                    .unwrap();
                 Arc::new(HttpPlatformList::new(served.address))
             }
         };
@@ -347,12 +353,14 @@
 
 #[parameterized(fake = { Transport::Fake }, http = { Transport::OverHttp })]
 fn the_weight_store_reads_parts_and_keeps_its_rate(transport: Transport) {
-    run(async {
+    run_async(async {
         let fake = FakeWeightStore::new(100, 60);
         let store: Arc<dyn WeightStore> = match transport {
             Transport::Fake => Arc::new(fake.clone()),
             Transport::OverHttp => {
-                let served = serve::weights(any(), fake.clone()).await.unwrap();
+                let served = serve::weights(any_loopback_port(), fake.clone())
+                    .await
+                    .unwrap();
                 Arc::new(HttpWeightStore::new(served.address))
             }
         };
--- a/crates/deckwind-testkit/tests/testsuite/fan_out.rs
+++ b/crates/deckwind-testkit/tests/testsuite/fan_out.rs
@@ -68,10 +68,13 @@
     fan_out.take_traffic();
     fan_out.publish(release(2, 3_000));
     fan_out.run_for(Duration::from_millis(1_900)).unwrap();
-    assert!(fan_out.lagging() > 0, "the state takes longer than this");
+    assert!(
+        fan_out.routers_behind() > 0,
+        "the state takes longer than this"
+    );
     assert_eq!(fan_out.take_traffic().leases_lost, 0);
     fan_out.run_for(Duration::from_millis(1_000)).unwrap();
-    while fan_out.lagging() > 0 {
+    while fan_out.routers_behind() > 0 {
         assert_eq!(fan_out.serving_stale(), 0);
         fan_out.run_for(Duration::from_millis(10)).unwrap();
     }
@@ -87,7 +90,10 @@
     fan_out.take_traffic();
     (0..2_000).for_each(|i| fan_out.announce(engine(i, 4, 1)));
     fan_out.run_for(Duration::from_secs(4)).unwrap();
-    assert!(fan_out.lagging() > 0, "the state takes longer than this");
+    assert!(
+        fan_out.routers_behind() > 0,
+        "the state takes longer than this"
+    );
     assert_eq!(fan_out.take_traffic().leases_lost, 0);
 }
 
--- a/crates/deckwind-testkit/tests/testsuite/full_disk.rs
+++ b/crates/deckwind-testkit/tests/testsuite/full_disk.rs
@@ -1,7 +1,7 @@
 //! A control replica whose disk refuses writes: it acknowledges no change, keeps
 //! running, and accepts changes again once writes succeed.
 
-use crate::run;
+use crate::run_async;
 use deckwind_config::load;
 use deckwind_core::control::{OperatorReply, OperatorRequest};
 use deckwind_core::state::{ApplyRequest, Change};
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_full_disk_acknowledges_nothing_and_recovers_once_there_is_space() {
-    run(async {
+    run_async(async {
         let layout = Layout::new(1, 0).expect("the layout is created");
         let mut replica = ReplicaOnMemoryDisk::start(&layout);
         replica.wait_until_accepted().await;
--- a/crates/deckwind-testkit/tests/testsuite/growth.rs
+++ b/crates/deckwind-testkit/tests/testsuite/growth.rs
@@ -36,10 +36,10 @@
 fn settled_cost(routers: usize, engines: usize, relays: u32) -> (ScanCounts, LinkTraffic) {
     let mut fan_out = FanOut::new(routers, 0, LINK_MBPS).unwrap();
     fan_out.publish(engine_release(1, 10));
-    fan_out.pass_on(relays);
-    fan_out.serve(MAX_RETRIES);
+    fan_out.relay_through(relays);
+    fan_out.enable_retries(MAX_RETRIES);
     (1..=SETTLING_INTERVALS).for_each(|number| announce_all(&mut fan_out, engines, number));
-    assert!(fan_out.holding() > 0, "layers are placed");
+    assert!(fan_out.engines_with_layers() > 0, "layers are placed");
     fan_out.take_traffic();
     let before = fan_out.scan_counts();
     let measured = SETTLING_INTERVALS + 1..=SETTLING_INTERVALS + MEASURED_INTERVALS;
@@ -132,7 +132,7 @@
     let bytes_of_release = |routers: usize| {
         let mut fan_out = FanOut::new(routers, 0, LINK_MBPS).unwrap();
         fan_out.publish(engine_release(1, 10));
-        fan_out.pass_on(4);
+        fan_out.relay_through(4);
         fan_out.run_for(Duration::from_secs(2)).unwrap();
         fan_out.take_traffic();
         fan_out.publish(engine_release(2, 1_000));
--- a/crates/deckwind-testkit/tests/testsuite/incarnations.rs
+++ b/crates/deckwind-testkit/tests/testsuite/incarnations.rs
@@ -1,7 +1,7 @@
 //! Restarts of targets under the same id: committed state, orders and late messages of the
 //! previous incarnation must not apply to the new one. Runs in virtual time.
 
-use crate::support::{announced, cards, instances, model};
+use crate::support::{announced_change, announced_instances, engine_cards, model};
 use deckwind_core::control::{ControlEvent, OperatorReply, PlacementManager};
 use deckwind_core::state::{
     Command, CommandBody, Incarnation, Instance, InstanceChange, InstanceState, LayerRange, Pool,
@@ -122,11 +122,11 @@
     let mut machine = StateMachine::default();
     apply(
         &mut machine,
-        announced(announcement(Some(FIRST_BORN_MS), 4, 50)),
+        announced_change(announcement(Some(FIRST_BORN_MS), 4, 50)),
     );
     before.into_iter().for_each(|c| apply(&mut machine, c));
     let new = announcement(Some(FIRST_BORN_MS + 1), 0, 1);
-    apply(&mut machine, announced(new.clone()));
+    apply(&mut machine, announced_change(new.clone()));
     assert_eq!(registered(&machine), Some(new));
 }
 
@@ -136,17 +136,17 @@
     silent_by_then = { InstanceChange::Silent(life_id(Some(FIRST_BORN_MS))) },
     left_by_then = { InstanceChange::Left(life_id(Some(FIRST_BORN_MS))) },
     drained_by_then = { draining_announcement() },
-    announced_by_then = { announced(announcement(Some(FIRST_BORN_MS), 6, 60)) },
+    announced_by_then = { announced_change(announcement(Some(FIRST_BORN_MS), 6, 60)) },
     of_an_engine_that_reports_no_start = { InstanceChange::Left(life_id(None)) },
 )]
 fn late_changes_of_an_ended_incarnation_are_ignored(late: InstanceChange) {
     let mut machine = StateMachine::default();
     apply(
         &mut machine,
-        announced(announcement(Some(FIRST_BORN_MS), 4, 50)),
+        announced_change(announcement(Some(FIRST_BORN_MS), 4, 50)),
     );
     let new = announcement(Some(FIRST_BORN_MS + 1), 2, 1);
-    apply(&mut machine, announced(new.clone()));
+    apply(&mut machine, announced_change(new.clone()));
     apply(&mut machine, late);
     assert_eq!(registered(&machine), Some(new));
 }
@@ -290,7 +290,7 @@
     let new = announcement(Some(FIRST_BORN_MS + 1), 2, 1);
     rig.announce(new.clone());
     let leader = rig.leader;
-    rig.sim.happens(leader, late);
+    rig.sim.push_event(leader, late);
     rig.sim.run_for(COMMIT_TIME);
     assert_eq!(rig.registered(), Some(new));
 }
@@ -321,7 +321,7 @@
     for start in 0..2_000 {
         apply(
             &mut machine,
-            announced(announcement(Some(FIRST_BORN_MS + start), 4, 9)),
+            announced_change(announcement(Some(FIRST_BORN_MS + start), 4, 9)),
         );
     }
     let size = machine.to_snapshot().len();
@@ -330,7 +330,7 @@
     for late in 1_992..1_999 {
         apply(
             &mut machine,
-            announced(announcement(Some(FIRST_BORN_MS + late), 4, 99)),
+            announced_change(announcement(Some(FIRST_BORN_MS + late), 4, 99)),
         );
         assert_eq!(registered(&machine), Some(last.clone()));
     }
@@ -346,7 +346,11 @@
 fn state_is_read_in_its_own_version_only(change: fn(Vec<u8>) -> Vec<u8>, read: bool) {
     let command = Command {
         at_ms: FIRST_BORN_MS,
-        body: CommandBody::Instances(vec![announced(announcement(Some(FIRST_BORN_MS), 4, 50))]),
+        body: CommandBody::Instances(vec![announced_change(announcement(
+            Some(FIRST_BORN_MS),
+            4,
+            50,
+        ))]),
     };
     let mut machine = StateMachine::default();
     machine.apply(command.clone());
@@ -376,11 +380,14 @@
         pools: vec![pool],
         ..Release::default()
     };
-    let fleet = instances(&cards("a", 5, 0, 0));
+    let fleet = announced_instances(&engine_cards("a", 5, 0, 0));
     let mut machine = StateMachine::default();
     for i in &fleet {
         let born = Some(FIRST_BORN_MS);
-        apply(&mut machine, announced(Instance { born, ..i.clone() }));
+        apply(
+            &mut machine,
+            announced_change(Instance { born, ..i.clone() }),
+        );
     }
     let mut manager = PlacementManager::default();
     let mut now = Instant::from_millis(1_000);
@@ -414,7 +421,7 @@
     let born = Some(FIRST_BORN_MS + 1);
     apply(
         &mut machine,
-        announced(Instance {
+        announced_change(Instance {
             born,
             ..again.clone()
         }),
@@ -434,7 +441,7 @@
 }
 
 fn draining_announcement() -> InstanceChange {
-    announced(Instance {
+    announced_change(Instance {
         state: InstanceState::Draining,
         ..announcement(Some(FIRST_BORN_MS), 4, 51)
     })
--- a/crates/deckwind-testkit/tests/testsuite/incarnations_at_routers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/incarnations_at_routers.rs
@@ -1,9 +1,9 @@
 //! Restarts of a target under the same id, as a router handles them: it discards the
 //! health record of the address and treats requests in flight there as broken.
 
-use crate::rig::{KEY, Rig};
-use crate::run;
-use crate::support::{announced, cards, instances};
+use crate::rig::{API_KEY, Rig};
+use crate::run_async;
+use crate::support::{announced_change, announced_instances, engine_cards};
 use deckwind_core::routes::{InstanceIndex, TargetFault, TargetRecords};
 use deckwind_core::state::{
     Command, CommandBody, Instance, InstanceChange, InstanceState, StateMachine,
@@ -23,16 +23,18 @@
 )]
 fn a_request_whose_target_starts_again_is_judged_as_broken(path: &str, status: u16, sends: usize) {
     let path = path.to_string();
-    run(async move {
+    run_async(async move {
         let mut rig = Rig::start(2, 0).await;
         rig.wait_until_in_force().await;
-        rig.until_served(&path, false).await;
+        rig.wait_until_served(&path, false).await;
         for target in &rig.plain {
-            target.set_fault(FakeTargetFault::Mute);
+            target.set_fault(FakeTargetFault::NeverAnswers);
         }
         let restart = async {
             let first = eventually_async("the request has reached a target", || async {
-                rig.plain.iter().find(|t| t.seen().iter().any(is_first))
+                rig.plain
+                    .iter()
+                    .find(|t| t.received_requests().iter().any(is_first))
             })
             .await;
             for target in &rig.plain {
@@ -40,14 +42,14 @@
             }
             first.restart();
         };
-        let (answer, ()) = tokio::join!(rig.ask("r1", &path, KEY, false), restart);
+        let (answer, ()) = tokio::join!(rig.ask("r1", &path, API_KEY, false), restart);
         assert_eq!(answer.status.as_u16(), status);
-        assert_eq!(rig.sends("r1"), sends);
+        assert_eq!(rig.send_count("r1"), sends);
         for i in 0..2 {
             rig.announce("plain", "p", i, "ready").await;
         }
         rig.wait_until_in_force().await;
-        let next = rig.ask("r2", &path, KEY, false).await;
+        let next = rig.ask("r2", &path, API_KEY, false).await;
         assert_eq!(
             next.status,
             StatusCode::OK,
@@ -65,7 +67,7 @@
 /// engine counts its orders from zero.
 #[test]
 fn an_engine_that_starts_again_is_given_its_layers_again() {
-    run(async {
+    run_async(async {
         let mut rig = Rig::start(0, 4).await;
         let held = |e: &FakeTargetServer| e.layers().1 - e.layers().0;
         eventually_async("the layers are placed", || async {
@@ -75,7 +77,7 @@
         for i in 0..4 {
             rig.announce("engines", "e", i, "ready").await;
         }
-        rig.until_served("/stream/x", true).await;
+        rig.wait_until_served("/stream/x", true).await;
         rig.engines[0].restart();
         assert_eq!(held(&rig.engines[0]), 0);
         rig.announce("engines", "e", 0, "ready").await;
@@ -84,7 +86,7 @@
         })
         .await;
         assert_eq!(rig.engines[0].orders(), 1);
-        rig.until_served("/stream/x", true).await;
+        rig.wait_until_served("/stream/x", true).await;
         rig.cluster.close().await.expect("closed");
     });
 }
@@ -106,7 +108,7 @@
 fn index(all: &[Instance]) -> InstanceIndex {
     let mut machine = StateMachine::default();
     for instance in all {
-        let change = announced(Instance {
+        let change = announced_change(Instance {
             state: InstanceState::Ready,
             ..instance.clone()
         });
@@ -137,7 +139,7 @@
     now: Option<(&str, Option<u64>)>,
     has_ended: bool,
 ) {
-    let first = instances(&cards("a", 1, 0, 0)).remove(0);
+    let first = announced_instances(&engine_cards("a", 1, 0, 0)).remove(0);
     let before = index(&[instance_at(&first, "e", born, state)]);
     let now: Vec<Instance> = now
         .map(|(id, born)| instance_at(&first, id, born, InstanceState::Ready))
--- a/crates/deckwind-testkit/tests/testsuite/invalid_announcements.rs
+++ b/crates/deckwind-testkit/tests/testsuite/invalid_announcements.rs
@@ -2,10 +2,10 @@
 //! not applied, and the registered targets keep serving. The parsing of such announcements
 //! is covered by the tests of the platform crate.
 
-use crate::rig::{KEY, Rig, data_centre, post};
+use crate::rig::{API_KEY, Rig, data_centre_of, post};
 use crate::routes::placed;
-use crate::run;
-use crate::support::{announced, cards, instances, model};
+use crate::run_async;
+use crate::support::{announced_change, announced_instances, engine_cards, model};
 use deckwind_core::control::AnnouncementFault;
 use deckwind_core::routes::InstanceIndex;
 use deckwind_core::state::{
@@ -40,10 +40,10 @@
     engine_without_layers = { SentAs::RegisteredTarget, json!({"layers": null, "backend": "engines", "kind": null, "stage": null}) },
 )]
 fn an_invalid_announcement_does_not_affect_a_registered_target(sent_as: SentAs, changed: Value) {
-    run(async move {
+    run_async(async move {
         let mut rig = Rig::start(1, 0).await;
-        rig.until_served("/safe/x", false).await;
-        let mut body = rig.plain[0].announcement("plain", data_centre(0), "ready", 900);
+        rig.wait_until_served("/safe/x", false).await;
+        let mut body = rig.plain[0].announcement("plain", data_centre_of(0), "ready", 900);
         for (field, value) in changed.as_object().expect("an object") {
             match value.is_null() {
                 true => drop(body.as_object_mut().expect("an object").remove(field)),
@@ -58,7 +58,7 @@
         let status = post(rig.control(), &path, &body).await;
         assert_eq!(status, StatusCode::BAD_REQUEST);
         rig.wait_until_in_force().await;
-        let answer = rig.ask("r1", "/safe/x", KEY, false).await;
+        let answer = rig.ask("r1", "/safe/x", API_KEY, false).await;
         assert_eq!(answer.status, StatusCode::OK);
         rig.cluster.close().await.expect("closed");
     });
@@ -69,13 +69,13 @@
     start_as_text = { json!({"born": "now"}) },
 )]
 fn an_unreadable_leave_ends_no_target(body: Value) {
-    run(async move {
+    run_async(async move {
         let mut rig = Rig::start(1, 0).await;
-        rig.until_served("/safe/x", false).await;
+        rig.wait_until_served("/safe/x", false).await;
         let status = post(rig.control(), "/v1/instances/p-0/leave", &body).await;
         assert_eq!(status, StatusCode::BAD_REQUEST);
         rig.wait_until_in_force().await;
-        let answer = rig.ask("r1", "/safe/x", KEY, false).await;
+        let answer = rig.ask("r1", "/safe/x", API_KEY, false).await;
         assert_eq!(answer.status, StatusCode::OK);
         rig.cluster.close().await.expect("closed");
     });
@@ -110,9 +110,11 @@
     }
     let instance = Instance {
         pool: "new".to_string(),
-        ..instances(&cards("a", 1, 0, 0)).remove(0)
+        ..announced_instances(&engine_cards("a", 1, 0, 0)).remove(0)
     };
-    apply(CommandBody::Instances(vec![announced(instance.clone())]));
+    apply(CommandBody::Instances(vec![announced_change(
+        instance.clone(),
+    )]));
     apply(release(2, &["another", "new"]));
     let index = InstanceIndex::new(machine.configuration());
     assert_eq!(index.of_pool("new"), [instance]);
@@ -127,7 +129,7 @@
 )]
 fn an_unreadable_report_leaves_the_stream_on_its_path(report: &str) {
     let report = report.to_string();
-    run(async move {
+    run_async(async move {
         let rig = placed().await;
         for engine in &rig.engines {
             engine.override_report(&report);
@@ -150,10 +152,14 @@
                 engine.set_fault(FakeTargetFault::None);
             }
         };
-        let (answer, ()) = tokio::join!(rig.ask("r1", "/stream/x", KEY, true), recover);
+        let (answer, ()) = tokio::join!(rig.ask("r1", "/stream/x", API_KEY, true), recover);
         assert_eq!(answer.status, StatusCode::OK);
         assert!(answer.body.is_ok(), "{:?}", answer.body);
-        assert_eq!(rig.sends("r1"), 1, "the request was not sent elsewhere");
+        assert_eq!(
+            rig.send_count("r1"),
+            1,
+            "the request was not sent elsewhere"
+        );
         rig.cluster.close().await.expect("closed");
     });
 }
--- a/crates/deckwind-testkit/tests/testsuite/leader_changes.rs
+++ b/crates/deckwind-testkit/tests/testsuite/leader_changes.rs
@@ -25,7 +25,7 @@
     for _ in 0..10 {
         let leader = sim.run_until_leader();
         match is_partition {
-            true => sim.cut_off(leader, true),
+            true => sim.set_partitioned(leader, true),
             false => sim.crash(leader, 0),
         }
         sim.run_for(Duration::from_secs(1));
@@ -49,7 +49,7 @@
 fn cost_of_reconnect(routers: usize) -> (u64, u64) {
     let mut fan_out = FanOut::new(routers, 0, 420.0).unwrap();
     fan_out.publish(engine_release(1, 250));
-    fan_out.pass_on(4);
+    fan_out.relay_through(4);
     engine_fleet(300)
         .into_iter()
         .for_each(|e| fan_out.announce(e));
--- a/crates/deckwind-testkit/tests/testsuite/leaving_vms.rs
+++ b/crates/deckwind-testkit/tests/testsuite/leaving_vms.rs
@@ -1,7 +1,7 @@
 //! VMs that the platform reports as leaving, and router processes that are killed.
 
-use crate::any;
-use crate::processes::processes;
+use crate::any_loopback_port;
+use crate::processes::process_cluster;
 use deckwind_core::membership::PlatformStatus;
 use deckwind_core::state::{Change, LayerRange};
 use deckwind_fakes::{
@@ -22,9 +22,11 @@
 /// there.
 #[test]
 fn a_vm_reported_as_leaving_gets_no_new_streams() {
-    crate::run(async {
-        let list = FakePlatformList::lagging(1);
-        let served = serve::platform(any(), list.clone()).await.unwrap();
+    crate::run_async(async {
+        let list = FakePlatformList::with_lag(1);
+        let served = serve::platform(any_loopback_port(), list.clone())
+            .await
+            .unwrap();
         let mut layout = Layout::new(1, 1).unwrap();
         layout.platform = Some(served.address);
         let cluster = Cluster::start_with(layout).await.unwrap();
@@ -87,8 +89,8 @@
 /// the lease of the killed router has expired, `may-have-run`; it never runs again.
 #[test]
 fn a_router_killed_between_send_and_answer_leaves_no_second_run() {
-    crate::run(async {
-        let cluster = processes(1, 2);
+    crate::run_async(async {
+        let cluster = process_cluster(1, 2);
         let _control = cluster.control(0).unwrap();
         let router = cluster.router(0).unwrap();
         let _other = cluster.router(1).unwrap();
@@ -98,7 +100,7 @@
         cluster.apply("account", &account("a", "key")).unwrap();
         let service = FakeService::new("confirm");
         service.set_fault(ServiceFault::RunsThenFreezes);
-        let served = serve::service(any(), Arc::new(service.clone()))
+        let served = serve::service(any_loopback_port(), Arc::new(service.clone()))
             .await
             .unwrap();
         let target = service_target("confirm-1", served.address, "confirm");
--- a/crates/deckwind-testkit/tests/testsuite/limit_rig.rs
+++ b/crates/deckwind-testkit/tests/testsuite/limit_rig.rs
@@ -313,7 +313,8 @@
     }
 
     fn is_denied(&self, now: Instant) -> bool {
-        let instance = crate::support::instances(&crate::support::cards("a", 1, 0, 0));
+        let instance =
+            crate::support::announced_instances(&crate::support::engine_cards("a", 1, 0, 0));
         let mut instance = instance.into_iter().next().expect("an instance");
         instance.id = target().life.id;
         instance.address = target().address;
--- a/crates/deckwind-testkit/tests/testsuite/main.rs
+++ b/crates/deckwind-testkit/tests/testsuite/main.rs
@@ -73,12 +73,12 @@
 use std::net::SocketAddr;
 
 /// The loopback address with port 0, which binds to any free port.
-fn any() -> SocketAddr {
+fn any_loopback_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 /// Runs an asynchronous test on a multi-threaded runtime.
-fn run(test: impl Future<Output = ()>) {
+fn run_async(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
--- a/crates/deckwind-testkit/tests/testsuite/notices.rs
+++ b/crates/deckwind-testkit/tests/testsuite/notices.rs
@@ -1,7 +1,7 @@
 //! Notices of targets (rest periods and leaving), as a router records them and chooses targets
 //! by them. No network, virtual time.
 
-use crate::support::{cards, instances, model, place};
+use crate::support::{announced_instances, engine_cards, model, place_chain};
 use deckwind_core::routes::{
     CapacityDemand, ChoiceError, RefusalReason, RequestClass, TargetChoice, TargetNotice,
     TargetNotices, TargetRecords, choose_path, choose_target,
@@ -43,7 +43,7 @@
 
 /// Returns a target that serves requests alone, not in a chain.
 fn target(n: u32, born: u64) -> Instance {
-    let mut instance = instances(&cards("a", 1, 0, 0)).remove(0);
+    let mut instance = announced_instances(&engine_cards("a", 1, 0, 0)).remove(0);
     instance.id = format!("t-{n}");
     instance.address = address(n);
     instance.born = Some(born);
@@ -276,11 +276,11 @@
 /// Returns the engines of two data centres with one chain each, and those that hold the first
 /// stage.
 fn two_chains() -> (Vec<Instance>, Vec<Instance>) {
-    let mut a = cards("a", 3, 3, 5);
-    place(&mut a);
-    let mut b = cards("b", 3, 3, 5);
-    place(&mut b);
-    let engines = instances(&[a, b].concat());
+    let mut a = engine_cards("a", 3, 3, 5);
+    place_chain(&mut a);
+    let mut b = engine_cards("b", 3, 3, 5);
+    place_chain(&mut b);
+    let engines = announced_instances(&[a, b].concat());
     let first = engines
         .iter()
         .filter(|e| e.layers.first == 0 && !e.layers.is_empty());
--- a/crates/deckwind-testkit/tests/testsuite/orders.rs
+++ b/crates/deckwind-testkit/tests/testsuite/orders.rs
@@ -1,6 +1,6 @@
 //! Orders to engines, which follow from the targets that operators configure.
 
-use crate::any;
+use crate::any_loopback_port;
 use deckwind_core::control::OrderKind;
 use deckwind_core::state::{Change, LayerRange, TargetKind};
 use deckwind_fakes::{FakeEngine, FakeEngineConfig, serve};
@@ -10,12 +10,12 @@
 
 #[parameterized(checks_fences = { true }, does_not_check = { false })]
 fn a_configured_engine_is_ordered_to_load_its_layers_and_adapters(checks_fences: bool) {
-    crate::run(async {
+    crate::run_async(async {
         let cluster = Cluster::start(3, 0).await.unwrap();
         let mut cfg = FakeEngineConfig::new(LayerRange::new(0, 8), 8);
         cfg.checks_fences = checks_fences;
         let engine = FakeEngine::new(cfg);
-        let served = serve::engine(any(), Arc::new(engine.clone()))
+        let served = serve::engine(any_loopback_port(), Arc::new(engine.clone()))
             .await
             .unwrap();
         let mut target = engine_target("e", served.address, 0, 8);
--- a/crates/deckwind-testkit/tests/testsuite/paths.rs
+++ b/crates/deckwind-testkit/tests/testsuite/paths.rs
@@ -1,6 +1,6 @@
 //! Paths over engines that hold layers, and the free capacity of these engines.
 
-use crate::support::{cards, instances, model, place};
+use crate::support::{announced_instances, engine_cards, model, place_chain};
 use deckwind_core::control::EngineStreamLoad;
 use deckwind_core::routes::{
     CapacityDemand, ChoiceError, RequestClass, ReturningCallers, TargetChoice, TargetFault,
@@ -44,12 +44,12 @@
 
 #[test]
 fn a_path_runs_each_layer_once_and_stays_inside_a_data_centre() {
-    let mut a = cards("a", 1, 5, 8);
-    place(&mut a);
-    let mut b = cards("b", 3, 3, 5);
-    place(&mut b);
+    let mut a = engine_cards("a", 1, 5, 8);
+    place_chain(&mut a);
+    let mut b = engine_cards("b", 3, 3, 5);
+    place_chain(&mut b);
     a.extend(b);
-    let all = instances(&a);
+    let all = announced_instances(&a);
     let found =
         find_paths(&model(), all.iter(), &AvoidedEngines(Vec::new()), &NEED).expect("two paths");
     assert_eq!(found.len(), 2);
@@ -69,10 +69,10 @@
 
 fn overlapping() -> Vec<Instance> {
     let range = LayerRange::new;
-    let mut all = cards("a", 0, 4, 0);
+    let mut all = engine_cards("a", 0, 4, 0);
     let held = [range(0, 9), range(5, 14), range(9, 18), range(12, 18)];
     all.iter_mut().zip(held).for_each(|(c, r)| c.held = r);
-    instances(&all)
+    announced_instances(&all)
 }
 
 #[test]
@@ -201,8 +201,8 @@
 fn several_chains(count: usize) -> Vec<EngineCard> {
     let mut all = Vec::new();
     for chain in 0..count {
-        let mut cards = cards("a", 0, 4, 8);
-        place(&mut cards);
+        let mut cards = engine_cards("a", 0, 4, 8);
+        place_chain(&mut cards);
         for card in &mut cards {
             card.id = format!("{}-{chain}", card.id);
         }
@@ -216,7 +216,7 @@
     three_chains = { 3 },
 )]
 fn requests_fill_all_engines_evenly_and_none_beyond_its_memory(chains: usize) {
-    let all = instances(&several_chains(chains));
+    let all = announced_instances(&several_chains(chains));
     let mut records = TargetRecords::default();
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let mut placed = 0;
@@ -246,7 +246,7 @@
 
 #[test]
 fn what_other_routers_hold_counts_as_ones_own() {
-    let all = instances(&several_chains(2));
+    let all = announced_instances(&several_chains(2));
     let mut records = TargetRecords::default();
     let first = choose(&records, &all, demand(900, false, 1)).expect("a path");
     let path = first.path.expect("a path");
@@ -269,7 +269,7 @@
 
 #[test]
 fn layers_that_an_engine_gives_up_take_its_memory_until_it_has() {
-    let mut all = instances(&several_chains(1));
+    let mut all = announced_instances(&several_chains(1));
     let large = demand(80_000, false, 1);
     assert!(choose(&TargetRecords::default(), &all, large).is_ok());
     let mut records = TargetRecords::default();
@@ -291,7 +291,7 @@
 
 #[test]
 fn memory_that_streams_give_back_can_be_given_again() {
-    let all = instances(&several_chains(1));
+    let all = announced_instances(&several_chains(1));
     let mut records = TargetRecords::default();
     let path = choose(&records, &all, demand(60_000, false, 1)).expect("a path");
     let path = path.path.expect("a path");
@@ -320,7 +320,7 @@
 /// Routers that have all received the same load report choose one path each.
 #[test]
 fn routers_with_the_same_old_report_do_not_rush_to_one_chain() {
-    let all = instances(&several_chains(4));
+    let all = announced_instances(&several_chains(4));
     let mut records = TargetRecords::default();
     let is_unloaded = |i: &&Instance| i.layers.first == 0 && i.id.ends_with("-0");
     let loaded = all.iter().filter(|i| !is_unloaded(i));
@@ -348,11 +348,11 @@
 fn routers_with_the_same_old_report_do_not_rush_to_one_data_centre() {
     let mut all = Vec::new();
     for dc in ["a", "b", "c"] {
-        let mut cards = cards(dc, 0, 4, 8);
-        place(&mut cards);
+        let mut cards = engine_cards(dc, 0, 4, 8);
+        place_chain(&mut cards);
         all.extend(cards);
     }
-    let all = instances(&all);
+    let all = announced_instances(&all);
     let mut records = TargetRecords::default();
     let tokens = |i: &Instance| match i.data_centre.as_str() {
         "a" => 85_000,
@@ -423,11 +423,11 @@
 ) {
     let mut all = Vec::new();
     for dc in ["a", "b"] {
-        let mut cards = cards(dc, 0, 4, 8);
-        place(&mut cards);
+        let mut cards = engine_cards(dc, 0, 4, 8);
+        place_chain(&mut cards);
         all.extend(cards);
     }
-    let all = instances(&all);
+    let all = announced_instances(&all);
     let mut records = TargetRecords::default();
     let is_full = |i: &&Instance| i.data_centre.as_str() == "b";
     let loads = all.iter().filter(is_full).map(|i| EngineStreamLoad {
@@ -486,9 +486,9 @@
     begun = { RequestClass::Begun, true },
 )]
 fn late_callers_leave_the_last_room_to_others(claim: RequestClass, has_capacity: bool) {
-    let mut cards = cards("a", 0, 4, 8);
-    place(&mut cards);
-    let all = instances(&cards);
+    let mut cards = engine_cards("a", 0, 4, 8);
+    place_chain(&mut cards);
+    let all = announced_instances(&cards);
     let mut records = TargetRecords::default();
     let loads = all.iter().map(|i| EngineStreamLoad {
         address: i.address,
--- a/crates/deckwind-testkit/tests/testsuite/placement.rs
+++ b/crates/deckwind-testkit/tests/testsuite/placement.rs
@@ -1,6 +1,6 @@
 //! Placement of a model's layers on engines, and the chains that they form.
 
-use crate::support::{cards, instances, model, place};
+use crate::support::{announced_instances, engine_cards, model, place_chain};
 use deckwind_core::control::{PlacementManager, UnloadMode};
 use deckwind_core::routing::chains::chain_groups;
 use deckwind_core::routing::placement::{
@@ -41,7 +41,7 @@
     one_chain_barely = { 0, 0, 10 },
 )]
 fn a_new_chain_is_whole_and_fits(fast: usize, middle: usize, small: usize) {
-    let cards = cards("a", fast, middle, small);
+    let cards = engine_cards("a", fast, middle, small);
     let plan =
         plan_chain(&model(), &cards, RepairMode::Fast).expect("the cards can hold the model");
     assert_whole_and_fits(&cards, &plan);
@@ -53,7 +53,7 @@
     many_middle = { 1, 7, 5 },
 )]
 fn each_engine_of_a_new_chain_keeps_enough_tokens(fast: usize, middle: usize, small: usize) {
-    let cards = cards("a", fast, middle, small);
+    let cards = engine_cards("a", fast, middle, small);
     let plan =
         plan_chain(&model(), &cards, RepairMode::Fast).expect("the cards can hold the model");
     for (card, range) in cards.iter().zip(plan) {
@@ -122,7 +122,7 @@
 #[test]
 fn spares_fill_two_gaps_of_a_chain_at_once() {
     let mut cards = mixed_cards(&[LARGE, (4, 14_400.0, 5.3), (6, 21_600.0, 16.0)]);
-    place(&mut cards);
+    place_chain(&mut cards);
     let small: Vec<usize> = (0..cards.len())
         .filter(|i| cards[*i].step_factor == 5.3 && !cards[*i].held.is_empty())
         .collect();
@@ -144,15 +144,15 @@
 #[test]
 fn cards_that_can_not_hold_the_model_have_no_plan() {
     assert_eq!(
-        plan_chain(&model(), &cards("a", 0, 0, 9), RepairMode::Fast),
+        plan_chain(&model(), &engine_cards("a", 0, 0, 9), RepairMode::Fast),
         None
     );
 }
 
 #[test]
 fn any_one_card_may_be_lost_and_few_layers_move() {
-    let mut all = cards("a", 1, 5, 8);
-    place(&mut all);
+    let mut all = engine_cards("a", 1, 5, 8);
+    place_chain(&mut all);
     for lost in 0..all.len() {
         let mut rest = all.clone();
         let lost_card = rest.remove(lost);
@@ -183,7 +183,7 @@
     for seed in 0..200 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let counts: [usize; 3] = std::array::from_fn(|_| rng.random_range(0..8));
-        let mut all = cards("a", counts[0], counts[1], counts[2]);
+        let mut all = engine_cards("a", counts[0], counts[1], counts[2]);
         while !all.is_empty() {
             let capacity: f64 = all.iter().map(|c| (c.memory_mb / 1_750.0).floor()).sum();
             match plan_chain(&model(), &all, RepairMode::Fast) {
@@ -201,8 +201,8 @@
 
 #[test]
 fn data_centres_hold_chains_of_their_own_or_all_share_one() {
-    let mut all = cards("a", 1, 5, 8);
-    all.extend(cards("b", 0, 0, 3));
+    let mut all = engine_cards("a", 1, 5, 8);
+    all.extend(engine_cards("b", 0, 0, 3));
     let groups = chain_groups(&model(), &all);
     assert_eq!(groups.len(), 1, "data centre b can't hold a chain");
     assert!(
@@ -210,8 +210,8 @@
             .iter()
             .all(|c| c.data_centre == DataCentre::from("a"))
     );
-    let mut few = cards("a", 0, 3, 3);
-    few.extend(cards("b", 0, 3, 3));
+    let mut few = engine_cards("a", 0, 3, 3);
+    few.extend(engine_cards("b", 0, 3, 3));
     let groups = chain_groups(&model(), &few);
     assert_eq!(groups.len(), 1);
     assert_eq!(groups[0].len(), 12, "one chain over both");
@@ -243,7 +243,7 @@
             release,
             now_ms: 1_000,
         };
-        let announced = instances(cards).into_iter();
+        let announced = announced_instances(cards).into_iter();
         rig.apply(
             announced
                 .map(|instance| InstanceChange::Announced {
@@ -310,7 +310,7 @@
 
 #[test]
 fn the_leader_places_a_chain_once_and_leaves_it_alone() {
-    let mut rig = PlacementRig::new(&cards("a", 1, 5, 8));
+    let mut rig = PlacementRig::new(&engine_cards("a", 1, 5, 8));
     assert_eq!(
         rig.run_round().0,
         0,
@@ -324,7 +324,7 @@
 
 #[test]
 fn the_leader_repairs_a_chain_after_any_loss_and_breaks_off_few_requests() {
-    let cards = cards("a", 1, 5, 8);
+    let cards = engine_cards("a", 1, 5, 8);
     for lost in &cards {
         let mut rig = PlacementRig::new(&cards);
         rig.run_rounds(12);
@@ -342,7 +342,7 @@
 
 #[test]
 fn a_large_data_centre_holds_several_chains_and_repairs_one_beside_the_others() {
-    let cards = cards("a", 2, 13, 22);
+    let cards = engine_cards("a", 2, 13, 22);
     let mut rig = PlacementRig::new(&cards);
     rig.run_rounds(12);
     let chains = |rig: &PlacementRig| {
@@ -376,7 +376,7 @@
 
 #[test]
 fn an_engine_under_an_order_is_charged_for_all_layers_in_its_memory() {
-    let cards = cards("a", 2, 13, 22);
+    let cards = engine_cards("a", 2, 13, 22);
     let mut rig = PlacementRig::new(&cards);
     rig.run_rounds(12);
     rig.apply(vec![InstanceChange::Silent(cards[0].id.as_str().into())]);
@@ -409,7 +409,7 @@
     let mut all = Vec::new();
     for (chain, boundaries) in chains.iter().enumerate() {
         for (i, pair) in boundaries.windows(2).enumerate() {
-            let mut card = cards("a", 0, 1, 0).remove(0);
+            let mut card = engine_cards("a", 0, 1, 0).remove(0);
             card.id = format!("a-middle-{chain}-{i}");
             card.held = LayerRange::new(pair[0], pair[1]);
             all.push(card);
@@ -431,7 +431,7 @@
 
 #[test]
 fn a_chain_beside_a_whole_one_is_repaired_without_breaking_off_requests() {
-    let cards = cards("a", 2, 13, 22);
+    let cards = engine_cards("a", 2, 13, 22);
     let mut rig = PlacementRig::new(&cards);
     rig.run_rounds(12);
     for lost in cards.iter().step_by(5) {
@@ -450,7 +450,7 @@
 
 #[test]
 fn announced_layers_beyond_the_model_do_not_prevent_placement() {
-    let mut all = cards("a", 2, 13, 22);
+    let mut all = engine_cards("a", 2, 13, 22);
     all[0].held = LayerRange::new(95, 110);
     all[1].held = LayerRange::new(70, 90);
     let mut rig = PlacementRig::new(&all);
@@ -462,7 +462,7 @@
 /// would have more stages than a path may have.
 #[test]
 fn several_chains_are_made_where_one_engine_still_holds_layers() {
-    let mut all = cards("a", 2, 13, 22);
+    let mut all = engine_cards("a", 2, 13, 22);
     all[20].held = LayerRange::new(30, 36);
     let mut rig = PlacementRig::new(&all);
     rig.run_rounds(30);
--- a/crates/deckwind-testkit/tests/testsuite/placement_at_size.rs
+++ b/crates/deckwind-testkit/tests/testsuite/placement_at_size.rs
@@ -1,7 +1,7 @@
 //! Placement of layers in fleets of hundreds of engines per data centre: the engines scanned
 //! per round, engines that keep joining, and engines that can't hold layers. No network.
 
-use crate::support::announced;
+use crate::support::announced_change;
 use deckwind_core::control::{PlacementManager, PlacementStep};
 use deckwind_core::state::{
     Command, CommandBody, Instance, InstanceChange, Instances, Release, StateMachine,
@@ -30,7 +30,7 @@
             release: engine_release(1, 1),
             now: Instant::from_millis(1_000),
         };
-        rig.apply(fleet.into_iter().map(announced).collect());
+        rig.apply(fleet.into_iter().map(announced_change).collect());
         rig
     }
 
@@ -106,7 +106,7 @@
     let mut rig = PlacementRig::new(fleet);
     let mut orders = 0;
     for engine in late.into_iter().take(120) {
-        rig.apply(vec![announced(engine)]);
+        rig.apply(vec![announced_change(engine)]);
         orders += rig.run_rounds(1);
     }
     assert!(orders > 0, "nothing was placed in 12 s");
@@ -124,10 +124,10 @@
     let last = local.pop().expect("the data centre has engines");
     let mut rig = PlacementRig::new(local);
     for engine in rest {
-        rig.apply(vec![announced(engine)]);
+        rig.apply(vec![announced_change(engine)]);
         assert_eq!(rig.run_rounds(1), 0, "an engine may still come");
     }
-    rig.apply(vec![announced(last)]);
+    rig.apply(vec![announced_change(last)]);
     assert_eq!(rig.run_rounds(5), 0, "an engine may still come");
     assert!(rig.run_rounds(20) > 0);
 }
@@ -171,7 +171,7 @@
     for start in 1..=20u64 {
         let again = engine_fleet(30).into_iter().map(|mut e| {
             e.born = Some(start);
-            announced(e)
+            announced_change(e)
         });
         rig.apply(again.collect());
         rig.run_rounds(1);
--- a/crates/deckwind-testkit/tests/testsuite/poison_requests.rs
+++ b/crates/deckwind-testkit/tests/testsuite/poison_requests.rs
@@ -13,8 +13,8 @@
 //! that shared an engine were not the cause: each was at one or two crashes, and none came
 //! again.
 
-use crate::rig::{Heard, KEY, Rig};
-use crate::run;
+use crate::rig::{API_KEY, CallerAnswer, Rig};
+use crate::run_async;
 use deckwind_fakes::{ENDS_ITS_TARGET, FakeTargetServer};
 use deckwind_testkit::{Layout, eventually_async};
 use http::StatusCode;
@@ -50,7 +50,7 @@
     for router in 0..2 {
         eventually_async("the router serves", || async {
             let response = rig
-                .ask_router(router, "warm-up", path, KEY, tokens, None)
+                .ask_router(router, "warm-up", path, API_KEY, tokens, None)
                 .await;
             (response.status == StatusCode::OK && response.body.is_ok()).then_some(())
         })
@@ -64,7 +64,7 @@
 const PAUSE: Duration = Duration::from_millis(400);
 
 /// Sends one content repeatedly, at both routers in turn, and returns the last response.
-async fn send_repeatedly(rig: &Rig, route: &str, tokens: bool, pause: Duration) -> Heard {
+async fn send_repeatedly(rig: &Rig, route: &str, tokens: bool, pause: Duration) -> CallerAnswer {
     let path = format!("{route}1{ENDS_ITS_TARGET}");
     let other = format!("{route}x");
     let mut last_response = None;
@@ -72,7 +72,10 @@
         tokio::time::sleep(pause).await;
         wait_until_both_serve(rig, &other, tokens).await;
         let id = format!("r{i}");
-        last_response = Some(rig.ask_router(i % 2, &id, &path, KEY, tokens, None).await);
+        last_response = Some(
+            rig.ask_router(i % 2, &id, &path, API_KEY, tokens, None)
+                .await,
+        );
     }
     last_response.expect("at least one request was sent")
 }
@@ -91,7 +94,7 @@
     engines: usize,
 ) {
     let route = route.to_string();
-    run(async move {
+    run_async(async move {
         let rig = rig(plain, engines).await;
         let response = send_repeatedly(&rig, &route, tokens, PAUSE).await;
         assert_eq!(crashes(&rig.plain) + crashes(&rig.engines), MAX_CRASHES);
@@ -120,7 +123,7 @@
     engines: usize,
 ) {
     let route = route.to_string();
-    run(async move {
+    run_async(async move {
         let rig = rig(plain, engines).await;
         send_repeatedly(&rig, &route, tokens, Duration::ZERO).await;
         tokio::time::sleep(PAUSE).await;
@@ -136,13 +139,13 @@
 /// Crashes under one content do not count against another of the same route and account.
 #[test]
 fn each_content_counts_for_itself() {
-    run(async {
+    run_async(async {
         let rig = rig(6, 0).await;
         send_repeatedly(&rig, "/safe/", false, PAUSE).await;
         let before = crashes(&rig.plain);
         let path = format!("/safe/2{ENDS_ITS_TARGET}");
         wait_until_both_serve(&rig, "/safe/x", false).await;
-        rig.ask("another", &path, KEY, false).await;
+        rig.ask("another", &path, API_KEY, false).await;
         assert!(
             crashes(&rig.plain) > before,
             "it was refused because of the first content"
@@ -155,7 +158,7 @@
 /// and the same content is served again each time, however often that happens.
 #[test]
 fn a_content_whose_targets_end_by_themselves_is_served() {
-    run(async {
+    run_async(async {
         let rig = rig(0, 8).await;
         for i in 0..5 {
             wait_until_both_serve(&rig, "/stream/x", true).await;
@@ -163,14 +166,18 @@
                 let id = format!("r{i}");
                 let engine = eventually_async("the request has arrived at an engine", || async {
                     let mut all = rig.engines.iter();
-                    all.find(|e| e.seen().iter().any(|r| deckwind_fakes::request_id(r) == id))
+                    all.find(|e| {
+                        e.received_requests()
+                            .iter()
+                            .any(|r| deckwind_fakes::request_id(r) == id)
+                    })
                 })
                 .await;
                 tokio::time::sleep(Duration::from_millis(30)).await;
                 engine.restart();
             };
             let id = format!("r{i}");
-            let request = rig.ask_router(i % 2, &id, "/stream/x", KEY, true, None);
+            let request = rig.ask_router(i % 2, &id, "/stream/x", API_KEY, true, None);
             tokio::join!(request, restart);
         }
         wait_until_both_serve(&rig, "/stream/x", true).await;
--- a/crates/deckwind-testkit/tests/testsuite/poison_templates.rs
+++ b/crates/deckwind-testkit/tests/testsuite/poison_templates.rs
@@ -1,7 +1,7 @@
 //! Poison requests through templates. The targets of templates announce no incarnations, so
 //! each router detects crashes by itself.
 
-use crate::{any, run};
+use crate::{any_loopback_port, run_async};
 use deckwind_core::state::{Change, LayerRange};
 use deckwind_fakes::serve::{self, Served};
 use deckwind_fakes::{EngineFault, FakeEngine, FakeEngineConfig, FakeService, ServiceFault};
@@ -148,7 +148,7 @@
             true => Target::Engine(FakeEngine::new(cfg)),
             false => Target::Service(FakeService::new(&format!("s{i}"))),
         };
-        let served = target.serve(any()).await;
+        let served = target.serve(any_loopback_port()).await;
         let name = format!("target-{i}");
         let change = match self.chat {
             true => engine_target(&name, served.address, 0, 4),
@@ -229,7 +229,7 @@
     chat = { true },
 )]
 fn a_content_that_ends_its_targets_ends_three_of_them(chat: bool) {
-    run(async move {
+    run_async(async move {
         let rig = Rig::start(chat).await;
         let last_answer = rig.send_repeatedly().await;
         assert_eq!(rig.crashes.count.load(Ordering::SeqCst), MAX_CRASHES);
@@ -248,7 +248,7 @@
 /// A broken connection is not a crash while the target still runs.
 #[test]
 fn broken_connections_to_a_running_service_quarantine_no_content() {
-    run(async {
+    run_async(async {
         let rig = Rig::start(false).await;
         for target in &rig.targets {
             let Target::Service(s) = target else { continue };
--- a/crates/deckwind-testkit/tests/testsuite/processes.rs
+++ b/crates/deckwind-testkit/tests/testsuite/processes.rs
@@ -11,7 +11,7 @@
 
 /// Returns a cluster with the given numbers of control replicas and routers; no
 /// process is started yet.
-pub fn processes(control: usize, routers: usize) -> Processes {
+pub fn process_cluster(control: usize, routers: usize) -> Processes {
     processes_with_layout(Layout::new(control, routers).expect("the folder and ports are reserved"))
 }
 
@@ -71,7 +71,7 @@
 /// reaches the service. On SIGTERM, routers and control replicas exit with code 0.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_is_served_end_to_end() {
-    let cluster = processes(3, 2);
+    let cluster = process_cluster(3, 2);
     let controls: Vec<Process> = (0..3).map(|slot| cluster.control(slot).unwrap()).collect();
     let routers: Vec<Process> = (0..2).map(|i| cluster.router(i).unwrap()).collect();
     let template = chat_template("rosters", LAYERS);
--- a/crates/deckwind-testkit/tests/testsuite/published_releases.rs
+++ b/crates/deckwind-testkit/tests/testsuite/published_releases.rs
@@ -2,7 +2,7 @@
 //! and simulations in virtual time.
 
 use crate::retry_rig::{Control, RESTARTED};
-use crate::support::announced;
+use crate::support::announced_change;
 use deckwind_core::routes::{
     EventSplitter, ReleaseIndex, RequestClass, RetryBudgets, RetryLimits, RetrySource,
 };
@@ -204,12 +204,12 @@
     let draining = instance("i", 1, InstanceState::Draining, 7);
     apply_change(
         &mut machine,
-        announced(instance("i", 1, InstanceState::Ready, 5)),
+        announced_change(instance("i", 1, InstanceState::Ready, 5)),
     );
-    apply_change(&mut machine, announced(draining));
+    apply_change(&mut machine, announced_change(draining));
     apply_change(
         &mut machine,
-        announced(instance("i", 1, InstanceState::Ready, 6)),
+        announced_change(instance("i", 1, InstanceState::Ready, 6)),
     );
     assert_eq!(state_of(&machine, "i"), Some(InstanceState::Draining));
     // Results of the leader's own orders and probes don't end the drain either.
@@ -226,7 +226,7 @@
     apply_change(&mut machine, InstanceChange::Left("i".into()));
     apply_change(
         &mut machine,
-        announced(instance("i", 1, InstanceState::Ready, 9)),
+        announced_change(instance("i", 1, InstanceState::Ready, 9)),
     );
     assert_eq!(state_of(&machine, "i"), None);
 }
@@ -236,17 +236,17 @@
     let mut machine = StateMachine::default();
     apply_change(
         &mut machine,
-        announced(instance("old", 1, InstanceState::Ready, 5)),
+        announced_change(instance("old", 1, InstanceState::Ready, 5)),
     );
     apply_change(
         &mut machine,
-        announced(instance("new", 1, InstanceState::Ready, 1)),
+        announced_change(instance("new", 1, InstanceState::Ready, 1)),
     );
     assert_eq!(state_of(&machine, "old"), None);
     assert_eq!(state_of(&machine, "new"), Some(InstanceState::Ready));
     apply_change(
         &mut machine,
-        announced(instance("old", 1, InstanceState::Ready, 6)),
+        announced_change(instance("old", 1, InstanceState::Ready, 6)),
     );
     assert_eq!(state_of(&machine, "new"), Some(InstanceState::Ready));
 }
@@ -258,7 +258,7 @@
         let id = format!("i{i}");
         apply_change(
             &mut machine,
-            announced(instance(&id, i, InstanceState::Ready, 1)),
+            announced_change(instance(&id, i, InstanceState::Ready, 1)),
         );
         apply_change(&mut machine, InstanceChange::Left(id.into()));
     }
--- a/crates/deckwind-testkit/tests/testsuite/quarantine.rs
+++ b/crates/deckwind-testkit/tests/testsuite/quarantine.rs
@@ -354,7 +354,7 @@
         token: 9_999,
         request,
     };
-    sim.happens(leader, event);
+    sim.push_event(leader, event);
     sim.run_for(Duration::from_millis(300));
 }
 
--- a/crates/deckwind-testkit/tests/testsuite/relayed_requests.rs
+++ b/crates/deckwind-testkit/tests/testsuite/relayed_requests.rs
@@ -30,12 +30,12 @@
 #[parameterized(a = { 1 }, b = { 2 }, c = { 3 }, d = { 4 })]
 fn a_router_that_asks_a_follower_holds_its_lease_and_stays_there(seed: u64) {
     let (mut sim, leader) = sim(seed);
-    let asked: Vec<usize> = sim.routers.iter().map(|r| r.asked()).collect();
+    let asked: Vec<usize> = sim.routers.iter().map(|r| r.last_slot()).collect();
     assert!(asked.iter().any(|slot| *slot != leader));
     for _ in 0..20 {
         sim.run_for(Duration::from_millis(200));
         assert!(all_routers_serve(&sim), "leader {leader}");
-        let now: Vec<usize> = sim.routers.iter().map(|r| r.asked()).collect();
+        let now: Vec<usize> = sim.routers.iter().map(|r| r.last_slot()).collect();
         assert_eq!(
             now, asked,
             "no router was redirected to the leader, {leader}"
@@ -51,7 +51,7 @@
     sim.crash(leader, 0);
     sim.run_until_leader();
     sim.run_for(Duration::from_millis(200));
-    for router in sim.routers.iter().filter(|r| r.asked() != leader) {
+    for router in sim.routers.iter().filter(|r| r.last_slot() != leader) {
         assert!(router.serves(sim.now()), "{} has no lease", router.name());
     }
 }
@@ -67,7 +67,7 @@
         let slot = (seed as usize + round) % 3;
         match round % 3 {
             0 => sim.crash(slot, 7),
-            1 => sim.cut_off(slot, true),
+            1 => sim.set_partitioned(slot, true),
             _ => sim.freeze(slot, true),
         }
         sim.run_for(Duration::from_millis(1_500));
@@ -75,7 +75,7 @@
         sim.run_for(Duration::from_millis(1_500));
     }
     let mut ran: BTreeMap<String, usize> = BTreeMap::new();
-    for key in sim.routers.iter().flat_map(|r| &r.ran) {
+    for key in sim.routers.iter().flat_map(|r| &r.executed_keys) {
         *ran.entry(key.clone()).or_default() += 1;
     }
     assert!(ran.values().all(|runs| *runs == 1), "{ran:?}");
--- a/crates/deckwind-testkit/tests/testsuite/replication.rs
+++ b/crates/deckwind-testkit/tests/testsuite/replication.rs
@@ -117,7 +117,7 @@
     let mut sim = ControlSimulation::new(3, 1, 6, NetFaults::NONE);
     sim.apply_and_wait("before", None, template_change("rosters", 24));
     let old = sim.run_until_leader();
-    sim.cut_off(old, true);
+    sim.set_partitioned(old, true);
     sim.apply(old, "cut", None, template_change("rosters", 99));
     sim.run_for(Duration::from_millis(700));
     let new = sim.run_until_leader();
@@ -128,7 +128,7 @@
             .get("cut")
             .is_none_or(|r| r == &[OperatorReply::Unknown])
     );
-    sim.cut_off(old, false);
+    sim.set_partitioned(old, false);
     sim.run_for(Duration::from_secs(3));
     let cfg = sim
         .node(old)
@@ -245,7 +245,7 @@
     let reply = sim.apply_and_wait(&format!("{seed}-end"), None, template_change("rosters", 99));
     assert!(!matches!(reply, OperatorReply::Rejected(_)), "{reply:?}");
     let mut runs: BTreeMap<&str, u32> = BTreeMap::new();
-    for key in sim.routers.iter().flat_map(|r| &r.ran) {
+    for key in sim.routers.iter().flat_map(|r| &r.executed_keys) {
         *runs.entry(key).or_default() += 1;
     }
     let twice: Vec<_> = runs.iter().filter(|(_, n)| **n > 1).collect();
@@ -270,11 +270,11 @@
     let mut sim = ControlSimulation::new(3, 0, 11, NetFaults::NONE);
     sim.apply_and_wait("runner", None, change_of_round(1));
     sim.run_for(Duration::from_secs(1));
-    let first = sim.ordered()[&TargetName::from("runner-1")];
+    let first = sim.newest_terms()[&TargetName::from("runner-1")];
     let leader = sim.run_until_leader();
     sim.crash(leader, 0);
     sim.run_for(Duration::from_secs(4));
-    assert!(sim.ordered()[&TargetName::from("runner-1")] > first);
+    assert!(sim.newest_terms()[&TargetName::from("runner-1")] > first);
 }
 
 fn inject_fault(sim: &mut ControlSimulation) {
@@ -288,7 +288,7 @@
             let operations = sim.rng().random_range(0..6);
             sim.disk(slot).fail_after(operations);
         }
-        2 => sim.cut_off(slot, true),
+        2 => sim.set_partitioned(slot, true),
         3 => sim.freeze(slot, true),
         4 if all_are_committed_voters(sim) => {
             sim.lose_disk(slot);
--- a/crates/deckwind-testkit/tests/testsuite/rest_periods.rs
+++ b/crates/deckwind-testkit/tests/testsuite/rest_periods.rs
@@ -11,8 +11,8 @@
 //! 3,000 ms (`event=target_asks_rest`) beside an avoidance time of 300 ms
 //! (`event=target_refused`).
 
-use crate::rig::{KEY, Kind, NOT_RESUMABLE, ONCE, REPEATABLE, Rig, STREAMS};
-use crate::run;
+use crate::rig::{API_KEY, NOT_RESUMABLE, ONCE, REPEATABLE, RequestKind, Rig, STREAMS};
+use crate::run_async;
 use deckwind_fakes::{FakeTargetFault, FakeTargetServer};
 use deckwind_testkit::{Layout, eventually_async};
 use http::StatusCode;
@@ -32,7 +32,7 @@
 /// Number of time steps.
 const TIME_STEPS: u64 = 10;
 
-async fn rig(kind: Kind) -> Rig {
+async fn rig(kind: RequestKind) -> Rig {
     let mut layout = Layout::new(1, 1).expect("a layout");
     layout.repeats = (4.0, 200);
     Rig::start_placed(layout, kind.plain, kind.engines).await
@@ -45,38 +45,40 @@
 }
 
 /// Sends requests until one is served, and returns the target that serves the next one.
-async fn first_choice(rig: &Rig, kind: Kind) -> FakeTargetServer {
-    rig.until_served(kind.path, kind.tokens).await;
-    let before: Vec<usize> = rig.targets().map(|t| t.seen().len()).collect();
-    let response = rig.ask("first", kind.path, KEY, kind.tokens).await;
+async fn first_choice(rig: &Rig, kind: RequestKind) -> FakeTargetServer {
+    rig.wait_until_served(kind.path, kind.tokens).await;
+    let before: Vec<usize> = rig.targets().map(|t| t.received_requests().len()).collect();
+    let response = rig.ask("first", kind.path, API_KEY, kind.tokens).await;
     assert_eq!(response.status, StatusCode::OK);
     let mut now = rig.targets().zip(before);
     let (target, _) = now
-        .find(|(t, n)| t.seen().len() > *n)
+        .find(|(t, n)| t.received_requests().len() > *n)
         .expect("a target was sent the request");
     target.clone()
 }
 
 /// Sends requests until the target receives one, and returns how many it has received in all.
 /// On a busy machine another target may be the first choice for a moment.
-async fn request_until_received(rig: &Rig, target: &FakeTargetServer, kind: Kind) -> usize {
-    let before = target.seen().len();
+async fn request_until_received(rig: &Rig, target: &FakeTargetServer, kind: RequestKind) -> usize {
+    let before = target.received_requests().len();
     eventually_async("the target is sent a request", || async {
-        rig.ask("told", kind.path, KEY, kind.tokens).await;
-        (target.seen().len() > before).then_some(())
+        rig.ask("told", kind.path, API_KEY, kind.tokens).await;
+        (target.received_requests().len() > before).then_some(())
     })
     .await;
-    let seen = target.seen().len();
+    let seen = target.received_requests().len();
     assert_eq!(seen, before + 1, "the target was sent one request");
     seen
 }
 
 /// Sends a request after each time step; other targets must serve all of them.
-async fn request_at_each_step(rig: &Rig, kind: Kind) {
+async fn request_at_each_step(rig: &Rig, kind: RequestKind) {
     for i in 0..TIME_STEPS {
         advance_time(rig, TIME_STEP).await;
         eventually_async("another target serves", || async {
-            let response = rig.ask(&format!("r{i}"), kind.path, KEY, kind.tokens).await;
+            let response = rig
+                .ask(&format!("r{i}"), kind.path, API_KEY, kind.tokens)
+                .await;
             (response.status == StatusCode::OK && response.body.is_ok()).then_some(())
         })
         .await;
@@ -90,8 +92,8 @@
     at_most_once = { ONCE },
     not_resumable = { NOT_RESUMABLE },
 )]
-fn a_target_that_asks_for_rest_is_left_alone(kind: Kind) {
-    run(async move {
+fn a_target_that_asks_for_rest_is_left_alone(kind: RequestKind) {
+    run_async(async move {
         let rig = rig(kind).await;
         let target = first_choice(&rig, kind).await;
         target.set_fault(FakeTargetFault::Refuses { at_fault: None });
@@ -99,7 +101,7 @@
         let seen = request_until_received(&rig, &target, kind).await;
         request_at_each_step(&rig, kind).await;
         assert_eq!(
-            target.seen().len(),
+            target.received_requests().len(),
             seen,
             "it was sent nothing in its rest period"
         );
@@ -108,8 +110,8 @@
         eventually_async(
             "the target is sent requests after its rest period",
             || async {
-                rig.ask("after", kind.path, KEY, kind.tokens).await;
-                (target.seen().len() > seen).then_some(())
+                rig.ask("after", kind.path, API_KEY, kind.tokens).await;
+                (target.received_requests().len() > seen).then_some(())
             },
         )
         .await;
@@ -128,8 +130,8 @@
     at_most_once_refused = { ONCE, FakeTargetFault::Refuses { at_fault: None } },
     not_resumable = { NOT_RESUMABLE, FakeTargetFault::None },
 )]
-fn a_target_that_says_it_leaves_gets_nothing_new(kind: Kind, fault: FakeTargetFault) {
-    run(async move {
+fn a_target_that_says_it_leaves_gets_nothing_new(kind: RequestKind, fault: FakeTargetFault) {
+    run_async(async move {
         let rig = rig(kind).await;
         let target = first_choice(&rig, kind).await;
         target.set_fault(fault);
@@ -138,7 +140,7 @@
         target.set_fault(FakeTargetFault::None);
         request_at_each_step(&rig, kind).await;
         assert_eq!(
-            target.seen().len(),
+            target.received_requests().len(),
             seen,
             "it was sent nothing after its notice"
         );
@@ -153,23 +155,25 @@
     repeatable = { REPEATABLE, 200 },
     at_most_once = { ONCE, 503 },
 )]
-fn a_target_that_refuses_a_plain_request_comes_last(kind: Kind, status: u16) {
-    run(async move {
+fn a_target_that_refuses_a_plain_request_comes_last(kind: RequestKind, status: u16) {
+    run_async(async move {
         let rig = rig(kind).await;
         let target = first_choice(&rig, kind).await;
         target.set_fault(FakeTargetFault::Refuses { at_fault: None });
-        let response = rig.ask("refused", kind.path, KEY, kind.tokens).await;
+        let response = rig.ask("refused", kind.path, API_KEY, kind.tokens).await;
         assert_eq!(response.status.as_u16(), status);
         if status == 503 {
             let after = response.retry_after_time();
             assert!((0.01..0.061).contains(&after), "{after} s");
         }
-        let seen = target.seen().len();
+        let seen = target.received_requests().len();
         for i in 0..4 {
-            let response = rig.ask(&format!("r{i}"), kind.path, KEY, kind.tokens).await;
+            let response = rig
+                .ask(&format!("r{i}"), kind.path, API_KEY, kind.tokens)
+                .await;
             assert_eq!(response.status, StatusCode::OK);
         }
-        assert_eq!(target.seen().len(), seen);
+        assert_eq!(target.received_requests().len(), seen);
         rig.cluster.close().await.expect("closed");
     });
 }
@@ -181,19 +185,21 @@
     repeatable = { REPEATABLE },
     at_most_once = { ONCE },
 )]
-fn where_all_targets_rest_a_request_is_refused_with_the_time_that_is_left(kind: Kind) {
-    run(async move {
+fn where_all_targets_rest_a_request_is_refused_with_the_time_that_is_left(kind: RequestKind) {
+    run_async(async move {
         let rig = rig(kind).await;
-        rig.until_served(kind.path, kind.tokens).await;
+        rig.wait_until_served(kind.path, kind.tokens).await;
         for target in rig.targets() {
             target.set_fault(FakeTargetFault::Refuses { at_fault: None });
             target.set_retry_after(Some(REST_PERIOD));
         }
-        let mut response = rig.ask("r", kind.path, KEY, kind.tokens).await;
+        let mut response = rig.ask("r", kind.path, API_KEY, kind.tokens).await;
         for i in 0..4 {
-            response = rig.ask(&format!("r{i}"), kind.path, KEY, kind.tokens).await;
+            response = rig
+                .ask(&format!("r{i}"), kind.path, API_KEY, kind.tokens)
+                .await;
         }
-        let seen: usize = rig.targets().map(|t| t.seen().len()).sum();
+        let seen: usize = rig.targets().map(|t| t.received_requests().len()).sum();
         assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
         let after = response.retry_after_time();
         assert!(
@@ -202,9 +208,10 @@
         );
         for i in 0..TIME_STEPS {
             advance_time(&rig, TIME_STEP).await;
-            rig.ask(&format!("s{i}"), kind.path, KEY, kind.tokens).await;
+            rig.ask(&format!("s{i}"), kind.path, API_KEY, kind.tokens)
+                .await;
         }
-        let now: usize = rig.targets().map(|t| t.seen().len()).sum();
+        let now: usize = rig.targets().map(|t| t.received_requests().len()).sum();
         assert_eq!(now, seen, "no target was sent anything");
         rig.cluster.close().await.expect("closed");
     });
@@ -232,7 +239,7 @@
 /// A failed order is repeated after 0.8 s, unless its engine is in a rest period.
 #[test]
 fn orders_leave_an_engine_alone_that_asks_for_rest() {
-    run(async {
+    run_async(async {
         let rig = start_engines_that_refuse_orders("60").await;
         tokio::time::sleep(Duration::from_secs(2)).await;
         let refused: Vec<u32> = rig.engines.iter().map(|e| e.orders_refused()).collect();
@@ -243,12 +250,12 @@
 
 #[test]
 fn an_order_is_given_again_after_the_rest() {
-    run(async {
+    run_async(async {
         let rig = start_engines_that_refuse_orders("0.2").await;
         for engine in &rig.engines {
             engine.set_fault(FakeTargetFault::None);
         }
-        rig.until_served("/stream/x", true).await;
+        rig.wait_until_served("/stream/x", true).await;
         rig.cluster.close().await.expect("closed");
     });
 }
--- a/crates/deckwind-testkit/tests/testsuite/retries.rs
+++ b/crates/deckwind-testkit/tests/testsuite/retries.rs
@@ -16,7 +16,7 @@
 const USABLE_RETRIES: usize = 80;
 
 fn retries_used(sim: &ControlSimulation) -> usize {
-    sim.routers.iter().map(|r| r.repeated.len()).sum()
+    sim.routers.iter().map(|r| r.retry_times.len()).sum()
 }
 
 fn set_demand(sim: &mut ControlSimulation, retries: u64) {
@@ -42,7 +42,7 @@
         match sim.rng().random_range(0..10) {
             0 => sim.crash(slot, 0),
             1 => sim.freeze(slot, true),
-            2 => sim.cut_off(slot, true),
+            2 => sim.set_partitioned(slot, true),
             3 => {
                 if let Some(leader) = sim.leader() {
                     sim.crash(leader, 0);
--- a/crates/deckwind-testkit/tests/testsuite/rig.rs
+++ b/crates/deckwind-testkit/tests/testsuite/rig.rs
@@ -15,11 +15,11 @@
 use tokio::task::JoinHandle;
 
 /// An API key that the first release contains.
-pub const KEY: &str = "a-key";
+pub const API_KEY: &str = "a-key";
 
 /// Returns the data centre of target `i`: targets with an even number are in the router's
 /// own one.
-pub fn data_centre(i: usize) -> &'static str {
+pub fn data_centre_of(i: usize) -> &'static str {
     match i % 2 {
         0 => "recife-a",
         _ => "fortaleza",
@@ -28,7 +28,7 @@
 
 /// A kind of request, and the number of targets that serve it in a test.
 #[derive(Clone, Copy)]
-pub struct Kind {
+pub struct RequestKind {
     pub path: &'static str,
     /// Whether the request generates tokens.
     pub tokens: bool,
@@ -36,8 +36,8 @@
     pub engines: usize,
 }
 
-const fn kind(path: &'static str, tokens: bool, plain: usize, engines: usize) -> Kind {
-    Kind {
+const fn kind(path: &'static str, tokens: bool, plain: usize, engines: usize) -> RequestKind {
+    RequestKind {
         path,
         tokens,
         plain,
@@ -46,13 +46,13 @@
 }
 
 /// Streams over a chain of engines that forward to each other.
-pub const STREAMS: Kind = kind("/stream/x", true, 0, 4);
+pub const STREAMS: RequestKind = kind("/stream/x", true, 0, 4);
 /// Plain requests that may be retried.
-pub const REPEATABLE: Kind = kind("/safe/x", false, 2, 0);
+pub const REPEATABLE: RequestKind = kind("/safe/x", false, 2, 0);
 /// Plain requests that run at most once.
-pub const ONCE: Kind = kind("/once/x", false, 2, 0);
+pub const ONCE: RequestKind = kind("/once/x", false, 2, 0);
 /// Streams that one target serves by itself, and that can't be resumed.
-pub const NOT_RESUMABLE: Kind = kind("/tell/x", true, 2, 0);
+pub const NOT_RESUMABLE: RequestKind = kind("/tell/x", true, 2, 0);
 
 /// A control replica, a router and fake targets.
 pub struct Rig {
@@ -119,7 +119,7 @@
     let mut all = all.lock().expect("no holder panics");
     let (targets, number) = &mut *all;
     let ready = targets.iter().filter(|(_, t)| t.state == "ready");
-    let reachable = ready.filter(|(_, t)| t.server.listens());
+    let reachable = ready.filter(|(_, t)| t.server.is_reachable());
     let announcement = |(path, target): (&String, &AnnouncedTarget)| {
         *number += 1;
         (path.clone(), target.body(*number))
@@ -137,13 +137,13 @@
 }
 
 /// An answer as a caller received it.
-pub struct Heard {
+pub struct CallerAnswer {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Result<String, String>,
 }
 
-impl Heard {
+impl CallerAnswer {
     /// Seconds until the caller may retry, from `Retry-After`.
     pub fn retry_after_time(&self) -> f64 {
         let after = self
@@ -186,7 +186,7 @@
         // A release without a clear answer is sent again, as operators do: the only
         // replica may have lost its lease because its VM was busy.
         eventually_async("the first release is accepted", || async {
-            (rig.publish(1, &[KEY]).await == StatusCode::OK).then_some(())
+            (rig.publish(1, &[API_KEY]).await == StatusCode::OK).then_some(())
         })
         .await;
         for i in 0..plain {
@@ -236,7 +236,7 @@
         let target = AnnouncedTarget {
             server: server.clone(),
             pool: pool.to_string(),
-            data_centre: data_centre(i),
+            data_centre: data_centre_of(i),
             state: state.to_string(),
         };
         let body = self.announcer.record(&path, target);
@@ -256,7 +256,7 @@
         let target = AnnouncedTarget {
             server: last,
             pool: "plain".to_string(),
-            data_centre: data_centre(0),
+            data_centre: data_centre_of(0),
             state: "draining".to_string(),
         };
         let body = self.announcer.record(path, target);
@@ -268,15 +268,15 @@
     }
 
     /// Waits until a request to the path is answered with 200.
-    pub async fn until_served(&self, path: &str, tokens: bool) {
+    pub async fn wait_until_served(&self, path: &str, tokens: bool) {
         eventually_async("a request is served", || async {
-            let answer = self.ask("warm-up", path, KEY, tokens).await;
+            let answer = self.ask("warm-up", path, API_KEY, tokens).await;
             (answer.status == StatusCode::OK).then_some(())
         })
         .await;
     }
 
-    pub async fn ask(&self, id: &str, path: &str, key: &str, tokens: bool) -> Heard {
+    pub async fn ask(&self, id: &str, path: &str, key: &str, tokens: bool) -> CallerAnswer {
         self.ask_resuming(id, path, key, tokens, None).await
     }
 
@@ -288,7 +288,7 @@
         key: &str,
         tokens: bool,
         last_event: Option<u64>,
-    ) -> Heard {
+    ) -> CallerAnswer {
         self.ask_router(0, id, path, key, tokens, last_event).await
     }
 
@@ -301,7 +301,7 @@
         key: &str,
         tokens: bool,
         last_event: Option<u64>,
-    ) -> Heard {
+    ) -> CallerAnswer {
         let router = self.cluster.layout.routers[router].routes;
         let client = Client::builder(TokioExecutor::new()).build_http();
         let call = FakeCall {
@@ -315,7 +315,7 @@
         let res = client.request(req).await.expect("an answer's head");
         let (head, body) = res.into_parts();
         let body = body.collect().await.map_err(|e| e.to_string());
-        Heard {
+        CallerAnswer {
             status: head.status,
             headers: head.headers,
             body: body.map(|b| String::from_utf8_lossy(&b.to_bytes()).into_owned()),
@@ -328,8 +328,8 @@
     }
 
     /// Returns how often the request with this id was sent to a target.
-    pub fn sends(&self, id: &str) -> usize {
-        let seen = self.targets().flat_map(FakeTargetServer::seen);
+    pub fn send_count(&self, id: &str) -> usize {
+        let seen = self.targets().flat_map(FakeTargetServer::received_requests);
         seen.filter(|r| r.headers["x-deckwind-request-id"] == id)
             .count()
     }
--- a/crates/deckwind-testkit/tests/testsuite/routes.rs
+++ b/crates/deckwind-testkit/tests/testsuite/routes.rs
@@ -1,10 +1,12 @@
 //! Published routes: real daemons with fake targets.
 
-use crate::rig::{KEY, Rig, data_centre, post};
-use crate::run;
+use crate::rig::{API_KEY, Rig, data_centre_of, post};
+use crate::run_async;
 use bytes::Bytes;
 use deckwind_core::state::InstanceState;
-use deckwind_fakes::{EVENTS, FakeTargetFault, FakeTargetServer, release_document, request_id};
+use deckwind_fakes::{
+    EVENTS_PER_STREAM, FakeTargetFault, FakeTargetServer, release_document, request_id,
+};
 use deckwind_testkit::{Layout, eventually_async};
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -16,14 +18,14 @@
 
 #[test]
 fn a_request_reaches_a_target_of_its_route_unchanged_but_for_our_headers() {
-    run(async {
+    run_async(async {
         let rig = Rig::start(1, 0).await;
-        rig.until_served("/safe/x", false).await;
-        let answer = rig.ask("r1", "/safe/a?b=c", KEY, false).await;
+        rig.wait_until_served("/safe/x", false).await;
+        let answer = rig.ask("r1", "/safe/a?b=c", API_KEY, false).await;
         assert_eq!(answer.status, StatusCode::OK);
         assert_eq!(answer.body.as_deref(), Ok("answer to r1"));
         assert_eq!(answer.headers["x-deckwind-response-seal"], "s");
-        let seen = rig.plain[0].seen();
+        let seen = rig.plain[0].received_requests();
         let seen = seen
             .iter()
             .find(|r| r.headers["x-deckwind-request-id"] == "r1");
@@ -42,10 +44,10 @@
 #[parameterized(
     fails_safe = { FakeTargetFault::Fails, "/safe/x", 200, 2 },
     fails_once = { FakeTargetFault::Fails, "/once/x", 500, 1 },
-    cuts_safe = { FakeTargetFault::Cuts, "/safe/x", 200, 2 },
-    cuts_once = { FakeTargetFault::Cuts, "/once/x", 502, 1 },
-    mute_safe = { FakeTargetFault::Mute, "/safe/x", 200, 2 },
-    mute_once = { FakeTargetFault::Mute, "/once/x", 504, 1 },
+    cuts_safe = { FakeTargetFault::ClosesMidAnswer, "/safe/x", 200, 2 },
+    cuts_once = { FakeTargetFault::ClosesMidAnswer, "/once/x", 502, 1 },
+    mute_safe = { FakeTargetFault::NeverAnswers, "/safe/x", 200, 2 },
+    mute_once = { FakeTargetFault::NeverAnswers, "/once/x", 504, 1 },
     other_id_safe = { FakeTargetFault::OtherId, "/safe/x", 200, 2 },
     other_id_once = { FakeTargetFault::OtherId, "/once/x", 502, 1 },
     unsigned_safe = { FakeTargetFault::Unsigned, "/safe/x", 200, 2 },
@@ -53,7 +55,7 @@
     refuses_safe = { FakeTargetFault::Refuses { at_fault: None }, "/safe/x", 200, 2 },
     refuses_once = { FakeTargetFault::Refuses { at_fault: None }, "/once/x", 503, 1 },
     unframed_once = { FakeTargetFault::Unframed, "/once/x", 200, 1 },
-    extra_once = { FakeTargetFault::Extra, "/once/x", 200, 1 },
+    extra_once = { FakeTargetFault::SecondAnswer, "/once/x", 200, 1 },
 )]
 fn a_faulty_target_s_request_is_retried_where_the_route_allows_it(
     fault: FakeTargetFault,
@@ -61,9 +63,9 @@
     status: u16,
     sends: usize,
 ) {
-    run(async move {
+    run_async(async move {
         let mut rig = Rig::start(1, 0).await;
-        rig.until_served(path, false).await;
+        rig.wait_until_served(path, false).await;
         // The second target is idle, and its data centre is as near: the router sends to
         // a random one of the two first.
         let server = FakeTargetServer::start("p-1").await.expect("a target");
@@ -74,8 +76,8 @@
         let mut faulty_first = 0;
         for i in 0..40 {
             let id = format!("r{i}");
-            let answer = rig.ask(&id, path, KEY, false).await;
-            let first = rig.plain[0].seen();
+            let answer = rig.ask(&id, path, API_KEY, false).await;
+            let first = rig.plain[0].received_requests();
             if !first
                 .iter()
                 .any(|r| r.headers["x-deckwind-request-id"] == id)
@@ -85,7 +87,7 @@
             }
             faulty_first += 1;
             assert_eq!(answer.status.as_u16(), status);
-            assert_eq!(rig.sends(&id), sends);
+            assert_eq!(rig.send_count(&id), sends);
             if status == 200 {
                 assert_eq!(answer.body, Ok(format!("answer to {id}")));
             }
@@ -106,13 +108,13 @@
 
 #[test]
 fn a_request_that_ran_is_not_refused_as_not_run_when_its_repeat_is() {
-    run(async {
+    run_async(async {
         let rig = Rig::start(2, 0).await;
-        rig.until_served("/safe/x", false).await;
+        rig.wait_until_served("/safe/x", false).await;
         rig.plain[0].set_fault(FakeTargetFault::Fails);
         rig.plain[1].set_fault(FakeTargetFault::Refuses { at_fault: None });
         for i in 0..12 {
-            let answer = rig.ask(&format!("r{i}"), "/safe/x", KEY, false).await;
+            let answer = rig.ask(&format!("r{i}"), "/safe/x", API_KEY, false).await;
             assert_eq!(answer.status.as_u16(), 500, "request r{i}");
         }
         rig.cluster.close().await.expect("closed");
@@ -120,12 +122,12 @@
 }
 
 #[parameterized(
-    no_route = { "/none/x", KEY, 404 },
+    no_route = { "/none/x", API_KEY, 404 },
     wrong_key = { "/safe/x", "another", 401 },
-    no_target = { "/safe/x", KEY, 503 },
+    no_target = { "/safe/x", API_KEY, 503 },
 )]
 fn a_request_that_can_not_be_sent_is_refused_at_once(path: &str, key: &str, status: u16) {
-    run(async move {
+    run_async(async move {
         let rig = Rig::start(0, 0).await;
         let started = Instant::now();
         let answer = rig.ask("r1", path, key, false).await;
@@ -138,18 +140,18 @@
 
 #[test]
 fn a_key_that_was_taken_away_no_longer_runs() {
-    run(async {
+    run_async(async {
         let rig = Rig::start(1, 0).await;
-        rig.until_served("/once/x", false).await;
+        rig.wait_until_served("/once/x", false).await;
         assert_eq!(rig.publish(5, &["a-new-key"]).await, StatusCode::OK);
         eventually_async("the key is no longer valid", || async {
-            let answer = rig.ask("r1", "/once/x", KEY, false).await;
+            let answer = rig.ask("r1", "/once/x", API_KEY, false).await;
             (answer.status == StatusCode::UNAUTHORIZED).then_some(())
         })
         .await;
         // An older release is acknowledged and changes nothing.
-        assert_eq!(rig.publish(4, &[KEY]).await, StatusCode::OK);
-        let answer = rig.ask("r2", "/once/x", KEY, false).await;
+        assert_eq!(rig.publish(4, &[API_KEY]).await, StatusCode::OK);
+        let answer = rig.ask("r2", "/once/x", API_KEY, false).await;
         assert_eq!(answer.status, StatusCode::UNAUTHORIZED);
         rig.cluster.close().await.expect("closed");
     });
@@ -157,34 +159,34 @@
 
 #[test]
 fn a_draining_target_gets_nothing_new_once_that_is_acknowledged() {
-    run(async {
+    run_async(async {
         let mut rig = Rig::start(2, 0).await;
-        rig.until_served("/safe/x", false).await;
+        rig.wait_until_served("/safe/x", false).await;
         rig.announce("plain", "p", 0, "draining").await;
         eventually_async("only the other target receives requests", || async {
-            let before = rig.plain[0].seen().len();
+            let before = rig.plain[0].received_requests().len();
             for i in 0..12 {
-                rig.ask(&format!("r{i}"), "/safe/x", KEY, false).await;
+                rig.ask(&format!("r{i}"), "/safe/x", API_KEY, false).await;
             }
-            (rig.plain[0].seen().len() == before).then_some(())
+            (rig.plain[0].received_requests().len() == before).then_some(())
         })
         .await;
         // A late announcement from before does not make the target ready again.
-        let late = rig.plain[0].announcement("plain", data_centre(0), "ready", 1);
+        let late = rig.plain[0].announcement("plain", data_centre_of(0), "ready", 1);
         let path = "/v1/instances/p-0/heartbeat";
         assert_eq!(post(rig.control(), path, &late).await, StatusCode::OK);
-        let before = rig.plain[0].seen().len();
+        let before = rig.plain[0].received_requests().len();
         for i in 0..12 {
-            rig.ask(&format!("s{i}"), "/safe/x", KEY, false).await;
+            rig.ask(&format!("s{i}"), "/safe/x", API_KEY, false).await;
         }
-        assert_eq!(rig.plain[0].seen().len(), before);
+        assert_eq!(rig.plain[0].received_requests().len(), before);
         rig.cluster.close().await.expect("closed");
     });
 }
 
 fn whole_stream() -> String {
     let event = |i| format!("id: {i}\ndata: token {i}\n\n");
-    (1..=EVENTS).map(event).collect()
+    (1..=EVENTS_PER_STREAM).map(event).collect()
 }
 
 /// Starts two engines in each of two data centres, and waits until each data centre has a
@@ -216,17 +218,20 @@
         async move { (held >= 8).then_some(()) }
     })
     .await;
-    rig.until_served("/stream/x", true).await;
+    rig.wait_until_served("/stream/x", true).await;
     rig
 }
 
 #[test]
 fn layers_are_placed_and_a_stream_takes_a_path_over_all_of_them() {
-    run(async {
+    run_async(async {
         let rig = placed().await;
-        let answer = rig.ask("r1", "/stream/x", KEY, true).await;
+        let answer = rig.ask("r1", "/stream/x", API_KEY, true).await;
         assert_eq!(answer.body, Ok(whole_stream()));
-        let seen = rig.engines.iter().flat_map(FakeTargetServer::seen);
+        let seen = rig
+            .engines
+            .iter()
+            .flat_map(FakeTargetServer::received_requests);
         let seen: Vec<_> = seen
             .filter(|r| r.headers["x-deckwind-request-id"] == "r1")
             .collect();
@@ -250,7 +255,7 @@
 
 #[test]
 fn an_order_that_is_not_answered_is_given_again_and_done_once() {
-    run(async {
+    run_async(async {
         let mut rig = Rig::start(0, 0).await;
         for i in 0..4 {
             let server = FakeTargetServer::start(&format!("e-{i}")).await;
@@ -284,14 +289,14 @@
 #[parameterized(
     cut = { StreamFault::Cuts(5), 1, 2 },
     cut_before_the_first = { StreamFault::Cuts(0), 1, 2 },
-    cut_before_the_last = { StreamFault::Cuts(EVENTS - 1), 1, 2 },
+    cut_before_the_last = { StreamFault::Cuts(EVENTS_PER_STREAM - 1), 1, 2 },
     stalled = { StreamFault::Stalls(4), 1, 2 },
     stalled_before_the_first = { StreamFault::Stalls(0), 1, 2 },
     refused = { StreamFault::Refuses, 1, 2 },
     taken_up_by_the_caller = { StreamFault::Cuts(9), 7, 2 },
 )]
 fn a_stream_goes_on_in_another_data_centre(fault: StreamFault, first: u64, sends: usize) {
-    run(async move {
+    run_async(async move {
         let rig = placed().await;
         for i in [0, 2] {
             let engine = &rig.engines[i];
@@ -305,12 +310,14 @@
             });
         }
         let last = (first > 1).then(|| first - 1);
-        let answer = rig.ask_resuming("r1", "/stream/x", KEY, true, last).await;
+        let answer = rig
+            .ask_resuming("r1", "/stream/x", API_KEY, true, last)
+            .await;
         assert_eq!(answer.status, StatusCode::OK);
         let event = |i| format!("id: {i}\ndata: token {i}\n\n");
-        let want: String = (first..=EVENTS).map(event).collect();
+        let want: String = (first..=EVENTS_PER_STREAM).map(event).collect();
         assert_eq!(answer.body, Ok(want));
-        assert_eq!(rig.sends("r1"), sends);
+        assert_eq!(rig.send_count("r1"), sends);
         rig.cluster.close().await.expect("closed");
     });
 }
@@ -318,11 +325,11 @@
 /// `at_home` is the fault of the engines in the router's own data centre, which get the
 /// request first.
 #[parameterized(
-    may_have_run = { FakeTargetFault::Cuts, 502 },
+    may_have_run = { FakeTargetFault::ClosesMidAnswer, 502 },
     has_not_run = { FakeTargetFault::Refuses { at_fault: None }, 503 },
 )]
 fn only_a_stream_that_has_not_run_is_refused_as_not_run(at_home: FakeTargetFault, status: u16) {
-    run(async move {
+    run_async(async move {
         let rig = placed().await;
         for (i, engine) in rig.engines.iter().enumerate() {
             engine.set_fault(match i % 2 {
@@ -330,12 +337,12 @@
                 _ => FakeTargetFault::Refuses { at_fault: None },
             });
         }
-        let answer = rig.ask("r1", "/stream/x", KEY, true).await;
+        let answer = rig.ask("r1", "/stream/x", API_KEY, true).await;
         let at_home = rig
             .engines
             .iter()
             .step_by(2)
-            .flat_map(FakeTargetServer::seen);
+            .flat_map(FakeTargetServer::received_requests);
         let mut at_home = at_home.map(|r| request_id(&r));
         assert!(
             at_home.any(|id| id == "r1"),
@@ -351,7 +358,7 @@
 /// target would break the stream off itself.
 #[test]
 fn a_stream_that_stands_still_keeps_its_target_while_no_other_takes_it() {
-    run(async {
+    run_async(async {
         let rig = placed().await;
         for (i, engine) in rig.engines.iter().enumerate() {
             engine.set_fault(match i % 2 {
@@ -365,7 +372,7 @@
         let resume = async {
             eventually_async("another target has refused the stream", || async {
                 let away = rig.engines.iter().skip(1).step_by(2);
-                let mut seen = away.flat_map(FakeTargetServer::seen);
+                let mut seen = away.flat_map(FakeTargetServer::received_requests);
                 let arrived = seen.any(|r| r.headers["x-deckwind-request-id"] == "r1");
                 arrived.then_some(())
             })
@@ -374,13 +381,13 @@
                 engine.set_fault(FakeTargetFault::None);
             }
         };
-        let (answer, ()) = tokio::join!(rig.ask("r1", "/stream/x", KEY, true), resume);
+        let (answer, ()) = tokio::join!(rig.ask("r1", "/stream/x", API_KEY, true), resume);
         assert_eq!(answer.body, Ok(whole_stream()));
         let at_home = rig
             .engines
             .iter()
             .step_by(2)
-            .flat_map(FakeTargetServer::seen);
+            .flat_map(FakeTargetServer::received_requests);
         let sent = at_home.filter(|r| r.headers["x-deckwind-request-id"] == "r1");
         assert_eq!(sent.count(), 1, "the stream stayed at its first target");
         rig.cluster.close().await.expect("closed");
@@ -393,7 +400,7 @@
 /// request where the route allows two.
 #[test]
 fn a_refusal_does_not_make_the_target_before_it_look_ended() {
-    run(async {
+    run_async(async {
         let rig = placed().await;
         let home = || rig.engines.iter().step_by(2);
         let away = || rig.engines.iter().skip(1).step_by(2);
@@ -406,7 +413,7 @@
         away().for_each(|e| e.set_fault(FakeTargetFault::Refuses { at_fault: None }));
         let break_streams = async {
             eventually_async("another target has refused the stream", || async {
-                let mut seen = away().flat_map(FakeTargetServer::seen);
+                let mut seen = away().flat_map(FakeTargetServer::received_requests);
                 let arrived = seen.any(|r| r.headers["x-deckwind-request-id"] == "r1");
                 arrived.then_some(())
             })
@@ -415,7 +422,7 @@
             home().for_each(|e| e.set_fault(FakeTargetFault::BreaksStreamAfter(9)));
             home().for_each(FakeTargetServer::close_connections);
         };
-        let (answer, ()) = tokio::join!(rig.ask("r1", "/stream/x", KEY, true), break_streams);
+        let (answer, ()) = tokio::join!(rig.ask("r1", "/stream/x", API_KEY, true), break_streams);
         assert!(answer.body.is_err(), "broke off: {:?}", answer.body);
         let runs: usize = rig.engines.iter().map(|e| e.runs("r1")).sum();
         assert_eq!(runs, 2, "no more than the route allows");
@@ -425,7 +432,7 @@
 
 #[test]
 fn a_stream_that_has_not_begun_keeps_its_target_while_no_repeat_is_left() {
-    run(async {
+    run_async(async {
         let mut layout = Layout::new(1, 1).expect("a layout");
         layout.repeats = (0.0, 0);
         let rig = placed_with(layout).await;
@@ -451,10 +458,10 @@
                 engine.set_fault(FakeTargetFault::None);
             }
         };
-        let (answer, ()) = tokio::join!(rig.ask("r1", "/stream/x", KEY, true), resume);
+        let (answer, ()) = tokio::join!(rig.ask("r1", "/stream/x", API_KEY, true), resume);
         assert_eq!(answer.status, StatusCode::OK);
         assert_eq!(answer.body, Ok(whole_stream()));
-        assert_eq!(rig.sends("r1"), 1);
+        assert_eq!(rig.send_count("r1"), 1);
         rig.cluster.close().await.expect("closed");
     });
 }
@@ -462,29 +469,29 @@
 /// A stream that is admitted late would outlast the router process and be interrupted.
 #[test]
 fn a_router_that_stops_lets_no_streams_in_before_it_refuses_the_rest() {
-    run(async {
+    run_async(async {
         let mut rig = placed().await;
         let server = FakeTargetServer::start("p-0").await.expect("a target");
         rig.plain.push(server);
         rig.announce("plain", "p", 0, "ready").await;
-        rig.until_served("/once/x", false).await;
+        rig.wait_until_served("/once/x", false).await;
         let router = rig.cluster.take_router(0);
         let stopping = tokio::spawn(router.close());
-        let before = rig.ask("r1", "/stream/x", KEY, true).await;
+        let before = rig.ask("r1", "/stream/x", API_KEY, true).await;
         assert_eq!(
             before.body,
             Ok(whole_stream()),
             "streams are still admitted at first"
         );
         let refused = eventually_async("streams are refused", || async {
-            let answer = rig.ask("late", "/stream/x", KEY, true).await;
+            let answer = rig.ask("late", "/stream/x", API_KEY, true).await;
             (answer.status != StatusCode::OK).then_some(answer)
         })
         .await;
         assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
         assert_eq!(refused.body.as_deref(), Ok("stopping\n"));
         assert!(refused.headers.contains_key("retry-after"));
-        let plain = rig.ask("r2", "/once/x", KEY, false).await;
+        let plain = rig.ask("r2", "/once/x", API_KEY, false).await;
         assert_eq!(plain.status, StatusCode::OK, "short requests still run");
         stopping.await.expect("no panic").expect("closed");
         rig.cluster.close().await.expect("closed");
@@ -493,14 +500,14 @@
 
 #[test]
 fn a_stream_that_nobody_can_take_up_does_not_look_whole() {
-    run(async {
+    run_async(async {
         let rig = placed().await;
         for engine in &rig.engines {
             engine.set_fault(FakeTargetFault::BreaksStreamAfter(5));
         }
-        let answer = rig.ask("r1", "/stream/x", KEY, true).await;
+        let answer = rig.ask("r1", "/stream/x", API_KEY, true).await;
         assert!(answer.body.is_err(), "broke off: {:?}", answer.body);
-        assert_eq!(rig.sends("r1"), 2, "no more than the route allows");
+        assert_eq!(rig.send_count("r1"), 2, "no more than the route allows");
         rig.cluster.close().await.expect("closed");
     });
 }
@@ -514,9 +521,9 @@
 )]
 fn a_bad_release_is_refused_and_changes_nothing(body: &str) {
     let body = body.to_string();
-    run(async move {
+    run_async(async move {
         let rig = Rig::start(1, 0).await;
-        rig.until_served("/safe/x", false).await;
+        rig.wait_until_served("/safe/x", false).await;
         let client = Client::builder(TokioExecutor::new()).build_http();
         let url = format!("http://{}/v1/config/put", rig.control());
         let req = Request::post(url).body(Full::new(Bytes::from(body)));
@@ -530,10 +537,10 @@
         let current: Value = serde_json::from_slice(&body).expect("JSON");
         assert_eq!(
             current,
-            release_document(1, &[KEY]),
+            release_document(1, &[API_KEY]),
             "read back as it was sent"
         );
-        rig.until_served("/safe/x", false).await;
+        rig.wait_until_served("/safe/x", false).await;
         rig.cluster.close().await.expect("closed");
     });
 }
--- a/crates/deckwind-testkit/tests/testsuite/sessions.rs
+++ b/crates/deckwind-testkit/tests/testsuite/sessions.rs
@@ -2,7 +2,7 @@
 //! whether every layer ran once for each token, in order; the fakes' counts show
 //! it too.
 
-use crate::any;
+use crate::any_loopback_port;
 use deckwind_core::session::Activation;
 use deckwind_core::state::{Change, LayerRange};
 use deckwind_fakes::serve::Served;
@@ -55,7 +55,7 @@
         let mut cfg = FakeEngineConfig::new(layers, LAYERS);
         cfg.step_time = step;
         let engine = FakeEngine::new(cfg);
-        let served = serve::engine(any(), Arc::new(engine.clone()))
+        let served = serve::engine(any_loopback_port(), Arc::new(engine.clone()))
             .await
             .unwrap();
         let name = format!("engine-{i}");
@@ -137,7 +137,7 @@
     last_after_a_token = { 2, EngineFault::DiesAfterStep(6) },
 )]
 fn a_lost_stage_does_not_change_the_answer(range: usize, fault: EngineFault) {
-    crate::run(async {
+    crate::run_async(async {
         let rig = Rig::start(Duration::ZERO).await;
         for engine in rig.range(range) {
             engine.set_fault(fault);
@@ -166,7 +166,7 @@
 /// Two stages of one chain crash at the same token.
 #[test]
 fn two_stages_that_die_together_do_not_change_the_answer() {
-    crate::run(async {
+    crate::run_async(async {
         let rig = Rig::start(Duration::ZERO).await;
         rig.engines[0].set_fault(EngineFault::DiesAfterStep(4));
         rig.engines[3].set_fault(EngineFault::DiesBeforeStep(7));
@@ -195,7 +195,7 @@
 /// has replaced it.
 #[test]
 fn a_frozen_stage_is_replaced_and_its_late_answer_dropped() {
-    crate::run(async {
+    crate::run_async(async {
         let rig = Rig::start(Duration::from_millis(2)).await;
         let mut stream = rig.caller().stream("swaps", PROMPT, TOKENS).await.unwrap();
         let mut text = stream.token().await.unwrap().unwrap();
@@ -212,7 +212,7 @@
 
 #[test]
 fn a_caller_that_goes_away_cancels_every_stage() {
-    crate::run(async {
+    crate::run_async(async {
         let rig = Rig::start(Duration::from_millis(1)).await;
         let mut stream = rig.caller().stream("swaps", PROMPT, 4_000).await.unwrap();
         stream.token().await.unwrap();
@@ -235,7 +235,7 @@
 
 #[test]
 fn a_planned_stop_of_the_router_cuts_nothing_and_refuses_new_work_as_not_run() {
-    crate::run(async {
+    crate::run_async(async {
         let mut rig = Rig::start(Duration::from_millis(2)).await;
         let mut stream = rig.caller().stream("swaps", PROMPT, TOKENS).await.unwrap();
         let mut text = stream.token().await.unwrap().unwrap();
@@ -262,7 +262,7 @@
 /// it new sessions; those that run there complete.
 #[test]
 fn a_leaving_target_gets_no_new_work_and_loses_none() {
-    crate::run(async {
+    crate::run_async(async {
         let rig = Rig::start(Duration::from_millis(2)).await;
         let mut stream = rig.caller().stream("swaps", PROMPT, TOKENS).await.unwrap();
         let mut text = stream.token().await.unwrap().unwrap();
@@ -293,7 +293,7 @@
 /// event that it received.
 #[test]
 fn a_stream_goes_on_at_another_router_after_its_last_event() {
-    crate::run(async {
+    crate::run_async(async {
         let rig = Rig::start_with(2, Duration::from_millis(1)).await;
         let mut stream = rig.caller().stream("swaps", PROMPT, TOKENS).await.unwrap();
         let mut text = String::new();
@@ -323,7 +323,7 @@
 /// The answer stays the same.
 #[parameterized(slow = { 30 }, later_than_any_step_may_be = { 30_000 })]
 fn a_link_that_degrades_does_not_change_the_answer(more_ms: u64) {
-    crate::run(async {
+    crate::run_async(async {
         let rig = Rig::start(Duration::from_millis(1)).await;
         let mut stream = rig.caller().stream("swaps", PROMPT, TOKENS).await.unwrap();
         let mut text = stream.token().await.unwrap().unwrap();
--- a/crates/deckwind-testkit/tests/testsuite/slow_engines.rs
+++ b/crates/deckwind-testkit/tests/testsuite/slow_engines.rs
@@ -1,7 +1,7 @@
 //! Engines that are slow but not down: the leader asks them for their pace, and routers
 //! avoid them.
 
-use crate::support::{cards, instances, model, place};
+use crate::support::{announced_instances, engine_cards, model, place_chain};
 use deckwind_core::control::{
     ControlEvent, ControlLimits, ControlReply, ControlRequest, EnginePace, LimitReport,
     OperatorRequest, Renewal,
@@ -117,9 +117,9 @@
 }
 
 fn engines() -> Vec<Instance> {
-    let mut cards = cards("a", 1, 5, 8);
-    place(&mut cards);
-    instances(&cards)
+    let mut cards = engine_cards("a", 1, 5, 8);
+    place_chain(&mut cards);
+    announced_instances(&cards)
 }
 
 #[test]
@@ -183,7 +183,7 @@
     for (i, card) in cards.iter_mut().enumerate() {
         card.id = format!("{}-{i}", card.id);
     }
-    let all = instances(&cards);
+    let all = announced_instances(&cards);
     let slow = all[1].address;
     let mut records = TargetRecords::default();
     let reported_at = Instant::from_millis(1_000);
@@ -207,8 +207,8 @@
 }
 
 fn chain_cards() -> Vec<deckwind_core::routing::placement::EngineCard> {
-    let mut cards = cards("a", 0, 4, 8);
-    place(&mut cards);
+    let mut cards = engine_cards("a", 0, 4, 8);
+    place_chain(&mut cards);
     cards
 }
 
--- a/crates/deckwind-testkit/tests/testsuite/slow_readers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/slow_readers.rs
@@ -1,8 +1,8 @@
 //! Callers that read slowly or not at all: engines never wait for them, and a
 //! router buffers no more for them than its memory limit.
 
-use crate::rig::{KEY, Rig};
-use crate::run;
+use crate::rig::{API_KEY, Rig};
+use crate::run_async;
 use deckwind_fakes::{FakeTargetFault, FakeTargetServer, HOST};
 use deckwind_testkit::{Layout, eventually_async};
 use deckwindd::collect::{ByteBudget, CollectError, ReserveBytes};
@@ -35,7 +35,7 @@
         socket.set_recv_buffer_size(8_192).expect("a small buffer");
         let mut stream = socket.connect(router).await.expect("a connection");
         let head = format!(
-            "POST {path} HTTP/1.1\r\nHost: {HOST}\r\nConnection: close\r\nAuthorization: Bearer {KEY}\r\n\
+            "POST {path} HTTP/1.1\r\nHost: {HOST}\r\nConnection: close\r\nAuthorization: Bearer {API_KEY}\r\n\
              X-Deckwind-Request-Id: {id}\r\nX-Deckwind-Deadline-Ms: 60000\r\n{headers}\r\n"
         );
         stream.write_all(head.as_bytes()).await.expect("sent");
@@ -121,8 +121,8 @@
         rig.announce("engines", "e", i, "ready").await;
     }
     rig.wait_until_in_force().await;
-    rig.until_served("/stream/x", true).await;
-    rig.until_served("/once/x", false).await;
+    rig.wait_until_served("/stream/x", true).await;
+    rig.wait_until_served("/once/x", false).await;
     rig
 }
 
@@ -134,7 +134,10 @@
 
 async fn wait_until_written(rig: &Rig, id: &str) {
     eventually_async("an engine has written its whole answer", || async {
-        let written = rig.engines.iter().flat_map(FakeTargetServer::written);
+        let written = rig
+            .engines
+            .iter()
+            .flat_map(FakeTargetServer::completed_floods);
         written.into_iter().any(|w| w == id).then_some(())
     })
     .await;
@@ -142,7 +145,7 @@
 
 #[test]
 fn an_engine_never_waits_for_a_caller_that_gets_each_event_once() {
-    run(async {
+    run_async(async {
         let rig = placed(layout(400.0), 2).await;
         rig.engines.iter().for_each(|e| e.set_fault(flood()));
         let router = rig.cluster.layout.routers[0].routes;
@@ -165,7 +168,7 @@
 
 #[test]
 fn past_the_bound_the_caller_that_does_not_read_is_cut_and_may_go_on() {
-    run(async {
+    run_async(async {
         let rig = placed(layout(LOW_MEMORY_MB), 2).await;
         rig.engines.iter().for_each(|e| e.set_fault(flood()));
         let router = rig.cluster.layout.routers[0].routes;
@@ -215,7 +218,7 @@
 /// The route's timeout is 3 s; an answer that was not read by then is dropped.
 #[test]
 fn an_answer_that_nobody_reads_is_dropped_once_its_time_is_over() {
-    run(async {
+    run_async(async {
         let rig = placed(layout(400.0), 2).await;
         rig.engines.iter().for_each(|e| e.set_fault(flood()));
         let router = rig.cluster.layout.routers[0].routes;
@@ -239,7 +242,7 @@
 /// Bodies of requests in progress count towards the memory limit too.
 #[test]
 fn past_the_bound_a_new_request_is_refused_at_once_and_not_run() {
-    run(async {
+    run_async(async {
         let rig = placed(layout(LOW_MEMORY_MB), 2).await;
         let flood = FakeTargetFault::Floods {
             events: 1,
@@ -261,7 +264,7 @@
         let refused = late.read().await;
         assert!(refused.head.starts_with("HTTP/1.1 503"), "{}", refused.head);
         assert!(refused.head.to_lowercase().contains("retry-after: "));
-        assert_eq!(rig.sends("late"), 0);
+        assert_eq!(rig.send_count("late"), 0);
         drop(held);
         eventually_async("the memory is released", || async {
             let router = rig.cluster.router(0).router().expect("a router");
@@ -269,7 +272,7 @@
             (held < 1_000_000).then_some(())
         })
         .await;
-        let next = rig.ask("next", "/once/x", KEY, false).await;
+        let next = rig.ask("next", "/once/x", API_KEY, false).await;
         assert_eq!(next.status, StatusCode::OK);
         rig.cluster.close().await.expect("closed");
     });
@@ -278,7 +281,7 @@
 /// An engine on the stream's path announces that it is draining.
 #[test]
 fn a_stream_with_a_slow_caller_still_changes_its_path() {
-    run(async {
+    run_async(async {
         let mut rig = placed(layout(400.0), 8).await;
         let fault = FakeTargetFault::Floods {
             events: EVENTS,
@@ -289,7 +292,10 @@
         let router = rig.cluster.layout.routers[0].routes;
         let caller = SlowCaller::stream(router, "r1", None).await;
         wait_until_written(&rig, "r1").await;
-        let seen = rig.engines.iter().flat_map(FakeTargetServer::seen);
+        let seen = rig
+            .engines
+            .iter()
+            .flat_map(FakeTargetServer::received_requests);
         let seen = seen
             .into_iter()
             .find(|r| r.headers["x-deckwind-request-id"] == "r1");
@@ -325,9 +331,9 @@
     longer_than_a_connection_buffers = { 900_000 },
 )]
 fn a_whole_answer_reaches_a_slow_caller_unchanged(bytes: usize) {
-    run(async move {
+    run_async(async move {
         let rig = placed(layout(LOW_MEMORY_MB), 2).await;
-        rig.plain[0].set_fault(FakeTargetFault::Long(bytes));
+        rig.plain[0].set_fault(FakeTargetFault::LongBody(bytes));
         let router = rig.cluster.layout.routers[0].routes;
         let headers = "Content-Length: 0\r\n";
         let mut caller = SlowCaller::ask(router, "r1", "/once/x", headers, b"").await;
--- a/crates/deckwind-testkit/tests/testsuite/spare_engines.rs
+++ b/crates/deckwind-testkit/tests/testsuite/spare_engines.rs
@@ -2,7 +2,7 @@
 //! to them. Of 3,000 engines 2,600 are spare, and after a start of the fleet all of them
 //! announce themselves within 1.2 s.
 
-use crate::support::announced;
+use crate::support::announced_change;
 use deckwind_core::state::{
     Command, CommandBody, Configuration, Instance, InstanceChange, LayerRange, PublishedRelease,
     Release, Revision, StateMachine,
@@ -20,7 +20,10 @@
 }
 
 fn announce(machine: &mut StateMachine, instance: Instance) {
-    apply(machine, CommandBody::Instances(vec![announced(instance)]));
+    apply(
+        machine,
+        CommandBody::Instances(vec![announced_change(instance)]),
+    );
 }
 
 fn set_layers(machine: &mut StateMachine, id: &str, layers: u32) {
--- a/crates/deckwind-testkit/tests/testsuite/status.rs
+++ b/crates/deckwind-testkit/tests/testsuite/status.rs
@@ -1,7 +1,7 @@
 //! The output of `deckwind status` (routers with revision and lease, replicas,
 //! targets), and access to it.
 
-use crate::processes::processes;
+use crate::processes::process_cluster;
 use deckwind_core::control::{ClusterStatus, EngineView, OperatorReply, OperatorRequest};
 use deckwind_core::state::InstanceState;
 use deckwind_testkit::fan_out::engine;
@@ -81,7 +81,7 @@
 /// token, and all other operator requests are refused.
 #[test]
 fn without_an_operator_token_only_the_status_is_served() {
-    let cluster = processes(1, 0);
+    let cluster = process_cluster(1, 0);
     let _control = cluster.control_without_token().unwrap();
     let args = ["status", "--engines", "--format", "json"];
     let reported = eventually("the replica leads", || {
--- a/crates/deckwind-testkit/tests/testsuite/support.rs
+++ b/crates/deckwind-testkit/tests/testsuite/support.rs
@@ -21,7 +21,12 @@
 
 /// Returns engines of one data centre without layers, as many of each kind as
 /// given.
-pub fn cards(data_centre: &str, fast: usize, middle: usize, small: usize) -> Vec<EngineCard> {
+pub fn engine_cards(
+    data_centre: &str,
+    fast: usize,
+    middle: usize,
+    small: usize,
+) -> Vec<EngineCard> {
     let of_kind = |kind: usize, count| (0..count).map(move |i| (kind, i));
     let all = of_kind(0, fast)
         .chain(of_kind(1, middle))
@@ -37,7 +42,7 @@
 }
 
 /// Gives the engines the layers of one chain.
-pub fn place(cards: &mut [EngineCard]) {
+pub fn place_chain(cards: &mut [EngineCard]) {
     let plan = plan_chain(&model(), cards, RepairMode::Fast).expect("the engines can hold a chain");
     for (card, range) in cards.iter_mut().zip(plan) {
         card.held = range;
@@ -68,14 +73,14 @@
 }
 
 /// Returns the announced instances of engines, each at its own port.
-pub fn instances(cards: &[EngineCard]) -> Vec<Instance> {
+pub fn announced_instances(cards: &[EngineCard]) -> Vec<Instance> {
     let numbered = cards.iter().zip(1..);
     numbered.map(|(c, port)| instance(c, port)).collect()
 }
 
 /// Returns the announcement of an instance whose reported layers replace those
 /// recorded for it.
-pub fn announced(instance: Instance) -> InstanceChange {
+pub fn announced_change(instance: Instance) -> InstanceChange {
     InstanceChange::Announced {
         instance,
         keep_layers: false,
--- a/crates/deckwind-testkit/tests/testsuite/suspended_vms.rs
+++ b/crates/deckwind-testkit/tests/testsuite/suspended_vms.rs
@@ -1,8 +1,8 @@
 //! VMs that are suspended for several seconds and then resume. No timer has advanced in
 //! the meantime, so everything that a process knows is older by that time.
 
-use crate::rig::{KEY, Rig};
-use crate::run;
+use crate::rig::{API_KEY, Rig};
+use crate::run_async;
 use deckwind_core::membership::{LeaseGrant, LeaseTiming, RouterLeaseState};
 use deckwind_core::replication::Term;
 use deckwind_core::state::Delta;
@@ -30,7 +30,7 @@
 /// has most of its time left.
 #[test]
 fn a_wait_ends_when_its_time_was_suspended() {
-    run(async {
+    run_async(async {
         let time = VmTime::new();
         let clock = time.clock();
         let wait = clock.timeout(SUSPENSION, std::future::pending::<()>());
@@ -69,15 +69,15 @@
 /// be valid by the monotonic clock.
 #[test]
 fn a_router_that_wakes_sends_nothing_on_its_old_lease() {
-    run(async {
+    run_async(async {
         let mut rig = Rig::start(2, 0).await;
         rig.wait_until_in_force().await;
-        rig.until_served("/once/x", false).await;
+        rig.wait_until_served("/once/x", false).await;
         rig.cluster.take_control(0).close().await.expect("closed");
         rig.cluster.router_was_suspended(0, SUSPENSION);
-        let answer = rig.ask("r1", "/once/x", KEY, false).await;
+        let answer = rig.ask("r1", "/once/x", API_KEY, false).await;
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
-        assert_eq!(rig.sends("r1"), 0);
+        assert_eq!(rig.send_count("r1"), 0);
         rig.cluster.close().await.expect("closed");
     });
 }
@@ -85,21 +85,21 @@
 /// The caller has left during the suspension; the target must not go on for it.
 #[test]
 fn a_request_whose_time_was_suspended_ends_soon() {
-    run(async {
+    run_async(async {
         let mut rig = Rig::start(1, 0).await;
         rig.wait_until_in_force().await;
-        rig.until_served("/once/x", false).await;
-        rig.plain[0].set_fault(FakeTargetFault::Mute);
+        rig.wait_until_served("/once/x", false).await;
+        rig.plain[0].set_fault(FakeTargetFault::NeverAnswers);
         let suspend = async {
             eventually_async("the request has arrived", || async {
-                (rig.sends("r1") > 0).then_some(())
+                (rig.send_count("r1") > 0).then_some(())
             })
             .await;
             let resumed_at = std::time::Instant::now();
             rig.cluster.router_was_suspended(0, SUSPENSION);
             resumed_at
         };
-        let request = rig.ask("r1", "/once/x", KEY, false);
+        let request = rig.ask("r1", "/once/x", API_KEY, false);
         let (answer, resumed_at) = tokio::join!(request, suspend);
         assert_eq!(answer.status, StatusCode::GATEWAY_TIMEOUT);
         assert!(
@@ -114,11 +114,11 @@
 /// at most once would be lost on it, so suspended time counts as idle time.
 #[test]
 fn suspended_time_counts_as_idle_time_of_connections() {
-    run(async {
+    run_async(async {
         let mut rig = Rig::start(1, 0).await;
         rig.wait_until_in_force().await;
-        rig.until_served("/safe/x", false).await;
-        rig.ask("r1", "/safe/x", KEY, false).await;
+        rig.wait_until_served("/safe/x", false).await;
+        rig.ask("r1", "/safe/x", API_KEY, false).await;
         let connections = || {
             rig.plain
                 .iter()
@@ -126,11 +126,11 @@
                 .sum::<u32>()
         };
         let before = connections();
-        rig.ask("r2", "/safe/x", KEY, false).await;
+        rig.ask("r2", "/safe/x", API_KEY, false).await;
         assert_eq!(connections(), before, "the connection is reused");
         rig.cluster.router_was_suspended(0, SUSPENSION);
         rig.cluster.wait_for_lease(0).await;
-        rig.until_served("/safe/x", false).await;
+        rig.wait_until_served("/safe/x", false).await;
         assert!(
             connections() > before,
             "the connection was idle for too long"
@@ -161,15 +161,15 @@
 /// again.
 #[test]
 fn a_control_replica_that_wakes_leads_again() {
-    run(async {
+    run_async(async {
         let mut rig = Rig::start(2, 0).await;
         rig.wait_until_in_force().await;
         rig.cluster.control_was_suspended(0, SUSPENSION);
         eventually_async("a release is accepted", || async {
-            (rig.publish(2, &[KEY]).await == StatusCode::OK).then_some(())
+            (rig.publish(2, &[API_KEY]).await == StatusCode::OK).then_some(())
         })
         .await;
-        rig.until_served("/safe/x", false).await;
+        rig.wait_until_served("/safe/x", false).await;
         rig.cluster.close().await.expect("closed");
     });
 }
--- a/crates/deckwind-testkit/tests/testsuite/target_limits.rs
+++ b/crates/deckwind-testkit/tests/testsuite/target_limits.rs
@@ -10,8 +10,8 @@
 //! as much, since nothing coordinated a limit for all VMs. Arrivals per second were the same
 //! before and after, and sends went on beside `event=target_names_limit` lines.
 
-use crate::rig::{KEY, Kind, NOT_RESUMABLE, ONCE, REPEATABLE, Rig, STREAMS};
-use crate::run;
+use crate::rig::{API_KEY, NOT_RESUMABLE, ONCE, REPEATABLE, RequestKind, Rig, STREAMS};
+use crate::run_async;
 use deckwind_testkit::soak::{FaultSpans, check_limits, id_for_router};
 use deckwind_testkit::{Layout, eventually_async};
 use http::StatusCode;
@@ -33,7 +33,7 @@
 /// Time after which requests in flight have arrived.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-async fn rig(kind: Kind) -> Rig {
+async fn rig(kind: RequestKind) -> Rig {
     let mut layout = Layout::new(1, ROUTERS).expect("a layout");
     layout.repeats = (4.0, 200);
     let rig = Rig::start_placed(layout, kind.plain, kind.engines).await;
@@ -44,12 +44,12 @@
 }
 
 /// Sends `count` requests to each router, one at a time at each.
-async fn ask_all_routers(rig: &Rig, name: &str, count: usize, kind: Kind) {
+async fn ask_all_routers(rig: &Rig, name: &str, count: usize, kind: RequestKind) {
     for i in 0..count {
         let ask = |router: usize| {
             let id = id_for_router(&format!("{name}-{i}"), router);
             async move {
-                rig.ask_router(router, &id, kind.path, KEY, kind.tokens, None)
+                rig.ask_router(router, &id, kind.path, API_KEY, kind.tokens, None)
                     .await
             }
         };
@@ -64,10 +64,10 @@
     at_most_once = { ONCE },
     not_resumable = { NOT_RESUMABLE },
 )]
-fn all_routers_together_keep_to_a_limit(kind: Kind) {
-    run(async move {
+fn all_routers_together_keep_to_a_limit(kind: RequestKind) {
+    run_async(async move {
         let rig = rig(kind).await;
-        rig.until_served(kind.path, kind.tokens).await;
+        rig.wait_until_served(kind.path, kind.tokens).await;
         rig.targets().for_each(|t| t.set_server_limit(Some(LIMIT)));
         ask_all_routers(&rig, "told", LEARNING_REQUESTS, kind).await;
         tokio::time::sleep(SETTLE_TIME).await;
@@ -90,18 +90,18 @@
     repeatable = { REPEATABLE },
     at_most_once = { ONCE },
 )]
-fn others_serve_what_a_limited_target_does_not(kind: Kind) {
-    run(async move {
+fn others_serve_what_a_limited_target_does_not(kind: RequestKind) {
+    run_async(async move {
         let rig = rig(kind).await;
-        rig.until_served(kind.path, kind.tokens).await;
-        let limited = rig.targets().find(|t| !t.seen().is_empty());
+        rig.wait_until_served(kind.path, kind.tokens).await;
+        let limited = rig.targets().find(|t| !t.received_requests().is_empty());
         let limited = limited.expect("a target has served").clone();
         limited.set_server_limit(Some("0.2"));
         ask_all_routers(&rig, "told", LEARNING_REQUESTS, kind).await;
         for i in 0..REQUESTS {
             let id = id_for_router(&format!("r-{i}"), i % ROUTERS);
             let response = rig
-                .ask_router(i % ROUTERS, &id, kind.path, KEY, kind.tokens, None)
+                .ask_router(i % ROUTERS, &id, kind.path, API_KEY, kind.tokens, None)
                 .await;
             assert_eq!(response.status, StatusCode::OK, "{:?}", response.body);
         }
@@ -124,14 +124,14 @@
     repeatable = { REPEATABLE },
     at_most_once = { ONCE },
 )]
-fn where_all_targets_are_limited_the_rest_is_refused(kind: Kind) {
-    run(async move {
+fn where_all_targets_are_limited_the_rest_is_refused(kind: RequestKind) {
+    run_async(async move {
         let rig = rig(kind).await;
-        rig.until_served(kind.path, kind.tokens).await;
+        rig.wait_until_served(kind.path, kind.tokens).await;
         rig.targets().for_each(|t| t.set_server_limit(Some("0.1")));
         ask_all_routers(&rig, "told", LEARNING_REQUESTS, kind).await;
         let refused = eventually_async("a request is refused", || async {
-            let response = rig.ask("r", kind.path, KEY, kind.tokens).await;
+            let response = rig.ask("r", kind.path, API_KEY, kind.tokens).await;
             (response.status != StatusCode::OK).then_some(response)
         });
         let refused = refused.await;
@@ -150,11 +150,11 @@
     at_most_once = { ONCE, "0.5" },
     of_nothing_at_all = { REPEATABLE, "0" },
 )]
-fn a_limit_that_is_no_longer_named_is_over(kind: Kind, limit: &str) {
+fn a_limit_that_is_no_longer_named_is_over(kind: RequestKind, limit: &str) {
     let limit = limit.to_string();
-    run(async move {
+    run_async(async move {
         let rig = rig(kind).await;
-        rig.until_served(kind.path, kind.tokens).await;
+        rig.wait_until_served(kind.path, kind.tokens).await;
         rig.targets().for_each(|t| t.set_server_limit(Some(&limit)));
         ask_all_routers(&rig, "told", LEARNING_REQUESTS, kind).await;
         rig.targets().for_each(|t| t.set_server_limit(None));
@@ -163,7 +163,7 @@
                 for i in 0..10 {
                     let id = format!("after-{i}");
                     let response = rig
-                        .ask_router(router, &id, kind.path, KEY, kind.tokens, None)
+                        .ask_router(router, &id, kind.path, API_KEY, kind.tokens, None)
                         .await;
                     if response.status != StatusCode::OK {
                         return None;
@@ -180,16 +180,16 @@
 /// A limit that cannot be parsed is ignored.
 #[test]
 fn an_unreadable_limit_changes_nothing() {
-    run(async {
-        let rig = rig(Kind {
+    run_async(async {
+        let rig = rig(RequestKind {
             plain: 1,
             ..REPEATABLE
         })
         .await;
-        rig.until_served("/safe/x", false).await;
+        rig.wait_until_served("/safe/x", false).await;
         rig.plain[0].set_server_limit(Some("a few"));
         for i in 0..REQUESTS {
-            let response = rig.ask(&format!("r-{i}"), "/safe/x", KEY, false).await;
+            let response = rig.ask(&format!("r-{i}"), "/safe/x", API_KEY, false).await;
             assert_eq!(response.status, StatusCode::OK);
         }
         rig.cluster.close().await.expect("closed");
