--- a/crates/deckwind-fakes/src/target_server/answers.rs
+++ b/crates/deckwind-fakes/src/target_server/answers.rs
@@ -1,7 +1,7 @@
 //! Reads requests from a connection and writes the answers of a fake target,
 //! including malformed ones.
 
-use super::fleet::{Fleet, PathError, parse_path};
+use super::fleet::{FakeFleet, PathError, parse_path};
 use super::{
     CRASH_DOWNTIME, ENDS_ITS_TARGET, EVENT_GAP, EVENTS_PER_STREAM, FakeTargetFault, SeenRequest,
     State, start_incarnation,
@@ -86,7 +86,7 @@
     }
     let (id, fault) = {
         let mut state = state.lock().expect("no holder panics");
-        state.seen.push(req.clone());
+        state.received_requests.push(req.clone());
         let fault = requested_flood(&req.line).unwrap_or(state.fault.clone());
         (state.id.clone(), fault)
     };
@@ -121,7 +121,11 @@
         run.fleet.record_start(run.arrival);
     }
     let run = request.clone();
-    state.lock().expect("no holder panics").ran.push(run);
+    state
+        .lock()
+        .expect("no holder panics")
+        .run_request_ids
+        .push(run);
     if req.line.ends_with(ENDS_ITS_TARGET) {
         return crash_on_request(s, &request, is_stream, state, connection_epoch).await;
     }
@@ -133,7 +137,7 @@
 
 /// A request that a target of a fleet received.
 struct FleetRequest {
-    fleet: Fleet,
+    fleet: FakeFleet,
     address: SocketAddr,
     request: String,
     arrival: usize,
@@ -378,7 +382,7 @@
 fn target_headers(state: &Mutex<State>, is_unavailable: bool) -> String {
     let state = state.lock().expect("no holder panics");
     let mut headers = String::new();
-    if let Some(rest) = state.rest.as_ref().filter(|_| is_unavailable) {
+    if let Some(rest) = state.retry_after.as_ref().filter(|_| is_unavailable) {
         headers += &format!("\r\nRetry-After: {rest}");
     }
     if state.leaves {
@@ -418,7 +422,7 @@
     state
         .lock()
         .expect("no holder panics")
-        .written
+        .completed_floods
         .push(written);
     while continues && is_flooding(state) {
         tokio::time::sleep(EVENT_GAP).await;
--- a/crates/deckwind-fakes/src/target_server/fleet.rs
+++ b/crates/deckwind-fakes/src/target_server/fleet.rs
@@ -35,7 +35,7 @@
     /// Time of receipt.
     pub at: Instant,
     /// Whether the target started to run it.
-    pub ran: bool,
+    pub has_run: bool,
 }
 
 /// Start of an outage of an engine.
@@ -118,9 +118,9 @@
 
 /// A group of targets that pass streams on to each other. Clones share its state.
 #[derive(Clone)]
-pub struct Fleet(Arc<Inner>);
+pub struct FakeFleet(Arc<Inner>);
 
-impl Fleet {
+impl FakeFleet {
     /// Creates a fleet without targets.
     pub fn new(pace: FleetConfig) -> Self {
         Self(Arc::new(Inner {
@@ -175,14 +175,14 @@
             pool: pool.to_string(),
             address,
             at: Instant::now(),
-            ran: false,
+            has_run: false,
         });
         arrivals.len() - 1
     }
 
     /// Records that the target started to run a request.
     pub(super) fn record_start(&self, arrival: usize) {
-        lock(&self.0.arrivals)[arrival].ran = true;
+        lock(&self.0.arrivals)[arrival].has_run = true;
     }
 
     /// Checks whether a stream can use a path. Stages in `held` belong to the stream
@@ -255,7 +255,7 @@
 
 /// Guard of a running stream; dropping it releases the capacity of the path.
 pub(super) struct FleetStream {
-    fleet: Fleet,
+    fleet: FakeFleet,
     key: (SocketAddr, String),
 }
 
--- a/crates/deckwind-fakes/src/target_server/mod.rs
+++ b/crates/deckwind-fakes/src/target_server/mod.rs
@@ -9,7 +9,7 @@
 
 use answers::serve;
 use anyhow::{Context, Result};
-pub use fleet::{Fleet, FleetArrival, FleetConfig, Outage};
+pub use fleet::{FakeFleet, FleetArrival, FleetConfig, Outage};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -109,11 +109,11 @@
     /// Start of the incarnation, in Unix milliseconds.
     born: u64,
     fault: FakeTargetFault,
-    seen: Vec<SeenRequest>,
+    received_requests: Vec<SeenRequest>,
     /// Requests received by this incarnation.
     arrivals: Vec<Arrival>,
     /// IDs of the requests that it started to run, one entry for each run.
-    ran: Vec<String>,
+    run_request_ids: Vec<String>,
     /// Stalled streams: request ID, and address of the stage that causes the stall.
     stalled: Vec<(String, SocketAddr)>,
     /// Layers that it holds: first, and one past the last.
@@ -130,13 +130,13 @@
     /// Body that replaces the true report.
     report_override: Option<String>,
     /// IDs of the requests whose flood of events was written completely.
-    written: Vec<String>,
+    completed_floods: Vec<String>,
     /// Number of orders to move a request to another path.
     path_changes: u32,
     /// Number of incarnations that crashed on a request.
     crashes_by_request: u32,
     /// Value of `Retry-After` in each 503.
-    rest: Option<String>,
+    retry_after: Option<String>,
     /// Whether all answers announce that it leaves.
     leaves: bool,
     /// Value of `Server-Limit` in all answers.
@@ -151,14 +151,14 @@
     /// Kind of card that it announces.
     kind: Option<String>,
     /// Fleet that it belongs to, and its pool in that fleet.
-    fleet: Option<(Fleet, String)>,
+    fleet: Option<(FakeFleet, String)>,
 }
 
 impl State {
     /// Records a received request.
     fn record_arrival(&mut self, request: &str, fault: &FakeTargetFault) {
         let refuses = matches!(fault, FakeTargetFault::Refuses { .. });
-        let seconds = self.rest.as_ref().and_then(|r| r.parse().ok());
+        let seconds = self.retry_after.as_ref().and_then(|r| r.parse().ok());
         self.arrivals.push(Arrival {
             request: request.to_string(),
             at: Instant::now(),
@@ -212,7 +212,7 @@
 pub const ENDS_ITS_TARGET: &str = "/ends-its-target";
 
 /// Downtime of a target that crashed on a request: it closes new connections at once
-/// and [`FakeTargetServer::listens`] returns `false`, so tests don't announce it.
+/// and [`FakeTargetServer::is_reachable`] returns `false`, so tests don't announce it.
 pub const CRASH_DOWNTIME: Duration = Duration::from_millis(400);
 
 /// Number of events in a complete stream.
@@ -259,7 +259,7 @@
     }
 
     /// Adds it to a pool of a fleet; `kind` is the kind of its card if it is an engine.
-    pub fn join(&self, fleet: &Fleet, pool: &str, kind: Option<&str>) {
+    pub fn join(&self, fleet: &FakeFleet, pool: &str, kind: Option<&str>) {
         fleet.join(self.address, self.state.clone());
         let mut state = self.lock();
         state.fleet = Some((fleet.clone(), pool.to_string()));
@@ -333,8 +333,8 @@
 
     /// Sets the `Retry-After` value of each 503: seconds, a date, or an invalid value.
     /// `None` omits the header.
-    pub fn set_retry_after(&self, rest: Option<&str>) {
-        self.lock().rest = rest.map(str::to_string);
+    pub fn set_retry_after(&self, retry_after: Option<&str>) {
+        self.lock().retry_after = retry_after.map(str::to_string);
     }
 
     /// Sets whether all answers announce that it leaves.
@@ -350,7 +350,7 @@
 
     /// Returns the received requests, without report requests and orders.
     pub fn received_requests(&self) -> Vec<SeenRequest> {
-        self.lock().seen.clone()
+        self.lock().received_requests.clone()
     }
 
     /// Returns the requests that its current incarnation received, in order.
@@ -360,12 +360,16 @@
 
     /// Returns the IDs of the requests that it started to run, one entry for each run.
     pub fn run_request_ids(&self) -> Vec<String> {
-        self.lock().ran.clone()
+        self.lock().run_request_ids.clone()
     }
 
     /// Returns how often it started to run a request.
     pub fn runs(&self, request: &str) -> usize {
-        self.lock().ran.iter().filter(|id| *id == request).count()
+        self.lock()
+            .run_request_ids
+            .iter()
+            .filter(|id| *id == request)
+            .count()
     }
 
     /// Closes all connections in the middle of their answers, without a restart.
@@ -385,7 +389,7 @@
 
     /// Returns the IDs of the requests whose flood of events was written completely.
     pub fn completed_floods(&self) -> Vec<String> {
-        self.lock().written.clone()
+        self.lock().completed_floods.clone()
     }
 
     /// Returns the number of orders to move a request to another path.
@@ -446,8 +450,8 @@
     *state = State {
         id: previous.id,
         born: unix_ms().max(previous.born + 1),
-        seen: previous.seen,
-        ran: previous.ran,
+        received_requests: previous.received_requests,
+        run_request_ids: previous.run_request_ids,
         crashes_by_request: previous.crashes_by_request,
         kind: previous.kind,
         fleet: previous.fleet,
--- a/crates/deckwind-spec/examples/explore.rs
+++ b/crates/deckwind-spec/examples/explore.rs
@@ -31,13 +31,16 @@
         );
     }
     for case in log_cases() {
-        let name = format!("log without {}, {:?}", case.without, case.spec.bounds);
+        let name = format!("log without {}, {:?}", case.disabled_rule, case.spec.bounds);
         explore_and_print(&name, &case.spec);
     }
     let spec = ClaimSpec::with(ClaimRules::ALL);
     explore_and_print(&format!("claims, all rules, {spec:?}"), &spec);
     for case in claim_cases() {
-        explore_and_print(&format!("claims without {}", case.without), &case.spec);
+        explore_and_print(
+            &format!("claims without {}", case.disabled_rule),
+            &case.spec,
+        );
     }
     for bounds in RetryBounds::LARGE {
         let rules = RetryRules::ALL;
@@ -45,7 +48,10 @@
         explore_and_print(&name, &RetrySpec { rules, bounds });
     }
     for case in retry_cases() {
-        let name = format!("retries without {}, {:?}", case.without, case.spec.bounds);
+        let name = format!(
+            "retries without {}, {:?}",
+            case.disabled_rule, case.spec.bounds
+        );
         explore_and_print(&name, &case.spec);
     }
     for bounds in LimitBounds::LARGE {
@@ -54,7 +60,10 @@
         explore_and_print(&name, &LimitSpec { rules, bounds });
     }
     for case in limit_cases() {
-        let name = format!("limits without {}, {:?}", case.without, case.spec.bounds);
+        let name = format!(
+            "limits without {}, {:?}",
+            case.disabled_rule, case.spec.bounds
+        );
         explore_and_print(&name, &case.spec);
     }
 }
--- a/crates/deckwind-spec/src/cases.rs
+++ b/crates/deckwind-spec/src/cases.rs
@@ -5,11 +5,11 @@
 /// Specification with one rule disabled.
 pub struct Case<S> {
     /// Description of the disabled rule.
-    pub without: &'static str,
+    pub disabled_rule: &'static str,
     /// Specification without the rule.
     pub spec: S,
     /// Invariant that is violated without the rule.
-    pub breaks: &'static str,
+    pub violates: &'static str,
 }
 
 impl LogBounds {
@@ -76,10 +76,10 @@
 pub fn log_cases() -> Vec<Case<LogSpec>> {
     let all = LogRules::ALL;
     let minimal = LogBounds::MINIMAL;
-    let case = |without, rules, bounds, breaks| Case {
-        without,
+    let case = |disabled_rule, rules, bounds, violates| Case {
+        disabled_rule,
         spec: LogSpec { rules, bounds },
-        breaks,
+        violates,
     };
     const TWO_LEADERS: &str = "two leaders in one term";
     const TWO_LEASES: &str = "two leaders hold the lease";
@@ -174,10 +174,10 @@
 /// Returns the claim specification with each rule disabled in turn.
 pub fn claim_cases() -> Vec<Case<ClaimSpec>> {
     let all = ClaimRules::ALL;
-    let case = |without, rules| Case {
-        without,
+    let case = |disabled_rule, rules| Case {
+        disabled_rule,
         spec: ClaimSpec::with(rules),
-        breaks: "the request ran twice",
+        violates: "the request ran twice",
     };
     vec![
         case(
--- a/crates/deckwind-spec/src/forwarding_spec.rs
+++ b/crates/deckwind-spec/src/forwarding_spec.rs
@@ -223,13 +223,13 @@
 /// Returns the forwarding specification with each rule disabled in turn.
 pub fn forwarding_cases() -> Vec<Case<ForwardingSpec>> {
     let all = ForwardingRules::ALL;
-    let case = |without, rules, breaks| Case {
-        without,
+    let case = |disabled_rule, rules, violates| Case {
+        disabled_rule,
         spec: ForwardingSpec {
             rules,
             ..ForwardingSpec::SMALL
         },
-        breaks,
+        violates,
     };
     vec![
         case(
--- a/crates/deckwind-spec/src/limit_cases.rs
+++ b/crates/deckwind-spec/src/limit_cases.rs
@@ -91,10 +91,10 @@
     let minimal = LimitBounds::MINIMAL;
     let limit_changes = LimitBounds::LIMIT_CHANGES;
     let renewals = LimitBounds::RENEWALS;
-    let case = |without, rules, bounds| Case {
-        without,
+    let case = |disabled_rule, rules, bounds| Case {
+        disabled_rule,
         spec: LimitSpec { rules, bounds },
-        breaks: "more requests in a window than the target's limit",
+        violates: "more requests in a window than the target's limit",
     };
     vec![
         case(
--- a/crates/deckwind-spec/src/retry_cases.rs
+++ b/crates/deckwind-spec/src/retry_cases.rs
@@ -67,10 +67,10 @@
         leader_changes: 1,
         ..minimal
     };
-    let case = |without, rules, bounds| Case {
-        without,
+    let case = |disabled_rule, rules, bounds| Case {
+        disabled_rule,
         spec: RetrySpec { rules, bounds },
-        breaks: "more retries in a window than the bound",
+        violates: "more retries in a window than the bound",
     };
     vec![
         case(
--- a/crates/deckwind-testkit/src/at_size/mod.rs
+++ b/crates/deckwind-testkit/src/at_size/mod.rs
@@ -21,7 +21,7 @@
 use crate::layout::Layout;
 use crate::processes::{Process, Processes};
 use anyhow::{Context, Result, bail};
-use deckwind_fakes::{FakeTargetServer, Fleet, FleetArrival};
+use deckwind_fakes::{FakeFleet, FakeTargetServer, FleetArrival};
 use http::{Request, StatusCode};
 use http_body_util::Full;
 use hyper_util::client::legacy::Client;
@@ -100,7 +100,7 @@
     control: Vec<Option<Process>>,
     routers: Vec<Option<Process>>,
     targets: Arc<Vec<Target>>,
-    fleet: Fleet,
+    fleet: FakeFleet,
     callers: Arc<Callers>,
     control_client: ControlClient,
     version: u64,
@@ -109,7 +109,7 @@
 /// Returns the layout of a deployment of this size.
 pub fn layout(size: &Size) -> Result<Layout> {
     let mut layout = Layout::new(size.control, size.routers)?;
-    layout.repeats = size.repeats;
+    layout.retry_budget = size.repeats;
     layout.data_centres = DATA_CENTRES.to_vec();
     layout.lease = Some("2800ms");
     Ok(layout)
@@ -153,7 +153,7 @@
         let control = control.collect::<Result<Vec<_>>>()?;
         let routers = (0..size.routers).map(|i| processes.router(i).map(Some));
         let routers = routers.collect::<Result<Vec<_>>>()?;
-        let fleet = Fleet::new(size.pace);
+        let fleet = FakeFleet::new(size.pace);
         let targets = start_targets(&size, &fleet).await?;
         let layout = &processes.layout;
         let addresses = layout.routers.iter().map(|r| r.routes).collect();
@@ -247,12 +247,12 @@
         request: a.request.clone(),
         address: a.address,
         at: a.at,
-        ran: a.ran,
+        ran: a.has_run,
     });
     requests.collect()
 }
 
-async fn start_targets(size: &Size, fleet: &Fleet) -> Result<Vec<Target>> {
+async fn start_targets(size: &Size, fleet: &FakeFleet) -> Result<Vec<Target>> {
     let mut all = Vec::new();
     for group in &size.engine_groups {
         for (centre, count) in DATA_CENTRES.iter().zip(group.engines) {
@@ -274,7 +274,7 @@
     pool: &'static str,
     data_centre: &'static str,
     kind: Option<&str>,
-    fleet: &Fleet,
+    fleet: &FakeFleet,
 ) -> Result<Target> {
     let server = FakeTargetServer::start(id).await?;
     server.join(fleet, pool, kind);
--- a/crates/deckwind-testkit/src/bin/testkit-daemon.rs
+++ b/crates/deckwind-testkit/src/bin/testkit-daemon.rs
@@ -24,7 +24,7 @@
     runtime.block_on(async {
         let mut signals = signal(SignalKind::user_defined1())?;
         while signals.recv().await.is_some() {
-            time.was_suspended(SUSPENSION_TIME);
+            time.add_suspension(SUSPENSION_TIME);
         }
         Ok(())
     })
--- a/crates/deckwind-testkit/src/cluster.rs
+++ b/crates/deckwind-testkit/src/cluster.rs
@@ -89,13 +89,13 @@
     }
 
     /// Advances a router's clock as if its VM had been suspended for this time.
-    pub fn router_was_suspended(&self, i: usize, time: Duration) {
-        self.router_times[i].was_suspended(time);
+    pub fn simulate_router_suspension(&self, i: usize, time: Duration) {
+        self.router_times[i].add_suspension(time);
     }
 
     /// Advances a control replica's clock as if its VM had been suspended for this time.
-    pub fn control_was_suspended(&self, slot: usize, time: Duration) {
-        self.control_times[slot].was_suspended(time);
+    pub fn simulate_control_suspension(&self, slot: usize, time: Duration) {
+        self.control_times[slot].add_suspension(time);
     }
 
     /// Returns a router's daemon.
--- a/crates/deckwind-testkit/src/control_simulation.rs
+++ b/crates/deckwind-testkit/src/control_simulation.rs
@@ -315,11 +315,11 @@
     /// Announces a target at a replica; replies are recorded under the target's id.
     pub fn announce(&mut self, slot: usize, instance: Instance) {
         let id = instance.id.clone();
-        self.ask(slot, &id, OperatorRequest::Announce(Box::new(instance)));
+        self.request(slot, &id, OperatorRequest::Announce(Box::new(instance)));
     }
 
     /// Sends an operator's request to a replica; replies are recorded under `id`.
-    pub fn ask(&mut self, slot: usize, id: &str, request: OperatorRequest) {
+    pub fn request(&mut self, slot: usize, id: &str, request: OperatorRequest) {
         let token = self.next_token;
         self.next_token += 1;
         self.pending
--- a/crates/deckwind-testkit/src/layout.rs
+++ b/crates/deckwind-testkit/src/layout.rs
@@ -42,7 +42,7 @@
     pub platform: Option<SocketAddr>,
     /// Retry budget of the routers: share of the requests that may be retried, and number
     /// of retries beyond that share.
-    pub repeats: (f64, u32),
+    pub retry_budget: (f64, u32),
     /// Memory of a router's VM in MB.
     pub memory_mb: Option<f64>,
     /// Data centres that VMs are assigned to in turn.
@@ -120,7 +120,7 @@
             routers: router_addresses,
             // A router that has just started can't use the retries beyond the share, so
             // the share alone must allow the retries of a short test.
-            repeats: (8.0, 100),
+            retry_budget: (8.0, 100),
             platform: None,
             memory_mb: None,
             data_centres: vec!["recife-a"],
@@ -226,7 +226,7 @@
             "routes": addresses.routes,
             "ready": addresses.ready,
             "accelerators": { "fake": "50us" },
-            "repeats": { "share": self.repeats.0, "beyond": self.repeats.1, "window": "10s" },
+            "repeats": { "share": self.retry_budget.0, "beyond": self.retry_budget.1, "window": "10s" },
         });
         self.set_lease(&mut settings["router"]);
         if let Some(memory) = self.memory_mb {
--- a/crates/deckwind-testkit/src/vm_time.rs
+++ b/crates/deckwind-testkit/src/vm_time.rs
@@ -24,7 +24,7 @@
     }
 
     /// Simulates a suspension of the VM that has just ended after this time.
-    pub fn was_suspended(&self, time: Duration) {
+    pub fn add_suspension(&self, time: Duration) {
         let ms = time.as_millis() as u64;
         self.suspended_ms.fetch_add(ms, Ordering::SeqCst);
     }
--- a/crates/deckwind-testkit/tests/testsuite/at_most_once.rs
+++ b/crates/deckwind-testkit/tests/testsuite/at_most_once.rs
@@ -155,7 +155,7 @@
         assert_eq!(rig.confirm(0, "k", "{}").await.status, 503);
         for _ in 0..5 {
             let time_step = Duration::from_secs(3);
-            rig.cluster.router_was_suspended(0, time_step);
+            rig.cluster.simulate_router_suspension(0, time_step);
             rig.cluster.wait_for_lease(0).await;
             let refused = rig.confirm(0, "k", "{}").await;
             assert_eq!(refused.status, 503);
@@ -165,7 +165,8 @@
         }
         assert_eq!(rig.service.refused(), 1);
         rig.service.set_fault(ServiceFault::None);
-        rig.cluster.router_was_suspended(0, Duration::from_secs(91));
+        rig.cluster
+            .simulate_router_suspension(0, Duration::from_secs(91));
         rig.cluster.wait_for_lease(0).await;
         eventually_async("the target serves after its rest period", || async {
             (rig.confirm(0, "k", "{}").await.status == 200).then_some(())
--- a/crates/deckwind-testkit/tests/testsuite/poison_requests.rs
+++ b/crates/deckwind-testkit/tests/testsuite/poison_requests.rs
@@ -31,7 +31,7 @@
 /// for each request to be sent to a second target.
 async fn rig(plain: usize, engines: usize) -> Rig {
     let mut layout = Layout::new(1, 2).expect("a layout");
-    layout.repeats = (4.0, 200);
+    layout.retry_budget = (4.0, 200);
     let mut rig = Rig::start_with(layout, plain, engines).await;
     rig.wait_until_in_force().await;
     rig
--- a/crates/deckwind-testkit/tests/testsuite/published_releases.rs
+++ b/crates/deckwind-testkit/tests/testsuite/published_releases.rs
@@ -349,7 +349,7 @@
         };
         if ms % 400 == 0 {
             for (i, budgets) in budgets.iter_mut().enumerate() {
-                control.ask(now, &holder(i, 0), budgets);
+                control.request_retries(now, &holder(i, 0), budgets);
             }
         }
         // Bursts: one second of full load, then one second at a tenth of it.
@@ -433,7 +433,7 @@
             }
             budgets.of_pool("pool").record_request(now);
             if ms % 200 == 0 {
-                control.ask(now, &holder(i, *boot), budgets);
+                control.request_retries(now, &holder(i, *boot), budgets);
             }
             let budget = budgets.of_pool("pool");
             if budget.spend(now, RequestClass::Begun, ms).is_some() {
--- a/crates/deckwind-testkit/tests/testsuite/quarantine.rs
+++ b/crates/deckwind-testkit/tests/testsuite/quarantine.rs
@@ -359,7 +359,7 @@
 }
 
 fn quarantined_views(sim: &mut ControlSimulation, leader: usize) -> Vec<QuarantinedView> {
-    sim.ask(leader, "status", OperatorRequest::Status);
+    sim.request(leader, "status", OperatorRequest::Status);
     sim.run_for(Duration::from_millis(100));
     match sim.last_reply("status") {
         Some(OperatorReply::Status(status)) => status.quarantined.clone(),
@@ -402,7 +402,7 @@
     sim.run_for(Duration::from_secs(3));
     assert!(!sim.routers[0].may_send(&digest), "after its restart");
 
-    sim.ask(next, "lift", OperatorRequest::Lift(digest));
+    sim.request(next, "lift", OperatorRequest::Lift(digest));
     sim.run_for(Duration::from_secs(1));
     assert!(matches!(
         sim.last_reply("lift"),
--- a/crates/deckwind-testkit/tests/testsuite/rest_periods.rs
+++ b/crates/deckwind-testkit/tests/testsuite/rest_periods.rs
@@ -34,13 +34,13 @@
 
 async fn rig(kind: RequestKind) -> Rig {
     let mut layout = Layout::new(1, 1).expect("a layout");
-    layout.repeats = (4.0, 200);
+    layout.retry_budget = (4.0, 200);
     Rig::start_placed(layout, kind.plain, kind.engines).await
 }
 
 /// Advances the router's clock, and waits until its lease is renewed.
 async fn advance_time(rig: &Rig, time: Duration) {
-    rig.cluster.router_was_suspended(0, time);
+    rig.cluster.simulate_router_suspension(0, time);
     rig.cluster.wait_for_lease(0).await;
 }
 
--- a/crates/deckwind-testkit/tests/testsuite/retry_rig.rs
+++ b/crates/deckwind-testkit/tests/testsuite/retry_rig.rs
@@ -120,7 +120,12 @@
     }
 
     /// Requests retries for a router and applies the committed grants at once.
-    pub fn ask(&mut self, now: Instant, holder: &RouterProcess, budgets: &mut RetryBudgets) {
+    pub fn request_retries(
+        &mut self,
+        now: Instant,
+        holder: &RouterProcess,
+        budgets: &mut RetryBudgets,
+    ) {
         let report = budgets.report(now).expect("the limits allow retries");
         self.allocator.record_report(now, holder, &report);
         self.commit_and_propose(now);
--- a/crates/deckwind-testkit/tests/testsuite/retry_share.rs
+++ b/crates/deckwind-testkit/tests/testsuite/retry_share.rs
@@ -106,7 +106,7 @@
         };
         for (i, (budgets, boot)) in routers.iter_mut().enumerate().skip(stopped) {
             if (ms + i as u64 * 30).is_multiple_of(RENEWAL_INTERVAL_MS) {
-                control.ask(at(ms), &holder(i, *boot), budgets);
+                control.request_retries(at(ms), &holder(i, *boot), budgets);
             }
         }
         if ms.is_multiple_of(REQUEST_INTERVAL_MS) {
--- a/crates/deckwind-testkit/tests/testsuite/returning_callers.rs
+++ b/crates/deckwind-testkit/tests/testsuite/returning_callers.rs
@@ -97,7 +97,7 @@
                 vm: format!("r{i}").as_str().into(),
                 boot: 1,
             };
-            control.ask(now, &holder, &mut budgets[i]);
+            control.request_retries(now, &holder, &mut budgets[i]);
         }
         let budget = budgets[arrival.router].of_pool("pool");
         budget.record_request(now);
--- a/crates/deckwind-testkit/tests/testsuite/routes.rs
+++ b/crates/deckwind-testkit/tests/testsuite/routes.rs
@@ -434,7 +434,7 @@
 fn a_stream_that_has_not_begun_keeps_its_target_while_no_repeat_is_left() {
     run_async(async {
         let mut layout = Layout::new(1, 1).expect("a layout");
-        layout.repeats = (0.0, 0);
+        layout.retry_budget = (0.0, 0);
         let rig = placed_with(layout).await;
         for engine in rig.engines.iter().step_by(2) {
             engine.set_fault(FakeTargetFault::StallsAfter {
--- a/crates/deckwind-testkit/tests/testsuite/specification.rs
+++ b/crates/deckwind-testkit/tests/testsuite/specification.rs
@@ -12,11 +12,15 @@
 fn assert_each_rule_is_needed<S: Spec>(cases: Vec<Case<S>>) {
     for case in cases {
         let run = explore(&case.spec).counterexample;
-        let run = run
-            .unwrap_or_else(|| panic!("without rule {}: no invariant is violated", case.without));
+        let run = run.unwrap_or_else(|| {
+            panic!(
+                "without rule {}: no invariant is violated",
+                case.disabled_rule
+            )
+        });
         assert_eq!(
             run.last().map(String::as_str),
-            Some(case.breaks),
+            Some(case.violates),
             "{run:#?}"
         );
     }
--- a/crates/deckwind-testkit/tests/testsuite/status.rs
+++ b/crates/deckwind-testkit/tests/testsuite/status.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 fn status(sim: &mut ControlSimulation, leader: usize) -> ClusterStatus {
-    sim.ask(leader, "status", OperatorRequest::Status);
+    sim.request(leader, "status", OperatorRequest::Status);
     sim.run_for(Duration::from_millis(100));
     match sim.last_reply("status") {
         Some(OperatorReply::Status(status)) => status.clone(),
--- a/crates/deckwind-testkit/tests/testsuite/suspended_vms.rs
+++ b/crates/deckwind-testkit/tests/testsuite/suspended_vms.rs
@@ -21,7 +21,7 @@
     let time = VmTime::new();
     let clock = time.clock();
     let before = clock.now();
-    time.was_suspended(SUSPENSION);
+    time.add_suspension(SUSPENSION);
     assert!(clock.now().since(before) >= SUSPENSION);
     assert!(clock.suspended_time() >= SUSPENSION);
 }
@@ -36,7 +36,7 @@
         let wait = clock.timeout(SUSPENSION, std::future::pending::<()>());
         let resume = async {
             tokio::task::yield_now().await;
-            time.was_suspended(SUSPENSION);
+            time.add_suspension(SUSPENSION);
         };
         let began = std::time::Instant::now();
         let (ended, ()) = tokio::join!(wait, resume);
@@ -59,7 +59,7 @@
     let requested_at = clock.now();
     lease.apply_grant(LeaseGrant::new(requested_at, Term(1)), Delta::default());
     assert!(lease.is_live(clock.now()));
-    time.was_suspended(SUSPENSION);
+    time.add_suspension(SUSPENSION);
     assert!(!lease.is_live(clock.now()));
     lease.apply_grant(LeaseGrant::new(requested_at, Term(1)), Delta::default());
     assert!(!lease.is_live(clock.now()));
@@ -74,7 +74,7 @@
         rig.wait_until_in_force().await;
         rig.wait_until_served("/once/x", false).await;
         rig.cluster.take_control(0).close().await.expect("closed");
-        rig.cluster.router_was_suspended(0, SUSPENSION);
+        rig.cluster.simulate_router_suspension(0, SUSPENSION);
         let answer = rig.ask("r1", "/once/x", API_KEY, false).await;
         assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
         assert_eq!(rig.send_count("r1"), 0);
@@ -96,7 +96,7 @@
             })
             .await;
             let resumed_at = std::time::Instant::now();
-            rig.cluster.router_was_suspended(0, SUSPENSION);
+            rig.cluster.simulate_router_suspension(0, SUSPENSION);
             resumed_at
         };
         let request = rig.ask("r1", "/once/x", API_KEY, false);
@@ -128,7 +128,7 @@
         let before = connections();
         rig.ask("r2", "/safe/x", API_KEY, false).await;
         assert_eq!(connections(), before, "the connection is reused");
-        rig.cluster.router_was_suspended(0, SUSPENSION);
+        rig.cluster.simulate_router_suspension(0, SUSPENSION);
         rig.cluster.wait_for_lease(0).await;
         rig.wait_until_served("/safe/x", false).await;
         assert!(
@@ -164,7 +164,7 @@
     run_async(async {
         let mut rig = Rig::start(2, 0).await;
         rig.wait_until_in_force().await;
-        rig.cluster.control_was_suspended(0, SUSPENSION);
+        rig.cluster.simulate_control_suspension(0, SUSPENSION);
         eventually_async("a release is accepted", || async {
             (rig.publish(2, &[API_KEY]).await == StatusCode::OK).then_some(())
         })
--- a/crates/deckwind-testkit/tests/testsuite/target_limits.rs
+++ b/crates/deckwind-testkit/tests/testsuite/target_limits.rs
@@ -35,7 +35,7 @@
 
 async fn rig(kind: RequestKind) -> Rig {
     let mut layout = Layout::new(1, ROUTERS).expect("a layout");
-    layout.repeats = (4.0, 200);
+    layout.retry_budget = (4.0, 200);
     let rig = Rig::start_placed(layout, kind.plain, kind.engines).await;
     for router in 0..ROUTERS {
         rig.cluster.wait_for_lease(router).await;
