--- a/crates/deckwind-fakes/src/target_server/answers.rs
+++ b/crates/deckwind-fakes/src/target_server/answers.rs
@@ -163,7 +163,7 @@
 impl FleetRequest {
     /// Streams events over a path of engines. If an engine on the path goes down, the
     /// stream stalls until it is moved to another path, and is broken off (or refused,
-    /// if no event was sent yet) after [`FleetConfig::stall`](super::FleetPace::stall).
+    /// if no event was sent yet) after [`FleetConfig::stall_timeout`](super::FleetConfig::stall_timeout).
     async fn stream(
         &self,
         s: &mut Stream,
--- a/crates/deckwind-testkit/src/at_size/mod.rs
+++ b/crates/deckwind-testkit/src/at_size/mod.rs
@@ -109,7 +109,7 @@
 /// Returns the layout of a deployment of this size.
 pub fn layout(size: &Size) -> Result<Layout> {
     let mut layout = Layout::new(size.control, size.routers)?;
-    layout.retry_budget = size.repeats;
+    layout.retry_budget = size.retry_budget;
     layout.data_centres = DATA_CENTRES.to_vec();
     layout.lease = Some("2800ms");
     Ok(layout)
@@ -209,8 +209,8 @@
 
     fn report(&self, faults: Vec<(Duration, FaultEvent)>) -> Result<Report> {
         let budget = RetryBudget {
-            share: self.size.repeats.0,
-            beyond: f64::from(self.size.repeats.1),
+            share: self.size.retry_budget.0,
+            beyond: f64::from(self.size.retry_budget.1),
             window: self.size.window,
         };
         let arrivals = self.fleet.arrivals();
--- a/crates/deckwind-testkit/src/at_size/size.rs
+++ b/crates/deckwind-testkit/src/at_size/size.rs
@@ -49,7 +49,7 @@
     pub callers: usize,
     /// Retry budget of a pool: share of its requests that may be retried, and number of
     /// retries beyond that share.
-    pub repeats: (f64, u32),
+    pub retry_budget: (f64, u32),
     /// Window of the retry budget.
     pub window: Duration,
     /// Maximum number of targets that may run one request.
@@ -81,7 +81,7 @@
             streams_per_s: 264.0,
             plain_per_s: (22.7, 9.1),
             callers: 227,
-            repeats: (0.2, 302),
+            retry_budget: (0.2, 302),
             window: Duration::from_secs(10),
             attempts: 2,
             pace: FleetConfig {
--- a/crates/deckwind-testkit/src/fan_out.rs
+++ b/crates/deckwind-testkit/src/fan_out.rs
@@ -104,7 +104,7 @@
     relays: u32,
     /// Maximum number of retries that all routers may be granted; `None` if they request
     /// none.
-    repeats: Option<u64>,
+    retry_limit: Option<u64>,
     bytes_per_s: f64,
     link_free_at: Instant,
     in_flight: BTreeMap<(Instant, u64), Arrival>,
@@ -143,7 +143,7 @@
             routers: (0..routers).map(router).collect(),
             engines_in_use,
             relays: 0,
-            repeats: None,
+            retry_limit: None,
             bytes_per_s: link_mbps * 125_000.0,
             link_free_at: start,
             in_flight: BTreeMap::new(),
@@ -178,8 +178,8 @@
 
     /// Has all routers serve the pool and hold retries in reserve from now on; they may
     /// be granted this number of retries.
-    pub fn enable_retries(&mut self, repeats: u64) {
-        self.repeats = Some(repeats);
+    pub fn enable_retries(&mut self, retry_limit: u64) {
+        self.retry_limit = Some(retry_limit);
     }
 
     /// Returns the traffic since the last call and resets it.
@@ -384,7 +384,7 @@
             use_known: r.use_known,
             failing: Vec::new(),
             held_bytes: 0,
-            repeats: self.repeats.map(retry_report),
+            repeats: self.retry_limit.map(retry_report),
             limits: LimitReport::default(),
         };
         let arrival = Arrival::Renewal(router, Box::new(renewal));
--- a/crates/deckwind-testkit/src/simulated_routers.rs
+++ b/crates/deckwind-testkit/src/simulated_routers.rs
@@ -137,8 +137,8 @@
     }
 
     /// Has it serve a pool whose streams need this number of retries.
-    pub fn need_retries(&mut self, repeats: u64) {
-        self.retries_wanted = repeats;
+    pub fn need_retries(&mut self, retries: u64) {
+        self.retries_wanted = retries;
         self.budgets
             .get_or_insert_with(|| RetryBudgets::new(RETRY_LIMITS, START));
     }
--- a/crates/deckwind-testkit/src/simulation_checks.rs
+++ b/crates/deckwind-testkit/src/simulation_checks.rs
@@ -1,5 +1,6 @@
 //! Invariants of the simulation. Those in this module are checked after each step, 7 on
-//! delivery in `simulated_network`, and 6 by tests with [`SimulatedRouter::ran`](crate::LabRouter::ran).
+//! delivery in `simulated_network`, and 6 by tests with
+//! [`SimulatedRouter::executed_keys`](crate::SimulatedRouter::executed_keys).
 //!
 //! 1. at most one leader per term;
 //! 2. at most one replica may answer at a time;
