--- a/crates/deckwind-core/examples/policies/load.rs
+++ b/crates/deckwind-core/examples/policies/load.rs
@@ -33,7 +33,7 @@
     pub prompt: u32,
     /// Length of an answer, in tokens.
     pub answer: u32,
-    /// Number of conversations to which its requests belong. Requests of a
+    /// Number of conversations to which the requests belong. Requests of a
     /// conversation share all but the last block of the prompt.
     pub conversations: u32,
 }
--- a/crates/deckwind-core/src/admission/queue.rs
+++ b/crates/deckwind-core/src/admission/queue.rs
@@ -80,7 +80,7 @@
 const ARRIVAL_WINDOW: Duration = Duration::from_secs(5);
 
 /// Maximum fraction of the slots that requests of higher priority may be expected to take.
-/// Above it a request is refused as unable to start in time.
+/// Above this fraction a request is refused as unable to start in time.
 const MAX_HIGHER_PRIORITY_LOAD: f64 = 0.98;
 
 /// Minimum retry-after time.
--- a/crates/deckwind-core/src/control/engine_load.rs
+++ b/crates/deckwind-core/src/control/engine_load.rs
@@ -34,9 +34,9 @@
 pub(super) struct EngineCapacity {
     /// Data centre of the engine.
     pub data_centre: DataCentre,
-    /// Capacity of its memory, in tokens times the layers that keep them.
+    /// Capacity of the engine's memory, in tokens times the layers that keep them.
     pub token_capacity: u64,
-    /// Number of streams that may begin at it.
+    /// Number of streams that may begin at the engine.
     pub slots: u32,
 }
 
--- a/crates/deckwind-core/src/control/event.rs
+++ b/crates/deckwind-core/src/control/event.rs
@@ -125,7 +125,7 @@
     PlacementDone {
         /// The incarnation that received the order.
         incarnation: Incarnation,
-        /// Layers it held afterwards, if known.
+        /// Layers that the incarnation held afterwards, if known.
         held: Option<LayerRange>,
     },
     /// A request of an operator.
@@ -226,11 +226,11 @@
 pub struct LimitDecision {
     /// The target.
     pub target: LimitKey,
-    /// Change of its limit.
+    /// Change of the target's limit.
     pub change: LimitChange,
     /// The router that received the limit.
     pub by: VmName,
-    /// Time since the router received it.
+    /// Time since the router received the limit.
     pub ago: Duration,
 }
 
--- a/crates/deckwind-core/src/control/messages.rs
+++ b/crates/deckwind-core/src/control/messages.rs
@@ -23,7 +23,7 @@
     pub holder: RouterProcess,
     /// Revision the router has applied.
     pub applied: Revision,
-    /// Address of its operator interface, for reports.
+    /// Address of the router's operator interface, for reports.
     pub admin: SocketAddr,
     /// Demand of each account at this router.
     pub demand: Vec<(AccountName, AccountDemand)>,
--- a/crates/deckwind-core/src/control/operator.rs
+++ b/crates/deckwind-core/src/control/operator.rs
@@ -18,7 +18,7 @@
     Apply {
         /// The change.
         request: Box<ApplyRequest>,
-        /// Longest time to wait for it to be in force.
+        /// Longest time to wait for the change to be in force.
         wait: Duration,
     },
     /// Publish a release. Answered once it is committed.
--- a/crates/deckwind-core/src/control/parked_renewals.rs
+++ b/crates/deckwind-core/src/control/parked_renewals.rs
@@ -14,10 +14,10 @@
 pub(super) struct ParkedRenewal {
     pub token: u64,
     pub renewal: Renewal,
-    /// Time it arrived at the first replica that received it.
+    /// Time at which the renewal arrived at the first replica that received it.
     pub received_at: Instant,
     pub deadline: Instant,
-    /// Slot of the replica that forwarded it; `None` if the router asked this replica.
+    /// Slot of the replica that forwarded the renewal; `None` if the router asked this replica.
     pub relayed_by: Option<u32>,
 }
 
--- a/crates/deckwind-core/src/control/relay_messages.rs
+++ b/crates/deckwind-core/src/control/relay_messages.rs
@@ -35,7 +35,7 @@
     token: u64,
     /// The reply without its delta.
     reply: ControlReply,
-    /// Index of its delta in the deltas of the message.
+    /// Index of the reply's delta in the deltas of the message.
     delta: Option<u32>,
 }
 
--- a/crates/deckwind-core/src/control/status.rs
+++ b/crates/deckwind-core/src/control/status.rs
@@ -19,20 +19,20 @@
 pub struct RouterView {
     /// VM of the router.
     pub vm: VmName,
-    /// Revision it has applied.
+    /// Revision that the router has applied.
     pub applied: Revision,
-    /// Address of its operator interface.
+    /// Address of the router's operator interface.
     pub admin: SocketAddr,
-    /// Number of revisions it lacks.
+    /// Number of revisions that the router lacks.
     #[serde(default)]
     pub behind: u64,
-    /// Time for which the leader still counts its lease as live, ms.
+    /// Time for which the leader still counts the router's lease as live, ms.
     #[serde(default)]
     pub lease_ms: u64,
-    /// Memory it holds for callers and targets that read slowly, bytes.
+    /// Memory that the router holds for callers and targets that read slowly, bytes.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub held_bytes: Option<u64>,
-    /// Retries granted to it and not used.
+    /// Retries granted to the router and not used.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub repeats: Option<u64>,
 }
@@ -69,12 +69,12 @@
     /// received none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub heard_ms: Option<u64>,
-    /// Kind of its accelerator.
+    /// Kind of the target's accelerator.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub accelerator: Option<String>,
     /// Layers available to requests.
     pub layers: LayerRange,
-    /// Layers it has been ordered to hold, while an order is in progress.
+    /// Layers that the target has been ordered to hold, while an order is in progress.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ordered: Option<LayerRange>,
     /// Load from the streams of all routers, in layer tokens (tokens times layers).
@@ -84,7 +84,7 @@
     /// not known to be slow.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pace_per_mille: Option<u32>,
-    /// Whether routers have recently reported it as failing.
+    /// Whether routers have recently reported the target as failing.
     #[serde(default)]
     pub suspected: bool,
 }
@@ -112,7 +112,7 @@
     pub revision: Revision,
     /// Whether the last accepted revision is in force everywhere.
     pub in_force: bool,
-    /// Routers that lag behind it.
+    /// Routers that lag behind the last accepted revision.
     pub lagging: Vec<VmName>,
     /// Control replicas.
     pub replicas: Vec<ReplicaView>,
--- a/crates/deckwind-core/src/routing/paths.rs
+++ b/crates/deckwind-core/src/routing/paths.rs
@@ -127,7 +127,7 @@
     /// Capacity for streams and current load, both in layer tokens.
     capacity: f64,
     load: f64,
-    /// Utilization of its slots as a first stage, with one more stream.
+    /// Utilization of the engine's slots as a first stage, with one more stream.
     slot_utilization: f64,
     /// Load in layer tokens at which the engine recently refused a request.
     load_when_refused: Option<f64>,
--- a/crates/deckwind-spec/src/forwarding_spec.rs
+++ b/crates/deckwind-spec/src/forwarding_spec.rs
@@ -47,7 +47,7 @@
     requests: u8,
     /// Time at which the pending request was sent, if one is pending.
     sent_at: Option<u8>,
-    /// Time at which its lease ends by its own count.
+    /// Time at which the router's lease ends by its own count.
     lease_end: u8,
 }
 
--- a/crates/deckwind-spec/src/limit_spec.rs
+++ b/crates/deckwind-spec/src/limit_spec.rs
@@ -87,7 +87,7 @@
 struct TargetAnswer {
     router: u8,
     boot: u8,
-    /// Number of the limit that it names, if any.
+    /// Number of the limit that the answer names, if any.
     named_limit: Option<u8>,
     permitted: Option<LeaderTime>,
 }
--- a/crates/deckwind-spec/src/log_spec.rs
+++ b/crates/deckwind-spec/src/log_spec.rs
@@ -99,7 +99,7 @@
     memory: PersistentState,
     disk: PersistentState,
     role: Role,
-    /// Term of the leader whose lease it supports by not voting for others.
+    /// Term of the leader whose lease the replica supports by not voting for others.
     promise: Option<u8>,
     holds_lease: bool,
 }
--- a/crates/deckwind-testkit/src/simulated_routers.rs
+++ b/crates/deckwind-testkit/src/simulated_routers.rs
@@ -39,7 +39,7 @@
     choice: ReplicaChoice,
     /// Slot of the replica that the last request went to.
     last_slot: u32,
-    /// Keys of the requests that the target ran, with one entry per run.
+    /// Keys of the router's requests that were run, with one entry per run.
     pub executed_keys: Vec<String>,
     timing: LeaseTiming,
     budgets: Option<RetryBudgets>,
--- a/crates/deckwind-testkit/src/soak/environment.rs
+++ b/crates/deckwind-testkit/src/soak/environment.rs
@@ -50,7 +50,7 @@
     is_leaving: AtomicBool,
     /// Number of announcements of the current incarnation.
     announced: AtomicU64,
-    /// Times at which its connections were disturbed.
+    /// Times at which the target's connections were disturbed.
     connection_faults: FaultSpans,
 }
 
--- a/crates/deckwindd/src/router/routes/delivery.rs
+++ b/crates/deckwindd/src/router/routes/delivery.rs
@@ -40,7 +40,7 @@
     pub request: &'a str,
     /// The account that sent the request.
     pub account: Option<&'a str>,
-    /// Time until which its caller waits at most.
+    /// Time until which the caller waits at most.
     pub deadline: Instant,
 }
 
@@ -288,7 +288,7 @@
         })
     }
 
-    /// Returns the time until which its caller waits at most.
+    /// Returns the time until which the caller waits at most.
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
--- a/crates/deckwindd/src/router/routes/held_bytes.rs
+++ b/crates/deckwindd/src/router/routes/held_bytes.rs
@@ -1,7 +1,7 @@
 //! Counts the bytes that a router buffers for callers, and keeps them within a limit.
 //!
-//! Counted are answers on their way to callers, whole answers while they are received,
-//! and the bodies of requests in progress.
+//! The count covers answers on their way to callers, whole answers while they are
+//! received, and the bodies of requests in progress.
 
 use super::delivery::Delivery;
 use crate::collect::{CollectError, ReserveBytes};
--- a/crates/deckwindd/src/router/routes/opening/mod.rs
+++ b/crates/deckwindd/src/router/routes/opening/mod.rs
@@ -36,14 +36,14 @@
 /// lifetime, in percent: it begins with none.
 const MEAN_ANSWER_PERCENT: u64 = 50;
 
-/// Share of its prompt and average answer that a stream is counted with, in percent. If
+/// Share of a stream's prompt and average answer that counts as its load, in percent. If
 /// they were counted in full, requests would be refused while engines still have free
 /// capacity. The engine knows its exact load, and refuses what does not fit.
 const COUNTED_LOAD_PERCENT: u64 = 83;
 
 /// A stream that a target has begun.
 pub struct OpenedStream {
-    /// The load at its path or target.
+    /// The load that the stream causes at its path or target.
     pub reservation: Reservation,
     /// The run of the request at the target.
     pub run: TargetRun,
--- a/crates/deckwindd/src/router/routes/poison_requests.rs
+++ b/crates/deckwindd/src/router/routes/poison_requests.rs
@@ -22,7 +22,7 @@
 const BATCH_WINDOW: Duration = Duration::from_millis(5);
 
 /// Maximum number of targets named in one report: as many as end with a data centre.
-/// Further ones are detected by their missing announcements.
+/// Further targets are detected by their missing announcements.
 const MAX_BROKEN_TARGETS: usize = 512;
 
 /// A run that was interrupted.
--- a/crates/deckwindd/src/router/routes/relay/mod.rs
+++ b/crates/deckwindd/src/router/routes/relay/mod.rs
@@ -60,9 +60,9 @@
     opener: StreamOpener,
     progress: Progress,
     last_passed_at: deckwind_core::time::Instant,
-    /// Time of the next check of its path.
+    /// Time of the next check of the stream's path.
     next_path_check: Instant,
-    /// Whether its path was changed and no event has arrived over the new one yet.
+    /// Whether the stream's path was changed and no event has arrived over the new one yet.
     awaits_new_path: bool,
     outbox: Outbox,
 }
