--- a/crates/deckwind-core/src/control/messages.rs
+++ b/crates/deckwind-core/src/control/messages.rs
@@ -23,7 +23,7 @@
     pub holder: RouterProcess,
     /// Revision the router has applied.
     pub applied: Revision,
-    /// Address of its operator interface, for reports.
+    /// Address of the router's operator interface, for reports.
     pub admin: SocketAddr,
     /// Demand of each account at this router.
     pub demand: Vec<(AccountName, AccountDemand)>,
@@ -212,13 +212,13 @@
 pub enum ControlReply {
     /// The lease was renewed.
     Granted(Box<Grant>),
-    /// Nothing was done; another replica must be asked.
+    /// The replica did nothing; another replica must be asked.
     NotLeader {
         /// Slot of the leader, if known.
         leader: Option<u32>,
     },
-    /// The leader has changed, and the request may or may not have been executed. The
-    /// same replica should be asked again at once.
+    /// The leader has changed, and the request may or may not have been executed. It
+    /// should be sent to the same replica again at once.
     AskAgain,
     /// Verdict on a claim.
     Claim(ClaimVerdict),
--- a/crates/deckwindd/src/router/routes/poison_requests.rs
+++ b/crates/deckwindd/src/router/routes/poison_requests.rs
@@ -22,7 +22,7 @@
 const BATCH_WINDOW: Duration = Duration::from_millis(5);
 
 /// Maximum number of targets named in one report: as many as end with a data centre.
-/// Further ones are detected by their missing announcements.
+/// Further targets are detected by their missing announcements.
 const MAX_BROKEN_TARGETS: usize = 512;
 
 /// A run that was interrupted.
@@ -39,7 +39,7 @@
     pub broken_off: bool,
 }
 
-/// What this router knows of request contents and of targets that crashed on them.
+/// Knowledge of this router about request contents and targets that crashed on them.
 #[derive(Default)]
 pub struct PoisonRequests {
     runs: Mutex<InterruptedRuns>,
