--- a/crates/deckwind-fakes/src/runner/fleet.rs
+++ b/crates/deckwind-fakes/src/target_server/fleet.rs
@@ -12,15 +12,15 @@
 
 /// Speed and capacity of a fleet's engines.
 #[derive(Clone, Copy, Debug)]
-pub struct FleetPace {
+pub struct FleetConfig {
     /// Mean number of events of a stream; streams have between 0.5 and 1.5 times as many.
-    pub events: u64,
+    pub mean_events: u64,
     /// Time between two events.
-    pub gap: Duration,
+    pub event_interval: Duration,
     /// Time after which a stream that is stalled by a down engine is broken off.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
     /// Maximum number of streams that pass through one engine.
-    pub room: usize,
+    pub max_streams: usize,
 }
 
 /// A request that a target of the fleet received.
@@ -35,7 +35,7 @@
     /// Time of receipt.
     pub at: Instant,
     /// Whether the target started to run it.
-    pub ran: bool,
+    pub has_run: bool,
 }
 
 /// Start of an outage of an engine.
@@ -43,7 +43,7 @@
 pub struct Outage {
     /// Address of the engine.
     pub address: SocketAddr,
-    /// Time at which it went down.
+    /// Time at which the engine went down.
     pub at: Instant,
 }
 
@@ -109,7 +109,7 @@
 }
 
 struct Inner {
-    pace: FleetPace,
+    pace: FleetConfig,
     targets: Mutex<BTreeMap<SocketAddr, Arc<Mutex<State>>>>,
     active: Mutex<ActiveStreams>,
     arrivals: Mutex<Vec<FleetArrival>>,
@@ -118,11 +118,11 @@
 
 /// A group of targets that pass streams on to each other. Clones share its state.
 #[derive(Clone)]
-pub struct Fleet(Arc<Inner>);
+pub struct FakeFleet(Arc<Inner>);
 
-impl Fleet {
+impl FakeFleet {
     /// Creates a fleet without targets.
-    pub fn new(pace: FleetPace) -> Self {
+    pub fn new(pace: FleetConfig) -> Self {
         Self(Arc::new(Inner {
             pace,
             targets: Mutex::default(),
@@ -142,8 +142,8 @@
         lock(&self.0.outages).clone()
     }
 
-    /// Returns the speed and capacity of its engines.
-    pub(super) fn pace(&self) -> FleetPace {
+    /// Returns the speed and capacity of the fleet's engines.
+    pub(super) fn pace(&self) -> FleetConfig {
         self.0.pace
     }
 
@@ -163,7 +163,7 @@
     pub(super) fn events(&self, request: &str) -> u64 {
         let mut hasher = DefaultHasher::new();
         request.hash(&mut hasher);
-        let mean = self.0.pace.events;
+        let mean = self.0.pace.mean_events;
         mean / 2 + hasher.finish() % mean.max(1)
     }
 
@@ -175,14 +175,14 @@
             pool: pool.to_string(),
             address,
             at: Instant::now(),
-            ran: false,
+            has_run: false,
         });
         arrivals.len() - 1
     }
 
     /// Records that the target started to run a request.
     pub(super) fn record_start(&self, arrival: usize) {
-        lock(&self.0.arrivals)[arrival].ran = true;
+        lock(&self.0.arrivals)[arrival].has_run = true;
     }
 
     /// Checks whether a stream can use a path. Stages in `held` belong to the stream
@@ -206,7 +206,7 @@
         let count = |a: &SocketAddr| active.streams.get(a).copied().unwrap_or_default();
         let is_new = |p: &&PathStage| !held.contains(p);
         let mut new = path.iter().filter(is_new);
-        match new.find(|p| count(&p.address) >= self.0.pace.room) {
+        match new.find(|p| count(&p.address) >= self.0.pace.max_streams) {
             Some(full) => Err(PathError::Full(full.address)),
             None => Ok(()),
         }
@@ -255,7 +255,7 @@
 
 /// Guard of a running stream; dropping it releases the capacity of the path.
 pub(super) struct FleetStream {
-    fleet: Fleet,
+    fleet: FakeFleet,
     key: (SocketAddr, String),
 }
 
--- a/crates/deckwind-fakes/src/runner/mod.rs
+++ b/crates/deckwind-fakes/src/target_server/mod.rs
@@ -9,7 +9,7 @@
 
 use answers::serve;
 use anyhow::{Context, Result};
-pub use fleet::{Fleet, FleetArrival, FleetPace, Outage};
+pub use fleet::{FakeFleet, FleetArrival, FleetConfig, Outage};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -22,7 +22,7 @@
 
 /// The fault that a target injects.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum RunnerFault {
+pub enum FakeTargetFault {
     /// No fault.
     #[default]
     None,
@@ -35,23 +35,23 @@
     Fails,
     /// Answers with this status and a signature, but does not mark the request as not
     /// executed. The request is not recorded as run.
-    Answers(u16),
+    AnswersStatus(u16),
     /// Answers plain requests with a body of this many bytes.
-    Long(usize),
+    LongBody(usize),
     /// Writes the events of a stream as fast as they are read.
     Floods {
         /// Number of events.
         events: u64,
         /// Bytes of data in each event.
         bytes: usize,
-        /// Whether it continues at the usual pace afterwards, until the fault is cleared.
-        goes_on: bool,
+        /// Whether the target continues at the usual pace afterwards, until the fault is cleared.
+        continues: bool,
     },
     /// Runs requests and closes the connection in the middle of the answer; of a
     /// stream, before the head.
-    Cuts,
+    ClosesMidAnswer,
     /// Runs plain requests and does not answer for 600 s, then closes the connection.
-    Mute,
+    NeverAnswers,
     /// Answers plain requests with the ID of another request.
     OtherId,
     /// Answers plain requests without a signature.
@@ -59,14 +59,14 @@
     /// Answers plain requests without a content length and closes the connection.
     Unframed,
     /// Sends a second, unrequested answer after the answer to a plain request.
-    Extra,
+    SecondAnswer,
     /// Leaves every other order unanswered, and applies it only after the order that
     /// follows it.
-    OrdersLate,
+    DelaysOrders,
     /// Refuses orders with 503.
     RefusesOrders,
     /// Breaks a stream off in the middle of the event after this one.
-    CutsAfter(u64),
+    BreaksStreamAfter(u64),
     /// Stalls a stream after an event until the fault is cleared, and reports the
     /// stage that causes the stall.
     StallsAfter {
@@ -96,7 +96,7 @@
     /// Time of receipt.
     pub at: Instant,
     /// Rest period that the refusal asked for, if the request was refused with one.
-    pub rest: Option<Duration>,
+    pub rest_period: Option<Duration>,
     /// Whether the answer announces that the target leaves.
     pub leaves: bool,
     /// Limit that the answer states, in requests per second.
@@ -108,15 +108,15 @@
     id: String,
     /// Start of the incarnation, in Unix milliseconds.
     born: u64,
-    fault: RunnerFault,
-    seen: Vec<SeenRequest>,
+    fault: FakeTargetFault,
+    received_requests: Vec<SeenRequest>,
     /// Requests received by this incarnation.
     arrivals: Vec<Arrival>,
-    /// IDs of the requests that it started to run, one entry for each run.
-    ran: Vec<String>,
+    /// IDs of the requests that the target started to run, one entry for each run.
+    run_request_ids: Vec<String>,
     /// Stalled streams: request ID, and address of the stage that causes the stall.
     stalled: Vec<(String, SocketAddr)>,
-    /// Layers that it holds: first, and one past the last.
+    /// Layers that the target holds: first, and one past the last.
     layers: (u32, u32),
     /// Number of orders applied, which is its configuration revision.
     orders: u64,
@@ -130,14 +130,14 @@
     /// Body that replaces the true report.
     report_override: Option<String>,
     /// IDs of the requests whose flood of events was written completely.
-    written: Vec<String>,
+    completed_floods: Vec<String>,
     /// Number of orders to move a request to another path.
     path_changes: u32,
     /// Number of incarnations that crashed on a request.
-    ended_by_requests: u32,
+    crashes_by_request: u32,
     /// Value of `Retry-After` in each 503.
-    rest: Option<String>,
-    /// Whether all answers announce that it leaves.
+    retry_after: Option<String>,
+    /// Whether all answers announce that the target leaves.
     leaves: bool,
     /// Value of `Server-Limit` in all answers.
     limit: Option<String>,
@@ -146,40 +146,40 @@
     /// Time until which connections are refused. After a crash that a request caused,
     /// they are accepted and closed instead.
     refuses_until: Option<Instant>,
-    /// End of a pause, during which it accepts connections but neither reads nor writes.
+    /// End of a pause, during which the target accepts connections but neither reads nor writes.
     paused_until: Option<Instant>,
-    /// Kind of card that it announces.
+    /// Kind of accelerator card that the target announces.
     kind: Option<String>,
-    /// Fleet that it belongs to, and its pool in that fleet.
-    fleet: Option<(Fleet, String)>,
+    /// Fleet that the target belongs to, and its pool in that fleet.
+    fleet: Option<(FakeFleet, String)>,
 }
 
 impl State {
     /// Records a received request.
-    fn record_arrival(&mut self, request: &str, fault: &RunnerFault) {
-        let refuses = matches!(fault, RunnerFault::Refuses { .. });
-        let seconds = self.rest.as_ref().and_then(|r| r.parse().ok());
+    fn record_arrival(&mut self, request: &str, fault: &FakeTargetFault) {
+        let refuses = matches!(fault, FakeTargetFault::Refuses { .. });
+        let seconds = self.retry_after.as_ref().and_then(|r| r.parse().ok());
         self.arrivals.push(Arrival {
             request: request.to_string(),
             at: Instant::now(),
-            rest: seconds.filter(|_| refuses).map(Duration::from_secs_f64),
+            rest_period: seconds.filter(|_| refuses).map(Duration::from_secs_f64),
             leaves: self.leaves,
             limit: self.limit.as_ref().and_then(|l| l.parse().ok()),
         });
     }
 
-    /// Whether it has crashed and not restarted yet.
+    /// Whether the target has crashed and not restarted yet.
     fn is_crashed(&self) -> bool {
         self.down_until.is_some_and(|until| Instant::now() < until)
     }
 
-    /// Whether it is paused.
+    /// Whether the target is paused.
     fn is_paused(&self) -> bool {
         self.paused_until
             .is_some_and(|until| Instant::now() < until)
     }
 
-    /// Whether streams that pass through it are stalled.
+    /// Whether streams that pass through the target are stalled.
     fn is_down(&self) -> bool {
         self.is_crashed() || self.is_paused()
     }
@@ -197,8 +197,8 @@
 
 /// A running fake target. Clones share its state.
 #[derive(Clone)]
-pub struct FakeRunner {
-    /// Address that it listens on.
+pub struct FakeTargetServer {
+    /// Address that the target listens on.
     pub address: SocketAddr,
     state: Arc<Mutex<State>>,
     task: Arc<JoinHandle<()>>,
@@ -208,20 +208,20 @@
 }
 
 /// Path suffix of requests on which a target crashes shortly after it started to run
-/// them. The target restarts with the same ID after [`AWAY`].
+/// them. The target restarts with the same ID after [`CRASH_DOWNTIME`].
 pub const ENDS_ITS_TARGET: &str = "/ends-its-target";
 
 /// Downtime of a target that crashed on a request: it closes new connections at once
-/// and [`FakeRunner::listens`] returns `false`, so tests don't announce it.
-pub const AWAY: Duration = Duration::from_millis(400);
+/// and [`FakeTargetServer::is_reachable`] returns `false`, so tests don't announce it.
+pub const CRASH_DOWNTIME: Duration = Duration::from_millis(400);
 
 /// Number of events in a complete stream.
-pub const EVENTS: u64 = 12;
+pub const EVENTS_PER_STREAM: u64 = 12;
 
 /// Time between two events, and polling interval for a pause or stall to end.
 const EVENT_GAP: Duration = Duration::from_millis(15);
 
-impl FakeRunner {
+impl FakeTargetServer {
     /// Starts a target with this ID on a free port.
     ///
     /// # Errors
@@ -258,21 +258,21 @@
         })
     }
 
-    /// Adds it to a pool of a fleet; `kind` is the kind of its card if it is an engine.
-    pub fn join(&self, fleet: &Fleet, pool: &str, kind: Option<&str>) {
+    /// Adds the target to a pool of a fleet; `kind` is the kind of its card if it is an engine.
+    pub fn join(&self, fleet: &FakeFleet, pool: &str, kind: Option<&str>) {
         fleet.join(self.address, self.state.clone());
         let mut state = self.lock();
         state.fleet = Some((fleet.clone(), pool.to_string()));
         state.kind = kind.map(str::to_string);
     }
 
-    /// Pauses it: it accepts connections, but neither reads nor writes. Afterwards it
+    /// Pauses the target: it accepts connections, but neither reads nor writes. Afterwards it
     /// continues its running requests.
     pub fn pause(&self, length: Duration) {
         self.lock().paused_until = Some(Instant::now() + length);
     }
 
-    /// Crashes it: it refuses connections for `length` and restarts with the same ID.
+    /// Crashes the target: it refuses connections for `length` and restarts with the same ID.
     pub fn crash(&self, length: Duration) {
         start_incarnation(&self.state, &self.connection_epoch);
         let until = Instant::now() + length;
@@ -282,8 +282,8 @@
         record_outage(&state, self.address);
     }
 
-    /// Pauses it for `length`, then restarts it with the same ID.
-    pub fn fall_silent(&self, length: Duration) {
+    /// Pauses the target for `length`, then restarts it with the same ID.
+    pub fn pause_and_restart(&self, length: Duration) {
         let until = Instant::now() + length;
         self.pause(length);
         record_outage(&self.lock(), self.address);
@@ -294,78 +294,83 @@
         });
     }
 
-    /// Restarts it with the same ID. Running requests are aborted and its state is
+    /// Restarts the target with the same ID. Running requests are aborted and its state is
     /// reset, except for the records of seen and run requests and of crashes, its card
     /// and its fleet.
-    pub fn start_again(&self) {
+    pub fn restart(&self) {
         start_incarnation(&self.state, &self.connection_epoch);
     }
 
-    /// Returns how often it crashed on a request; see [`ENDS_ITS_TARGET`].
-    pub fn ended_by_requests(&self) -> u32 {
-        self.lock().ended_by_requests
+    /// Returns how often the target crashed on a request; see [`ENDS_ITS_TARGET`].
+    pub fn crashes_by_request(&self) -> u32 {
+        self.lock().crashes_by_request
     }
 
-    /// Returns the start of its incarnation, in Unix milliseconds.
+    /// Returns the start of the target's incarnation, in Unix milliseconds.
     pub fn born(&self) -> u64 {
         self.lock().born
     }
 
-    /// Sets the reported start of its incarnation, which may be wrong.
+    /// Sets the reported start of the target's incarnation, which may be wrong.
     pub fn set_born(&self, born: u64) {
         self.lock().born = born;
     }
 
-    /// Replaces the body of its reports until it restarts.
-    pub fn report_instead(&self, report: &str) {
+    /// Replaces the body of the target's reports until it restarts.
+    pub fn override_report(&self, report: &str) {
         self.lock().report_override = Some(report.to_string());
     }
 
-    /// Sets the layers that it holds, as an applied order would.
-    pub fn hold(&self, first: u32, last: u32) {
+    /// Sets the layers that the target holds, as an applied order would.
+    pub fn set_layers(&self, first: u32, last: u32) {
         self.lock().layers = (first, last);
     }
 
     /// Sets or clears the injected fault.
-    pub fn set_fault(&self, fault: RunnerFault) {
+    pub fn set_fault(&self, fault: FakeTargetFault) {
         self.lock().fault = fault;
     }
 
     /// Sets the `Retry-After` value of each 503: seconds, a date, or an invalid value.
     /// `None` omits the header.
-    pub fn ask_rest(&self, rest: Option<&str>) {
-        self.lock().rest = rest.map(str::to_string);
+    pub fn set_retry_after(&self, retry_after: Option<&str>) {
+        self.lock().retry_after = retry_after.map(str::to_string);
     }
 
-    /// Sets whether all answers announce that it leaves.
-    pub fn say_it_leaves(&self, leaves: bool) {
+    /// Sets whether all answers announce that the target leaves.
+    pub fn set_leaving(&self, leaves: bool) {
         self.lock().leaves = leaves;
     }
 
     /// Sets the `Server-Limit` value of all answers: requests per second from all VMs
     /// together. `None` omits the header.
-    pub fn name_limit(&self, limit: Option<&str>) {
+    pub fn set_server_limit(&self, limit: Option<&str>) {
         self.lock().limit = limit.map(str::to_string);
     }
 
     /// Returns the received requests, without report requests and orders.
-    pub fn seen(&self) -> Vec<SeenRequest> {
-        self.lock().seen.clone()
+    pub fn received_requests(&self) -> Vec<SeenRequest> {
+        self.lock().received_requests.clone()
     }
 
-    /// Returns the requests that its current incarnation received, in order.
+    /// Returns the requests that the target's current incarnation received, in order.
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.lock().arrivals.clone()
     }
 
-    /// Returns the IDs of the requests that it started to run, one entry for each run.
-    pub fn ran(&self) -> Vec<String> {
-        self.lock().ran.clone()
+    /// Returns the IDs of the requests that the target started to run, one entry for each
+    /// run.
+    pub fn run_request_ids(&self) -> Vec<String> {
+        self.lock().run_request_ids.clone()
     }
 
-    /// Returns how often it started to run a request.
+    /// Returns how often the target started to run a request.
     pub fn runs(&self, request: &str) -> usize {
-        self.lock().ran.iter().filter(|id| *id == request).count()
+        self.lock()
+            .run_request_ids
+            .iter()
+            .filter(|id| *id == request)
+            .count()
     }
 
     /// Closes all connections in the middle of their answers, without a restart.
@@ -384,8 +389,8 @@
     }
 
     /// Returns the IDs of the requests whose flood of events was written completely.
-    pub fn written(&self) -> Vec<String> {
-        self.lock().written.clone()
+    pub fn completed_floods(&self) -> Vec<String> {
+        self.lock().completed_floods.clone()
     }
 
     /// Returns the number of orders to move a request to another path.
@@ -393,17 +398,17 @@
         self.lock().path_changes
     }
 
-    /// Returns the number of orders that it applied.
+    /// Returns the number of orders that the target applied.
     pub fn orders(&self) -> u64 {
         self.lock().orders
     }
 
-    /// Returns the number of orders that it refused with 503.
+    /// Returns the number of orders that the target refused with 503.
     pub fn orders_refused(&self) -> u32 {
         self.lock().orders_refused
     }
 
-    /// Returns the layers that it holds: first, and one past the last.
+    /// Returns the layers that the target holds: first, and one past the last.
     pub fn layers(&self) -> (u32, u32) {
         self.lock().layers
     }
@@ -413,12 +418,12 @@
         self.task.abort();
     }
 
-    /// Whether it listens and is neither down nor paused.
-    pub fn listens(&self) -> bool {
+    /// Whether the target listens and is neither down nor paused.
+    pub fn is_reachable(&self) -> bool {
         !self.task.is_finished() && !self.lock().is_down()
     }
 
-    /// Returns its announcement in the published protocol.
+    /// Returns the target's announcement in the published protocol.
     pub fn announcement(&self, pool: &str, zone: &str, state: &str, number: u64) -> Value {
         let (from, to) = self.layers();
         json!({
@@ -446,9 +451,9 @@
     *state = State {
         id: previous.id,
         born: unix_ms().max(previous.born + 1),
-        seen: previous.seen,
-        ran: previous.ran,
-        ended_by_requests: previous.ended_by_requests,
+        received_requests: previous.received_requests,
+        run_request_ids: previous.run_request_ids,
+        crashes_by_request: previous.crashes_by_request,
         kind: previous.kind,
         fleet: previous.fleet,
         ..State::default()
@@ -468,7 +473,7 @@
 
 /// Accepts connections until the task is aborted.
 ///
-/// After [`FakeRunner::crash`] the target does not listen, so connections are refused.
+/// After [`FakeTargetServer::crash`] the target does not listen, so connections are refused.
 /// After a crash that a request caused, connections are accepted and closed.
 async fn accept_all(
     reserved_port: TcpSocket,
--- a/crates/deckwind-spec/examples/explore.rs
+++ b/crates/deckwind-spec/examples/explore.rs
@@ -4,8 +4,8 @@
 
 use deckwind_spec::{
     ClaimRules, ClaimSpec, LimitBounds, LimitRules, LimitSpec, LogBounds, LogRules, LogSpec,
-    RepeatBounds, RepeatRules, RepeatSpec, Spec, claim_cases, explore, limit_cases, log_cases,
-    repeat_cases,
+    RetryBounds, RetryRules, RetrySpec, Spec, claim_cases, explore, limit_cases, log_cases,
+    retry_cases,
 };
 use std::time::Instant;
 
@@ -31,21 +31,27 @@
         );
     }
     for case in log_cases() {
-        let name = format!("log without {}, {:?}", case.without, case.spec.bounds);
+        let name = format!("log without {}, {:?}", case.disabled_rule, case.spec.bounds);
         explore_and_print(&name, &case.spec);
     }
     let spec = ClaimSpec::with(ClaimRules::ALL);
     explore_and_print(&format!("claims, all rules, {spec:?}"), &spec);
     for case in claim_cases() {
-        explore_and_print(&format!("claims without {}", case.without), &case.spec);
+        explore_and_print(
+            &format!("claims without {}", case.disabled_rule),
+            &case.spec,
+        );
     }
-    for bounds in RepeatBounds::LARGE {
-        let rules = RepeatRules::ALL;
+    for bounds in RetryBounds::LARGE {
+        let rules = RetryRules::ALL;
         let name = format!("retries, all rules, {bounds:?}");
-        explore_and_print(&name, &RepeatSpec { rules, bounds });
+        explore_and_print(&name, &RetrySpec { rules, bounds });
     }
-    for case in repeat_cases() {
-        let name = format!("retries without {}, {:?}", case.without, case.spec.bounds);
+    for case in retry_cases() {
+        let name = format!(
+            "retries without {}, {:?}",
+            case.disabled_rule, case.spec.bounds
+        );
         explore_and_print(&name, &case.spec);
     }
     for bounds in LimitBounds::LARGE {
@@ -54,7 +60,10 @@
         explore_and_print(&name, &LimitSpec { rules, bounds });
     }
     for case in limit_cases() {
-        let name = format!("limits without {}, {:?}", case.without, case.spec.bounds);
+        let name = format!(
+            "limits without {}, {:?}",
+            case.disabled_rule, case.spec.bounds
+        );
         explore_and_print(&name, &case.spec);
     }
 }
--- a/crates/deckwind-testkit/examples/placement_room.rs
+++ b/crates/deckwind-testkit/examples/placement_capacity.rs
@@ -3,9 +3,9 @@
 //! empty 4.5 s later, and while engines are replaced one after another. Runs in virtual
 //! time with eight seeds and takes seconds.
 //!
-//! `cargo run --release -p deckwind-testkit --example placement_room`
+//! `cargo run --release -p deckwind-testkit --example placement_capacity`
 
-use deckwind_testkit::placing::{MIXES, Placing, Room};
+use deckwind_testkit::placement_simulation::{FLEETS, PlacementSimulation, TokenCapacity};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -16,7 +16,7 @@
 const START_TIME: Duration = Duration::from_secs(60);
 
 /// Returns the mean of a value over all measurements, in thousands.
-fn mean(measurements: &[Room], value: impl Fn(&Room) -> f64) -> f64 {
+fn mean(measurements: &[TokenCapacity], value: impl Fn(&TokenCapacity) -> f64) -> f64 {
     measurements.iter().map(value).sum::<f64>() / measurements.len() as f64 / 1e3
 }
 
@@ -24,31 +24,31 @@
     println!(
         "thousands of tokens at the layer with the least capacity, mean of all layers, empty engines, orders"
     );
-    for (name, mix) in MIXES {
-        let mut start = Placing::new(mix);
+    for (name, fleet) in FLEETS {
+        let mut start = PlacementSimulation::new(fleet);
         start.run_for(START_TIME);
-        let capacity = start.room();
+        let capacity = start.capacity();
         println!(
             "{name}: start {:>5.0} {:>5.0} {:>3} {:>4}",
             capacity.narrowest / 1e3,
             capacity.mean / 1e3,
-            capacity.empty,
+            capacity.empty_engines,
             start.orders
         );
         let mut measurements = Vec::new();
         let mut orders = 0;
         for seed in 1..=8 {
-            let mut placing = Placing::new(mix);
-            placing.run_for(START_TIME);
-            let orders_before = placing.orders;
-            let mut ids = placing.ready();
+            let mut simulation = PlacementSimulation::new(fleet);
+            simulation.run_for(START_TIME);
+            let orders_before = simulation.orders;
+            let mut ids = simulation.ready();
             ids.shuffle(&mut StdRng::seed_from_u64(seed));
             let lost: BTreeSet<String> = ids.iter().take(ids.len() / 6).cloned().collect();
-            placing.lose(&lost);
-            measurements.extend(placing.run_for(Duration::from_millis(4_500)));
-            placing.replace(&lost);
-            measurements.extend(placing.run_for(Duration::from_millis(7_500)));
-            orders += placing.orders - orders_before;
+            simulation.crash_engines(&lost);
+            measurements.extend(simulation.run_for(Duration::from_millis(4_500)));
+            simulation.replace(&lost);
+            measurements.extend(simulation.run_for(Duration::from_millis(7_500)));
+            orders += simulation.orders - orders_before;
         }
         let worst = measurements
             .iter()
@@ -59,13 +59,15 @@
             "    losses: {:>5.0} {:>5.0} {:>5.1} {:>4}, worst {worst:>4.0}",
             mean(&measurements, |r| r.narrowest),
             mean(&measurements, |r| r.mean),
-            mean(&measurements, |r| r.empty as f64) * 1e3,
+            mean(&measurements, |r| r.empty_engines as f64) * 1e3,
             orders / 8
         );
-        let mut placing = Placing::new(mix);
-        placing.run_for(START_TIME);
-        let measurements =
-            placing.replace_in_turn(placing.ready().len() * 3 / 10, Duration::from_millis(500));
+        let mut simulation = PlacementSimulation::new(fleet);
+        simulation.run_for(START_TIME);
+        let measurements = simulation.replace_one_by_one(
+            simulation.ready().len() * 3 / 10,
+            Duration::from_millis(500),
+        );
         println!(
             "    replaced one by one: {:>5.0} {:>5.0}",
             mean(&measurements, |r| r.narrowest),
--- a/crates/deckwind-testkit/src/at_size/size.rs
+++ b/crates/deckwind-testkit/src/at_size/size.rs
@@ -1,6 +1,6 @@
 //! Sizes of deployments and the release that they run.
 
-use deckwind_fakes::{FleetPace, HOST};
+use deckwind_fakes::{FleetConfig, HOST};
 use serde_json::{Value, json};
 use std::time::Duration;
 
@@ -49,19 +49,19 @@
     pub callers: usize,
     /// Retry budget of a pool: share of its requests that may be retried, and number of
     /// retries beyond that share.
-    pub repeats: (f64, u32),
+    pub retry_budget: (f64, u32),
     /// Window of the retry budget.
     pub window: Duration,
     /// Maximum number of targets that may run one request.
     pub attempts: u32,
-    /// How engines run streams.
-    pub pace: FleetPace,
+    /// Speed and capacity of the engines.
+    pub pace: FleetConfig,
 }
 
 impl Size {
     /// The size of a large deployment: 59 routers, 5 replicas, 93 engines with three
     /// kinds of accelerators, 3 plain targets, 296 requests per second.
-    pub fn of_hundreds() -> Self {
+    pub fn large() -> Self {
         let group = |kind, memory_mb, step_factor, read_factor, engines| EngineGroup {
             kind,
             memory_mb,
@@ -81,22 +81,22 @@
             streams_per_s: 264.0,
             plain_per_s: (22.7, 9.1),
             callers: 227,
-            repeats: (0.2, 302),
+            retry_budget: (0.2, 302),
             window: Duration::from_secs(10),
             attempts: 2,
-            pace: FleetPace {
-                events: 45,
-                gap: Duration::from_millis(90),
-                stall: Duration::from_millis(2_500),
-                room: 160,
+            pace: FleetConfig {
+                mean_events: 45,
+                event_interval: Duration::from_millis(90),
+                stall_timeout: Duration::from_millis(2_500),
+                max_streams: 160,
             },
         }
     }
 
     /// A tenth of that with short paths, for short runs: several paths remain while some
     /// engines are down, and the retry budget suffices for the retries that this costs.
-    pub fn of_tens() -> Self {
-        let mut size = Self::of_hundreds();
+    pub fn small() -> Self {
+        let mut size = Self::large();
         size.control = 3;
         size.routers = 6;
         size.callers = 24;
--- a/crates/deckwind-testkit/src/lab.rs
+++ b/crates/deckwind-testkit/src/control_simulation.rs
@@ -2,10 +2,10 @@
 //! disks, over a network that loses, duplicates and delays messages and can be
 //! partitioned.
 //!
-//! A seed reproduces its run. The invariants of `lab_checks` are checked during the run.
+//! A seed reproduces its run. The invariants of `simulation_checks` are checked during the run.
 
-use crate::lab_net::{InFlight, Requester};
-use crate::lab_routers::LabRouter;
+use crate::simulated_network::{InFlight, Requester};
+use crate::simulated_routers::SimulatedRouter;
 use deckwind_core::control::{ControlEvent, ControlLimits, OperatorReply, OperatorRequest};
 use deckwind_core::membership::{InForce, LeaseTiming};
 use deckwind_core::replication::{Entry, Index, ReplicaConfig, ReplicaId, Term};
@@ -26,7 +26,7 @@
     /// Rate of lost messages.
     pub lost: u32,
     /// Rate of duplicated messages.
-    pub doubled: u32,
+    pub duplicated: u32,
     /// Rate of orders whose confirmation is lost, so that the leader repeats them.
     pub orders_unanswered: u32,
     /// Maximum delay of a message.
@@ -37,7 +37,7 @@
     /// A network without faults.
     pub const NONE: NetFaults = NetFaults {
         lost: 0,
-        doubled: 0,
+        duplicated: 0,
         orders_unanswered: 0,
         max_delay: Duration::from_millis(1),
     };
@@ -45,14 +45,14 @@
     /// A network with many faults.
     pub const BAD: NetFaults = NetFaults {
         lost: 100,
-        doubled: 50,
+        duplicated: 50,
         orders_unanswered: 900,
         max_delay: Duration::from_millis(60),
     };
 }
 
 /// A control VM of the simulation.
-pub(crate) struct LabNode {
+pub(crate) struct SimulatedNode {
     disk: MemoryDisk,
     pub(crate) node: Option<ControlNode>,
     frozen: bool,
@@ -63,7 +63,7 @@
     drift_per_mille: i64,
 }
 
-impl LabNode {
+impl SimulatedNode {
     fn describe(&self) -> String {
         let Some(node) = &self.node else {
             return "down".to_string();
@@ -83,13 +83,13 @@
 }
 
 /// Control replicas, routers and the network between them.
-pub struct Lab {
+pub struct ControlSimulation {
     pub(crate) now: Instant,
     pub(crate) rng: StdRng,
     pub(crate) faults: NetFaults,
-    pub(crate) nodes: Vec<LabNode>,
+    pub(crate) nodes: Vec<SimulatedNode>,
     /// The routers.
-    pub routers: Vec<LabRouter>,
+    pub routers: Vec<SimulatedRouter>,
     pub(crate) partitions: BTreeSet<(u32, u32)>,
     pub(crate) in_flight: BTreeMap<(Instant, u64), InFlight>,
     pub(crate) sequence: u64,
@@ -98,7 +98,7 @@
     pub(crate) leaders: BTreeMap<Term, ReplicaId>,
     pub(crate) committed: BTreeMap<Index, Entry>,
     pub(crate) accepted: Revision,
-    pub(crate) ordered: BTreeMap<TargetName, Term>,
+    pub(crate) newest_terms: BTreeMap<TargetName, Term>,
     /// Replies to operators and targets, by request or instance id.
     pub replies: BTreeMap<String, Vec<OperatorReply>>,
     limits: ControlLimits,
@@ -108,23 +108,23 @@
 /// Step of virtual time.
 const STEP: Duration = Duration::from_millis(5);
 
-impl Lab {
+impl ControlSimulation {
     /// Creates a simulation with this number of replicas and routers, and the default
     /// interval of announcements.
     pub fn new(replicas: usize, routers: usize, seed: u64, faults: NetFaults) -> Self {
         let period = ControlLimits::default().announce_every;
-        Self::with_period(replicas, routers, seed, faults, period)
+        Self::with_announce_interval(replicas, routers, seed, faults, period)
     }
 
     /// Creates a simulation with targets that announce themselves at this interval.
-    pub fn with_period(
+    pub fn with_announce_interval(
         replicas: usize,
         routers: usize,
         seed: u64,
         faults: NetFaults,
         announce_every: Duration,
     ) -> Self {
-        let mut lab = Self {
+        let mut sim = Self {
             now: Instant::from_millis(1_000),
             rng: StdRng::seed_from_u64(seed),
             faults,
@@ -138,7 +138,7 @@
             leaders: BTreeMap::new(),
             committed: BTreeMap::new(),
             accepted: Revision::ZERO,
-            ordered: BTreeMap::new(),
+            newest_terms: BTreeMap::new(),
             replies: BTreeMap::new(),
             limits: ControlLimits {
                 compact_after: 24,
@@ -149,8 +149,8 @@
             lease: LeaseTiming::default(),
         };
         for _ in 0..replicas {
-            let drift_per_mille = lab.rng.random_range(-10..=10);
-            lab.nodes.push(LabNode {
+            let drift_per_mille = sim.rng.random_range(-10..=10);
+            sim.nodes.push(SimulatedNode {
                 disk: MemoryDisk::default(),
                 node: None,
                 frozen: false,
@@ -160,12 +160,13 @@
             });
         }
         for slot in 0..replicas {
-            lab.start(slot);
+            sim.start(slot);
         }
         for i in 0..routers {
-            lab.routers.push(LabRouter::new(i, replicas, lab.lease));
+            sim.routers
+                .push(SimulatedRouter::new(i, replicas, sim.lease));
         }
-        lab
+        sim
     }
 
     /// The current virtual time.
@@ -211,10 +212,10 @@
         let seed = self.rng.random();
         let cfg = ReplicaConfig::new(opened.id, 0..self.nodes.len() as u32, seed);
         let node = ControlNode::new(cfg, self.lease, self.limits, store, opened, now);
-        let lab_node = &mut self.nodes[slot];
-        lab_node.node = Some(node.expect("the snapshot can be read"));
-        lab_node.checked_up_to = Index(0);
-        lab_node.inbox.clear();
+        let node_state = &mut self.nodes[slot];
+        node_state.node = Some(node.expect("the snapshot can be read"));
+        node_state.checked_up_to = Index(0);
+        node_state.inbox.clear();
     }
 
     /// Simulates a power loss: data that wasn't synced is lost, except for `torn` bytes.
@@ -236,11 +237,11 @@
     }
 
     /// Partitions a replica from the others, or removes the partition.
-    pub fn cut_off(&mut self, slot: usize, is_cut_off: bool) {
+    pub fn set_partitioned(&mut self, slot: usize, is_partitioned: bool) {
         for other in 0..self.nodes.len() as u32 {
             let slot = slot as u32;
             for pair in [(slot, other), (other, slot)] {
-                if is_cut_off {
+                if is_partitioned {
                     self.partitions.insert(pair);
                 } else {
                     self.partitions.remove(&pair);
@@ -273,7 +274,7 @@
     }
 
     /// Runs until a replica may answer; returns its slot.
-    pub fn run_until_led(&mut self) -> usize {
+    pub fn run_until_leader(&mut self) -> usize {
         const MAX_STEPS: usize = 8_000;
         for _ in 0..MAX_STEPS {
             self.step();
@@ -281,7 +282,7 @@
                 return slot;
             }
         }
-        let states: Vec<String> = self.nodes.iter().map(LabNode::describe).collect();
+        let states: Vec<String> = self.nodes.iter().map(SimulatedNode::describe).collect();
         panic!("no replica became leader: {states:#?}");
     }
 
@@ -314,11 +315,11 @@
     /// Announces a target at a replica; replies are recorded under the target's id.
     pub fn announce(&mut self, slot: usize, instance: Instance) {
         let id = instance.id.clone();
-        self.ask(slot, &id, OperatorRequest::Announce(Box::new(instance)));
+        self.request(slot, &id, OperatorRequest::Announce(Box::new(instance)));
     }
 
     /// Sends an operator's request to a replica; replies are recorded under `id`.
-    pub fn ask(&mut self, slot: usize, id: &str, request: OperatorRequest) {
+    pub fn request(&mut self, slot: usize, id: &str, request: OperatorRequest) {
         let token = self.next_token;
         self.next_token += 1;
         self.pending
@@ -342,7 +343,7 @@
     }
 
     /// Adds an event to a replica's inbox.
-    pub fn happens(&mut self, slot: usize, event: ControlEvent) {
+    pub fn push_event(&mut self, slot: usize, event: ControlEvent) {
         self.nodes[slot].inbox.push(event);
     }
 
@@ -362,7 +363,7 @@
         const MAX_ATTEMPTS: usize = 10;
         const STEPS_PER_ATTEMPT: usize = 2_500;
         for _ in 0..MAX_ATTEMPTS {
-            let slot = self.run_until_led();
+            let slot = self.run_until_leader();
             let before = self.replies.get(id).map_or(0, Vec::len);
             self.apply(slot, id, expected, change.clone());
             for _ in 0..STEPS_PER_ATTEMPT {
@@ -392,18 +393,18 @@
 
     fn step_node(&mut self, slot: usize) {
         let now = self.local_time(slot);
-        let lab_node = &mut self.nodes[slot];
-        let Some(node) = &mut lab_node.node else {
-            lab_node.inbox.clear();
+        let node_state = &mut self.nodes[slot];
+        let Some(node) = &mut node_state.node else {
+            node_state.inbox.clear();
             return;
         };
-        if lab_node.frozen {
+        if node_state.frozen {
             return;
         }
-        let batch = std::mem::take(&mut lab_node.inbox);
+        let batch = std::mem::take(&mut node_state.inbox);
         let mut effects = Vec::new();
         if node.process_batch(now, batch, &mut effects).is_err() {
-            lab_node.node = None;
+            node_state.node = None;
         }
         for effect in effects {
             self.apply_effect(slot, effect);
@@ -411,8 +412,8 @@
     }
 
     /// Newest leader term of the orders that each target has received.
-    pub fn ordered(&self) -> &BTreeMap<TargetName, Term> {
-        &self.ordered
+    pub fn newest_terms(&self) -> &BTreeMap<TargetName, Term> {
+        &self.newest_terms
     }
 
     pub(crate) fn record_reply(&mut self, id: &str, reply: OperatorReply) {
--- a/crates/deckwind-testkit/src/layout.rs
+++ b/crates/deckwind-testkit/src/layout.rs
@@ -12,15 +12,15 @@
 /// Addresses of one router.
 #[derive(Clone, Copy, Debug)]
 pub struct RouterAddresses {
-    /// For callers of templates.
+    /// Address for callers of templates.
     pub callers: SocketAddr,
-    /// For peers, over UDP.
+    /// Address for peers, over UDP.
     pub peers: SocketAddr,
-    /// For operators.
+    /// Address for operators.
     pub admin: SocketAddr,
-    /// For callers of published routes.
+    /// Address for callers of published routes.
     pub routes: SocketAddr,
-    /// For readiness checks of load balancers.
+    /// Address for readiness checks of load balancers.
     pub ready: SocketAddr,
 }
 
@@ -42,7 +42,7 @@
     pub platform: Option<SocketAddr>,
     /// Retry budget of the routers: share of the requests that may be retried, and number
     /// of retries beyond that share.
-    pub repeats: (f64, u32),
+    pub retry_budget: (f64, u32),
     /// Memory of a router's VM in MB.
     pub memory_mb: Option<f64>,
     /// Data centres that VMs are assigned to in turn.
@@ -51,7 +51,7 @@
     pub lease: Option<&'static str>,
 }
 
-/// Ports chosen by the OS and reserved while this value lives.
+/// Ports chosen by the OS and reserved until this value is dropped.
 ///
 /// A TCP port stays bound here without listening. A daemon that sets `SO_REUSEADDR` can
 /// listen on it, and the OS gives it to no other process. A UDP port can't be shared like
@@ -120,7 +120,7 @@
             routers: router_addresses,
             // A router that has just started can't use the retries beyond the share, so
             // the share alone must allow the retries of a short test.
-            repeats: (8.0, 100),
+            retry_budget: (8.0, 100),
             platform: None,
             memory_mb: None,
             data_centres: vec!["recife-a"],
@@ -194,7 +194,7 @@
 
     /// Writes the settings of the first control replica, with seeds in place of a list of
     /// control VMs and without a token for operators.
-    pub fn open_control_settings(&self) -> Result<PathBuf> {
+    pub fn control_without_token_settings(&self) -> Result<PathBuf> {
         let address = self.control[0];
         let settings = serde_json::json!({
             "vm": "open",
@@ -226,7 +226,7 @@
             "routes": addresses.routes,
             "ready": addresses.ready,
             "accelerators": { "fake": "50us" },
-            "repeats": { "share": self.repeats.0, "beyond": self.repeats.1, "window": "10s" },
+            "repeats": { "share": self.retry_budget.0, "beyond": self.retry_budget.1, "window": "10s" },
         });
         self.set_lease(&mut settings["router"]);
         if let Some(memory) = self.memory_mb {
--- a/crates/deckwind-testkit/src/placing.rs
+++ b/crates/deckwind-testkit/src/placement_simulation.rs
@@ -54,10 +54,10 @@
 }
 
 /// Number of engines of each kind in each data centre, in the order of [`KINDS`].
-pub type Mix = [[usize; 5]];
+pub type Fleet = [[usize; 5]];
 
 /// Fleets over three data centres, with their names.
-pub const MIXES: [(&str, &Mix); 4] = [
+pub const FLEETS: [(&str, &Fleet); 4] = [
     (
         "93 engines, large small slow",
         &[[4, 0, 10, 11, 0], [3, 0, 14, 16, 0], [2, 0, 24, 9, 0]],
@@ -78,18 +78,18 @@
 
 /// Token capacity of the engines.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Room {
+pub struct TokenCapacity {
     /// Capacity at the narrowest layer of each data centre, summed over the data centres.
     pub narrowest: f64,
     /// Mean capacity over the layers of each data centre, summed over the data centres.
     pub mean: f64,
     /// Number of engines that hold no layers.
-    pub empty: usize,
+    pub empty_engines: usize,
 }
 
 /// Engines and the leader's placement of layers on them.
 #[derive(Clone)]
-pub struct Placing {
+pub struct PlacementSimulation {
     manager: PlacementManager,
     machine: StateMachine,
     release: Release,
@@ -109,9 +109,9 @@
     }
 }
 
-impl Placing {
+impl PlacementSimulation {
     /// Creates engines without layers that have just announced themselves.
-    pub fn new(mix: &Mix) -> Self {
+    pub fn new(fleet: &Fleet) -> Self {
         let pool = Pool {
             name: POOL.to_string(),
             max_connections: 1_000,
@@ -122,7 +122,7 @@
             pools: vec![pool],
             ..Release::default()
         };
-        let mut placing = Self {
+        let mut simulation = Self {
             manager: PlacementManager::default(),
             machine: StateMachine::default(),
             release,
@@ -131,12 +131,12 @@
             orders: 0,
             incarnations: 0,
         };
-        for (dc, counts) in mix.iter().enumerate() {
+        for (dc, counts) in fleet.iter().enumerate() {
             for (kind, count) in counts.iter().enumerate() {
-                (0..*count).for_each(|_| placing.add_engine(dc, kind));
+                (0..*count).for_each(|_| simulation.add_engine(dc, kind));
             }
         }
-        placing
+        simulation
     }
 
     fn add_engine(&mut self, dc: usize, kind: usize) {
@@ -179,7 +179,7 @@
     }
 
     /// Simulates the crash of engines; the leader is informed at once.
-    pub fn lose(&mut self, ids: &BTreeSet<String>) {
+    pub fn crash_engines(&mut self, ids: &BTreeSet<String>) {
         self.loading.retain(|(_, id), _| !ids.contains(id));
         let left = ids
             .iter()
@@ -202,13 +202,13 @@
 
     /// Replaces this number of engines, spread evenly over all, one after the other.
     /// Returns the capacity after each run of the planner.
-    pub fn replace_in_turn(&mut self, count: usize, gap: Duration) -> Vec<Room> {
+    pub fn replace_one_by_one(&mut self, count: usize, gap: Duration) -> Vec<TokenCapacity> {
         let all = self.ready();
         let stride = all.len().div_ceil(count.max(1)).max(1);
         let mut capacities = Vec::new();
         for id in all.iter().step_by(stride) {
             let lost = BTreeSet::from([id.clone()]);
-            self.lose(&lost);
+            self.crash_engines(&lost);
             capacities.extend(self.run_for(gap / 2));
             self.replace(&lost);
             capacities.extend(self.run_for(gap / 2));
@@ -217,14 +217,14 @@
     }
 
     /// Advances the time; returns the capacity after each run of the planner.
-    pub fn run_for(&mut self, time: Duration) -> Vec<Room> {
+    pub fn run_for(&mut self, time: Duration) -> Vec<TokenCapacity> {
         let end = self.now + time;
         let mut capacities = Vec::new();
         while self.now < end {
             self.now = self.now + PLANNING_INTERVAL;
             self.complete_orders();
             self.run_planner();
-            capacities.push(self.room());
+            capacities.push(self.capacity());
         }
         capacities
     }
@@ -266,7 +266,7 @@
     /// tokens; an engine's token capacity is the same for each of the layers that it
     /// holds. Paths across data centres and chains with unequal capacities aren't
     /// counted.
-    pub fn most_room(&self) -> f64 {
+    pub fn max_capacity(&self) -> f64 {
         let mut by_data_centre: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
         let ready = self.instances().iter();
         for i in ready.filter(|i| i.state == InstanceState::Ready) {
@@ -285,16 +285,16 @@
     }
 
     /// The current token capacity.
-    pub fn room(&self) -> Room {
+    pub fn capacity(&self) -> TokenCapacity {
         let mut by_data_centre: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
-        let mut room = Room::default();
+        let mut capacity = TokenCapacity::default();
         let ready = self.instances().iter();
         for i in ready.filter(|i| i.state == InstanceState::Ready) {
             let layers = by_data_centre
                 .entry(i.data_centre.as_str())
                 .or_insert_with(|| vec![0.0; model().layers as usize]);
             if i.layers.is_empty() {
-                room.empty += usize::from(i.in_memory == 0);
+                capacity.empty_engines += usize::from(i.in_memory == 0);
                 continue;
             }
             let kind = KINDS.iter().find(|k| Some(k.0) == i.accelerator.as_deref());
@@ -305,10 +305,10 @@
             }
         }
         for layers in by_data_centre.values() {
-            room.narrowest += layers.iter().copied().fold(f64::INFINITY, f64::min);
-            room.mean += layers.iter().sum::<f64>() / layers.len() as f64;
+            capacity.narrowest += layers.iter().copied().fold(f64::INFINITY, f64::min);
+            capacity.mean += layers.iter().sum::<f64>() / layers.len() as f64;
         }
-        room
+        capacity
     }
 }
 
--- a/crates/deckwind-testkit/src/lab_net.rs
+++ b/crates/deckwind-testkit/src/simulated_network.rs
@@ -1,7 +1,7 @@
 //! The simulated network: messages in flight between replicas, routers and targets, and
 //! the effects that replicas request.
 
-use crate::lab::Lab;
+use crate::control_simulation::ControlSimulation;
 use deckwind_core::control::{
     AnnouncementReport, ControlEvent, ControlRequest, OrderBatch, RelayedReplies, RelayedRequest,
 };
@@ -25,18 +25,18 @@
 /// A message in flight.
 pub(crate) enum InFlight {
     Message(Message),
-    /// To the replica in this slot.
+    /// Announcement report to the replica in this slot.
     Heard(u32, AnnouncementReport),
-    /// From the replica in the first slot to the one in the second.
+    /// Forwarded requests from the replica in the first slot to the one in the second.
     Relayed(u32, u32, Vec<RelayedRequest>),
-    /// To the replica in this slot.
+    /// Answers to forwarded requests, to the replica in this slot.
     RelayedReplies(u32, RelayedReplies),
     Orders(usize, OrderBatch),
     Request(u32, u64, ControlRequest),
     Reply(usize, ControlRequest, Instant, ControlReply),
 }
 
-impl Lab {
+impl ControlSimulation {
     pub(crate) fn deliver(&mut self) {
         while let Some(((at, _), _)) = self.in_flight.first_key_value() {
             if *at > self.now {
@@ -140,7 +140,10 @@
     fn deliver_orders(&mut self, slot: usize, batch: OrderBatch) {
         for order in &batch.orders {
             let term = order.fence.term;
-            let newest = self.ordered.entry(batch.target.clone()).or_insert(term);
+            let newest = self
+                .newest_terms
+                .entry(batch.target.clone())
+                .or_insert(term);
             assert!(
                 term >= *newest,
                 "{} got an order of {term:?} after {newest:?}",
@@ -161,7 +164,7 @@
         }
         let micros = self.faults.max_delay.as_micros() as u64;
         let delay = Duration::from_micros(self.rng.random_range(0..=micros));
-        if self.rng.random_range(0..1_000) < self.faults.doubled
+        if self.rng.random_range(0..1_000) < self.faults.duplicated
             && let InFlight::Message(m) = &in_flight
         {
             let duplicate = InFlight::Message(m.clone());
@@ -181,7 +184,7 @@
             let Some(request) = request else {
                 continue;
             };
-            let slot = self.routers[i].choose(self.now);
+            let slot = self.routers[i].choose_replica(self.now);
             let token = self.next_token;
             self.next_token += 1;
             let requester = Requester::Router(i, Box::new(request.clone()), self.now);
--- a/crates/deckwind-testkit/src/lab_routers.rs
+++ b/crates/deckwind-testkit/src/simulated_routers.rs
@@ -27,7 +27,7 @@
 }
 
 /// A simulated router.
-pub struct LabRouter {
+pub struct SimulatedRouter {
     name: VmName,
     boot: u64,
     lease: RouterLeaseState,
@@ -39,16 +39,16 @@
     choice: ReplicaChoice,
     /// Slot of the replica that the last request went to.
     last_slot: u32,
-    /// Keys of the requests that it ran, with one entry per run.
-    pub ran: Vec<String>,
+    /// Keys of the router's requests that were run, with one entry per run.
+    pub executed_keys: Vec<String>,
     timing: LeaseTiming,
     budgets: Option<RetryBudgets>,
     /// Time of the last report that retries run short.
     last_short_report: Option<Instant>,
-    /// Number of retries that its streams still need.
+    /// Number of retries that the router's streams still need.
     retries_wanted: u64,
     /// Times of the retries, over all restarts of the router.
-    pub repeated: Vec<Instant>,
+    pub retry_times: Vec<Instant>,
 }
 
 /// Time without an answer after which a request is sent again.
@@ -78,7 +78,7 @@
 /// Number of keys that all routers draw from.
 const KEYS: u32 = 40;
 
-impl LabRouter {
+impl SimulatedRouter {
     /// Creates the router with number `i` of a cluster with this number of replicas.
     pub fn new(i: usize, replicas: usize, timing: LeaseTiming) -> Self {
         let name = VmName::from(format!("router-{i}"));
@@ -93,12 +93,12 @@
             claim: None,
             claims_wanted: 0,
             nonce: 0,
-            ran: Vec::new(),
+            executed_keys: Vec::new(),
             timing,
             budgets: None,
             last_short_report: None,
             retries_wanted: 0,
-            repeated: Vec::new(),
+            retry_times: Vec::new(),
         }
     }
 
@@ -114,42 +114,42 @@
         }
     }
 
-    /// The revision that it has applied.
+    /// The revision that the router has applied.
     pub fn applied(&self) -> Revision {
         self.lease.applied()
     }
 
-    /// Whether the quarantine allows it to send a request with this content.
+    /// Whether the quarantine allows the router to send a request with this content.
     pub fn may_send(&self, content: &ContentDigest) -> bool {
         let mut runs = InterruptedRuns::default();
         runs.set_agreed(Instant::ZERO, self.lease.configuration().suspects());
         runs.may_send(Instant::ZERO, content)
     }
 
-    /// Whether its lease is valid, so that it serves.
+    /// Whether the router's lease is valid, so that it serves.
     pub fn serves(&self, now: Instant) -> bool {
         self.lease.is_live(now)
     }
 
-    /// Adds this number of claims for it to make.
-    pub fn want_claims(&mut self, claims: u32) {
+    /// Adds this number of claims for the router to make.
+    pub fn add_claims(&mut self, claims: u32) {
         self.claims_wanted += claims;
     }
 
-    /// Has it serve a pool whose streams need this number of retries.
-    pub fn want_repeats(&mut self, repeats: u64) {
-        self.retries_wanted = repeats;
+    /// Has the router serve a pool whose streams need this number of retries.
+    pub fn need_retries(&mut self, retries: u64) {
+        self.retries_wanted = retries;
         self.budgets
             .get_or_insert_with(|| RetryBudgets::new(RETRY_LIMITS, START));
     }
 
-    /// Returns the number of retries that it may use from its grants.
-    pub fn repeats_left(&mut self, now: Instant) -> u64 {
+    /// Returns the number of retries that the router may use from its grants.
+    pub fn retries_left(&mut self, now: Instant) -> u64 {
         let budgets = self.budgets.as_mut();
         budgets.map_or(0, |b| b.of_pool(POOL).granted().available(now))
     }
 
-    /// Uses the retries that its streams need, as far as the budget allows.
+    /// Uses the retries that the router's streams need, as far as the budget allows.
     fn use_retries(&mut self, now: Instant) {
         let Some(budgets) = &mut self.budgets else {
             return;
@@ -162,7 +162,7 @@
                 break;
             }
             self.retries_wanted -= 1;
-            self.repeated.push(now);
+            self.retry_times.push(now);
         }
     }
 
@@ -176,7 +176,7 @@
         Some(ControlRequest::Repeats(self.holder(), report))
     }
 
-    /// Kills and restarts it; may be called between any two of its steps.
+    /// Kills and restarts the router; may be called between any two of its steps.
     pub fn restart(&mut self, timing: LeaseTiming) {
         self.boot += 1;
         self.lease = RouterLeaseState::new(timing);
@@ -189,13 +189,13 @@
     }
 
     /// Chooses the replica for the next request and returns its slot.
-    pub fn choose(&mut self, now: Instant) -> u32 {
+    pub fn choose_replica(&mut self, now: Instant) -> u32 {
         self.last_slot = self.choice.next(now).unwrap_or_default();
         self.last_slot
     }
 
     /// Slot of the replica that the last request went to.
-    pub fn asked(&self) -> usize {
+    pub fn last_slot(&self) -> usize {
         self.last_slot as usize
     }
 
@@ -332,7 +332,7 @@
         if nonce.is_multiple_of(3) {
             return Outcome::NotRun;
         }
-        self.ran.push(key.to_string());
+        self.executed_keys.push(key.to_string());
         Outcome::Answer {
             status: 200,
             body: Vec::new(),
--- a/crates/deckwind-testkit/src/soak/calls.rs
+++ b/crates/deckwind-testkit/src/soak/calls.rs
@@ -1,9 +1,9 @@
 //! Requests of callers and operators, and checks of their answers.
 
 use super::environment::Target;
-use super::notices::{Spans, id_at};
+use super::notices::{FaultSpans, id_for_router};
 use bytes::Bytes;
-use deckwind_fakes::{ENDS_ITS_TARGET, EVENTS, FakeCall, release_document};
+use deckwind_fakes::{ENDS_ITS_TARGET, EVENTS_PER_STREAM, FakeCall, release_document};
 use http::{Request, StatusCode};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -57,7 +57,7 @@
     pub not_run: Mutex<BTreeSet<String>>,
     pub violations: Mutex<Vec<String>>,
     /// Times at which each router was killed, stopped or suspended.
-    pub router_faults: Vec<Spans>,
+    pub router_faults: Vec<FaultSpans>,
     pub stop: AtomicBool,
 }
 
@@ -133,7 +133,7 @@
     pub async fn request(&self, kind: &str, id: &str, router: usize) -> Outcome {
         let router = router % self.routers.len();
         let address = self.routers[router];
-        let id = &id_at(id, router);
+        let id = &id_for_router(id, router);
         let (path, pause) = match kind {
             FLOOD => (
                 format!("/stream/flood-{}-{}", FLOOD_SIZE.0, FLOOD_SIZE.1),
@@ -196,7 +196,7 @@
 
 fn stream_body() -> String {
     let event = |i| format!("id: {i}\ndata: token {i}\n\n");
-    (1..=EVENTS).map(event).collect()
+    (1..=EVENTS_PER_STREAM).map(event).collect()
 }
 
 fn flood_body() -> String {
--- a/crates/deckwind-testkit/tests/testsuite/lives.rs
+++ b/crates/deckwind-testkit/tests/testsuite/incarnations.rs
@@ -1,7 +1,7 @@
 //! Restarts of targets under the same id: committed state, orders and late messages of the
 //! previous incarnation must not apply to the new one. Runs in virtual time.
 
-use crate::support::{announced, cards, instances, model};
+use crate::support::{announced_change, announced_instances, engine_cards, model};
 use deckwind_core::control::{ControlEvent, OperatorReply, PlacementManager};
 use deckwind_core::state::{
     Command, CommandBody, Incarnation, Instance, InstanceChange, InstanceState, LayerRange, Pool,
@@ -9,7 +9,7 @@
 };
 use deckwind_core::time::Instant;
 use deckwind_testkit::fan_out::engine;
-use deckwind_testkit::{Lab, NetFaults};
+use deckwind_testkit::{ControlSimulation, NetFaults};
 use std::time::Duration;
 use yare::parameterized;
 
@@ -35,7 +35,7 @@
 }
 
 struct RestartRig {
-    lab: Lab,
+    sim: ControlSimulation,
     leader: usize,
     follower: usize,
 }
@@ -44,12 +44,12 @@
     /// Creates a cluster in which the engine's incarnation that started at
     /// [`FIRST_BORN_MS`] is registered, with four layers.
     fn new() -> Self {
-        let mut lab = Lab::new(3, 1, 11, NetFaults::NONE);
-        let leader = lab.run_until_led();
-        lab.run_for(Duration::from_secs(1));
+        let mut sim = ControlSimulation::new(3, 1, 11, NetFaults::NONE);
+        let leader = sim.run_until_leader();
+        sim.run_for(Duration::from_secs(1));
         let follower = usize::from(leader == 0);
         let mut rig = Self {
-            lab,
+            sim,
             leader,
             follower,
         };
@@ -59,12 +59,12 @@
     }
 
     fn announce(&mut self, instance: Instance) {
-        self.lab.announce(self.follower, instance);
-        self.lab.run_for(COMMIT_TIME);
+        self.sim.announce(self.follower, instance);
+        self.sim.run_for(COMMIT_TIME);
     }
 
     fn committed(&self, id: &str) -> Option<Instance> {
-        let node = self.lab.node(self.leader).expect("it is up");
+        let node = self.sim.node(self.leader).expect("it is up");
         let cfg = node.core().state_machine().configuration();
         cfg.instances().get(id).cloned()
     }
@@ -74,9 +74,9 @@
     }
 
     fn leave(&mut self, born: Option<u64>) -> OperatorReply {
-        self.lab.leave(self.leader, life_id(born));
-        self.lab.run_for(Duration::from_millis(600));
-        let reply = self.lab.last_reply("engine-1");
+        self.sim.leave(self.leader, life_id(born));
+        self.sim.run_for(Duration::from_millis(600));
+        let reply = self.sim.last_reply("engine-1");
         reply.expect("the leave is answered").clone()
     }
 }
@@ -102,7 +102,7 @@
     let want = if at_once { second } else { first };
     assert_eq!(rig.registered().map(|i| i.born), want, "at once");
     let mut rig = RestartRig::new();
-    rig.lab.run_for(Duration::from_secs(5));
+    rig.sim.run_for(Duration::from_secs(5));
     let silent = rig.registered().map(|i| i.state);
     assert_eq!(silent, Some(InstanceState::Silent));
     rig.announce(announcement(born, 0, 1));
@@ -122,11 +122,11 @@
     let mut machine = StateMachine::default();
     apply(
         &mut machine,
-        announced(announcement(Some(FIRST_BORN_MS), 4, 50)),
+        announced_change(announcement(Some(FIRST_BORN_MS), 4, 50)),
     );
     before.into_iter().for_each(|c| apply(&mut machine, c));
     let new = announcement(Some(FIRST_BORN_MS + 1), 0, 1);
-    apply(&mut machine, announced(new.clone()));
+    apply(&mut machine, announced_change(new.clone()));
     assert_eq!(registered(&machine), Some(new));
 }
 
@@ -136,17 +136,17 @@
     silent_by_then = { InstanceChange::Silent(life_id(Some(FIRST_BORN_MS))) },
     left_by_then = { InstanceChange::Left(life_id(Some(FIRST_BORN_MS))) },
     drained_by_then = { draining_announcement() },
-    announced_by_then = { announced(announcement(Some(FIRST_BORN_MS), 6, 60)) },
+    announced_by_then = { announced_change(announcement(Some(FIRST_BORN_MS), 6, 60)) },
     of_an_engine_that_reports_no_start = { InstanceChange::Left(life_id(None)) },
 )]
 fn late_changes_of_an_ended_incarnation_are_ignored(late: InstanceChange) {
     let mut machine = StateMachine::default();
     apply(
         &mut machine,
-        announced(announcement(Some(FIRST_BORN_MS), 4, 50)),
+        announced_change(announcement(Some(FIRST_BORN_MS), 4, 50)),
     );
     let new = announcement(Some(FIRST_BORN_MS + 1), 2, 1);
-    apply(&mut machine, announced(new.clone()));
+    apply(&mut machine, announced_change(new.clone()));
     apply(&mut machine, late);
     assert_eq!(registered(&machine), Some(new));
 }
@@ -169,7 +169,7 @@
     rig.announce(announcement(Some(FIRST_BORN_MS + 1), 0, 1));
     for number in 51..56 {
         rig.announce(announcement(Some(FIRST_BORN_MS), 4, number));
-        rig.lab.run_for(ANNOUNCE_INTERVAL);
+        rig.sim.run_for(ANNOUNCE_INTERVAL);
         assert_eq!(
             rig.registered().map(|i| i.born),
             Some(Some(FIRST_BORN_MS + 1))
@@ -184,7 +184,7 @@
 #[test]
 fn a_silent_incarnation_that_an_older_one_replaced_comes_back() {
     let mut rig = RestartRig::new();
-    rig.lab.run_for(Duration::from_secs(5));
+    rig.sim.run_for(Duration::from_secs(5));
     rig.announce(announcement(Some(FIRST_BORN_MS - 9), 6, 7));
     assert_eq!(
         rig.registered().map(|i| i.born),
@@ -195,7 +195,7 @@
         rig.registered().map(|i| i.born),
         Some(Some(FIRST_BORN_MS - 9))
     );
-    rig.lab.run_for(Duration::from_secs(5));
+    rig.sim.run_for(Duration::from_secs(5));
     rig.announce(announcement(Some(FIRST_BORN_MS), 4, 52));
     let now = rig.registered().expect("the engine is registered");
     assert_eq!((now.born, now.layers.len()), (Some(FIRST_BORN_MS), 4));
@@ -211,14 +211,14 @@
         ..announcement(Some(FIRST_BORN_MS - 9), 0, 3)
     };
     let leader = rig.leader;
-    rig.lab.announce(leader, draining.clone());
-    rig.lab.run_for(COMMIT_TIME);
-    let reply = rig.lab.last_reply("engine-1");
+    rig.sim.announce(leader, draining.clone());
+    rig.sim.run_for(COMMIT_TIME);
+    let reply = rig.sim.last_reply("engine-1");
     assert_eq!(reply, Some(&OperatorReply::Unconfirmed));
-    rig.lab.run_for(Duration::from_secs(5));
-    rig.lab.announce(leader, draining);
-    rig.lab.run_for(Duration::from_millis(600));
-    let reply = rig.lab.last_reply("engine-1");
+    rig.sim.run_for(Duration::from_secs(5));
+    rig.sim.announce(leader, draining);
+    rig.sim.run_for(Duration::from_millis(600));
+    let reply = rig.sim.last_reply("engine-1");
     assert!(
         matches!(reply, Some(OperatorReply::Accepted { .. })),
         "{reply:?}"
@@ -261,7 +261,7 @@
         OperatorReply::Unconfirmed
     );
     assert!(rig.registered().is_some());
-    rig.lab.run_for(Duration::from_secs(5));
+    rig.sim.run_for(Duration::from_secs(5));
     let reply = rig.leave(Some(FIRST_BORN_MS - 1));
     assert!(matches!(reply, OperatorReply::Accepted { .. }), "{reply:?}");
     assert_eq!(rig.registered(), None);
@@ -290,8 +290,8 @@
     let new = announcement(Some(FIRST_BORN_MS + 1), 2, 1);
     rig.announce(new.clone());
     let leader = rig.leader;
-    rig.lab.happens(leader, late);
-    rig.lab.run_for(COMMIT_TIME);
+    rig.sim.push_event(leader, late);
+    rig.sim.run_for(COMMIT_TIME);
     assert_eq!(rig.registered(), Some(new));
 }
 
@@ -321,7 +321,7 @@
     for start in 0..2_000 {
         apply(
             &mut machine,
-            announced(announcement(Some(FIRST_BORN_MS + start), 4, 9)),
+            announced_change(announcement(Some(FIRST_BORN_MS + start), 4, 9)),
         );
     }
     let size = machine.to_snapshot().len();
@@ -330,7 +330,7 @@
     for late in 1_992..1_999 {
         apply(
             &mut machine,
-            announced(announcement(Some(FIRST_BORN_MS + late), 4, 99)),
+            announced_change(announcement(Some(FIRST_BORN_MS + late), 4, 99)),
         );
         assert_eq!(registered(&machine), Some(last.clone()));
     }
@@ -346,7 +346,11 @@
 fn state_is_read_in_its_own_version_only(change: fn(Vec<u8>) -> Vec<u8>, read: bool) {
     let command = Command {
         at_ms: FIRST_BORN_MS,
-        body: CommandBody::Instances(vec![announced(announcement(Some(FIRST_BORN_MS), 4, 50))]),
+        body: CommandBody::Instances(vec![announced_change(announcement(
+            Some(FIRST_BORN_MS),
+            4,
+            50,
+        ))]),
     };
     let mut machine = StateMachine::default();
     machine.apply(command.clone());
@@ -376,11 +380,14 @@
         pools: vec![pool],
         ..Release::default()
     };
-    let fleet = instances(&cards("a", 5, 0, 0));
+    let fleet = announced_instances(&engine_cards("a", 5, 0, 0));
     let mut machine = StateMachine::default();
     for i in &fleet {
         let born = Some(FIRST_BORN_MS);
-        apply(&mut machine, announced(Instance { born, ..i.clone() }));
+        apply(
+            &mut machine,
+            announced_change(Instance { born, ..i.clone() }),
+        );
     }
     let mut manager = PlacementManager::default();
     let mut now = Instant::from_millis(1_000);
@@ -414,7 +421,7 @@
     let born = Some(FIRST_BORN_MS + 1);
     apply(
         &mut machine,
-        announced(Instance {
+        announced_change(Instance {
             born,
             ..again.clone()
         }),
@@ -434,7 +441,7 @@
 }
 
 fn draining_announcement() -> InstanceChange {
-    announced(Instance {
+    announced_change(Instance {
         state: InstanceState::Draining,
         ..announcement(Some(FIRST_BORN_MS), 4, 51)
     })
--- a/crates/deckwind-testkit/tests/testsuite/main.rs
+++ b/crates/deckwind-testkit/tests/testsuite/main.rs
@@ -3,82 +3,82 @@
 mod announcements;
 mod at_most_once;
 mod at_size;
+mod attempt_results;
+mod attempted_targets;
 mod bystanders;
 mod caller_bodies;
 mod callers;
-mod come_back;
 mod command_line;
 mod connections;
 mod contracts;
-mod crowding;
-mod cut_runs;
 mod decisions;
-mod ending_requests;
-mod ending_templates;
-mod engine_use;
+mod engine_load;
 mod examples;
 mod fan_out;
 mod full_disk;
 mod growth;
-mod held_back;
 mod inbox;
+mod incarnations;
+mod incarnations_at_routers;
 mod instance_index;
+mod interrupted_runs;
+mod invalid_announcements;
+mod lagging_callers;
 mod leader_changes;
-mod leaving;
+mod leaving_vms;
 mod limit_rig;
-mod limits;
-mod lives;
-mod lives_at_routers;
 mod notices;
 mod orders;
-mod other_writers;
-mod passed_on;
+mod overload;
 mod paths;
 mod placement;
 mod placement_at_size;
+mod poison_requests;
+mod poison_templates;
 mod processes;
-mod promises;
-mod published;
+mod published_releases;
 mod quarantine;
 mod rejections;
+mod relayed_requests;
 mod release_changes;
 mod renewals;
-mod repeat_rig;
-mod repeat_share;
-mod repeats;
 mod replication;
 mod replication_flow;
-mod rests;
+mod rest_periods;
+mod retries;
+mod retry_rig;
+mod retry_share;
+mod returning_callers;
 mod rig;
 mod routes;
 mod seeds;
 mod sessions;
 mod settings;
-mod shared_bound;
-mod shared_limit;
-mod silence;
-mod slow;
+mod shared_rate_limit;
+mod shared_retry_budget;
+mod slow_engines;
 mod slow_readers;
 mod soak;
 mod spare_engines;
 mod specification;
+mod stalled_streams;
 mod status;
 mod store;
 mod support;
-mod suspended;
+mod suspended_vms;
+mod target_limits;
 mod target_periods;
 mod template;
-mod tries;
 
 use std::net::SocketAddr;
 
 /// The loopback address with port 0, which binds to any free port.
-fn any() -> SocketAddr {
+fn any_loopback_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 /// Runs an asynchronous test on a multi-threaded runtime.
-fn run(test: impl Future<Output = ()>) {
+fn run_async(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build();
--- a/crates/deckwind-testkit/tests/testsuite/published.rs
+++ b/crates/deckwind-testkit/tests/testsuite/published_releases.rs
@@ -1,8 +1,8 @@
 //! Releases, announced targets, event streams and the retry budget: table-driven unit tests
 //! and simulations in virtual time.
 
-use crate::repeat_rig::{Control, STARTED};
-use crate::support::announced;
+use crate::retry_rig::{Control, RESTARTED};
+use crate::support::announced_change;
 use deckwind_core::routes::{
     EventSplitter, ReleaseIndex, RequestClass, RetryBudgets, RetryLimits, RetrySource,
 };
@@ -204,12 +204,12 @@
     let draining = instance("i", 1, InstanceState::Draining, 7);
     apply_change(
         &mut machine,
-        announced(instance("i", 1, InstanceState::Ready, 5)),
+        announced_change(instance("i", 1, InstanceState::Ready, 5)),
     );
-    apply_change(&mut machine, announced(draining));
+    apply_change(&mut machine, announced_change(draining));
     apply_change(
         &mut machine,
-        announced(instance("i", 1, InstanceState::Ready, 6)),
+        announced_change(instance("i", 1, InstanceState::Ready, 6)),
     );
     assert_eq!(state_of(&machine, "i"), Some(InstanceState::Draining));
     // Results of the leader's own orders and probes don't end the drain either.
@@ -226,7 +226,7 @@
     apply_change(&mut machine, InstanceChange::Left("i".into()));
     apply_change(
         &mut machine,
-        announced(instance("i", 1, InstanceState::Ready, 9)),
+        announced_change(instance("i", 1, InstanceState::Ready, 9)),
     );
     assert_eq!(state_of(&machine, "i"), None);
 }
@@ -236,17 +236,17 @@
     let mut machine = StateMachine::default();
     apply_change(
         &mut machine,
-        announced(instance("old", 1, InstanceState::Ready, 5)),
+        announced_change(instance("old", 1, InstanceState::Ready, 5)),
     );
     apply_change(
         &mut machine,
-        announced(instance("new", 1, InstanceState::Ready, 1)),
+        announced_change(instance("new", 1, InstanceState::Ready, 1)),
     );
     assert_eq!(state_of(&machine, "old"), None);
     assert_eq!(state_of(&machine, "new"), Some(InstanceState::Ready));
     apply_change(
         &mut machine,
-        announced(instance("old", 1, InstanceState::Ready, 6)),
+        announced_change(instance("old", 1, InstanceState::Ready, 6)),
     );
     assert_eq!(state_of(&machine, "new"), Some(InstanceState::Ready));
 }
@@ -258,7 +258,7 @@
         let id = format!("i{i}");
         apply_change(
             &mut machine,
-            announced(instance(&id, i, InstanceState::Ready, 1)),
+            announced_change(instance(&id, i, InstanceState::Ready, 1)),
         );
         apply_change(&mut machine, InstanceChange::Left(id.into()));
     }
@@ -333,7 +333,7 @@
         window: Duration::from_secs(10),
     };
     let mut budgets: Vec<_> = (0..routers)
-        .map(|_| RetryBudgets::new(limits, STARTED))
+        .map(|_| RetryBudgets::new(limits, RESTARTED))
         .collect();
     let mut control = Control::new(Instant::from_millis(1_000));
     let mut rng = ChaCha8Rng::seed_from_u64(7);
@@ -349,7 +349,7 @@
         };
         if ms % 400 == 0 {
             for (i, budgets) in budgets.iter_mut().enumerate() {
-                control.ask(now, &holder(i, 0), budgets);
+                control.request_retries(now, &holder(i, 0), budgets);
             }
         }
         // Bursts: one second of full load, then one second at a tenth of it.
@@ -390,7 +390,7 @@
         extra: 0.0,
         window: Duration::from_secs(10),
     };
-    let mut budgets = RetryBudgets::new(limits, STARTED);
+    let mut budgets = RetryBudgets::new(limits, RESTARTED);
     let now = Instant::from_millis(1_000);
     for _ in 0..100 {
         budgets.of_pool("busy").record_request(now);
@@ -415,7 +415,7 @@
         window: Duration::from_secs(10),
     };
     let mut routers: Vec<_> = (0..9)
-        .map(|_| (RetryBudgets::new(limits, STARTED), 0u64))
+        .map(|_| (RetryBudgets::new(limits, RESTARTED), 0u64))
         .collect();
     let mut control = Control::new(Instant::from_millis(20_000));
     let mut retries = Vec::new();
@@ -428,12 +428,12 @@
         };
         for (i, (budgets, boot)) in routers.iter_mut().enumerate() {
             if stopped(i) {
-                (*budgets, *boot) = (RetryBudgets::new(limits, STARTED), 1);
+                (*budgets, *boot) = (RetryBudgets::new(limits, RESTARTED), 1);
                 continue;
             }
             budgets.of_pool("pool").record_request(now);
             if ms % 200 == 0 {
-                control.ask(now, &holder(i, *boot), budgets);
+                control.request_retries(now, &holder(i, *boot), budgets);
             }
             let budget = budgets.of_pool("pool");
             if budget.spend(now, RequestClass::Begun, ms).is_some() {
--- a/crates/deckwind-testkit/tests/testsuite/repeat_share.rs
+++ b/crates/deckwind-testkit/tests/testsuite/retry_share.rs
@@ -1,7 +1,7 @@
 //! The share of its own requests that each router may retry: all routers together must keep
 //! to it, also when processes restart and callers move to other routers. Virtual time.
 
-use crate::repeat_rig::{Control, LIMITS};
+use crate::retry_rig::{Control, LIMITS};
 use deckwind_core::routes::{ProcessStart, RequestClass, RetryBudgets};
 use deckwind_core::state::RouterProcess;
 use deckwind_core::time::Instant;
@@ -106,7 +106,7 @@
         };
         for (i, (budgets, boot)) in routers.iter_mut().enumerate().skip(stopped) {
             if (ms + i as u64 * 30).is_multiple_of(RENEWAL_INTERVAL_MS) {
-                control.ask(at(ms), &holder(i, *boot), budgets);
+                control.request_retries(at(ms), &holder(i, *boot), budgets);
             }
         }
         if ms.is_multiple_of(REQUEST_INTERVAL_MS) {
--- a/crates/deckwind-testkit/tests/testsuite/come_back.rs
+++ b/crates/deckwind-testkit/tests/testsuite/returning_callers.rs
@@ -7,7 +7,7 @@
 //! ended for want of a retry, and the first event came 120 ms (median) after a stream had
 //! been admitted.
 
-use crate::repeat_rig::Control;
+use crate::retry_rig::Control;
 use deckwind_core::routes::{ProcessStart, RefusalReason, RequestClass, RetryBudgets, RetryLimits};
 use deckwind_core::state::RouterProcess;
 use deckwind_core::time::Instant;
@@ -97,7 +97,7 @@
                 vm: format!("r{i}").as_str().into(),
                 boot: 1,
             };
-            control.ask(now, &holder, &mut budgets[i]);
+            control.request_retries(now, &holder, &mut budgets[i]);
         }
         let budget = budgets[arrival.router].of_pool("pool");
         budget.record_request(now);
--- a/crates/deckwind-testkit/tests/testsuite/rig.rs
+++ b/crates/deckwind-testkit/tests/testsuite/rig.rs
@@ -1,7 +1,7 @@
 //! A small cluster with fake targets, for tests of routes.
 
 use bytes::Bytes;
-use deckwind_fakes::{FakeCall, FakeRunner, release_document};
+use deckwind_fakes::{FakeCall, FakeTargetServer, release_document};
 use deckwind_testkit::{Cluster, Layout, eventually_async};
 use http::{HeaderMap, Request, StatusCode};
 use http_body_util::{BodyExt, Full};
@@ -15,11 +15,11 @@
 use tokio::task::JoinHandle;
 
 /// An API key that the first release contains.
-pub const KEY: &str = "a-key";
+pub const API_KEY: &str = "a-key";
 
 /// Returns the data centre of target `i`: targets with an even number are in the router's
 /// own one.
-pub fn data_centre(i: usize) -> &'static str {
+pub fn data_centre_of(i: usize) -> &'static str {
     match i % 2 {
         0 => "recife-a",
         _ => "fortaleza",
@@ -28,7 +28,7 @@
 
 /// A kind of request, and the number of targets that serve it in a test.
 #[derive(Clone, Copy)]
-pub struct Kind {
+pub struct RequestKind {
     pub path: &'static str,
     /// Whether the request generates tokens.
     pub tokens: bool,
@@ -36,8 +36,8 @@
     pub engines: usize,
 }
 
-const fn kind(path: &'static str, tokens: bool, plain: usize, engines: usize) -> Kind {
-    Kind {
+const fn kind(path: &'static str, tokens: bool, plain: usize, engines: usize) -> RequestKind {
+    RequestKind {
         path,
         tokens,
         plain,
@@ -46,19 +46,19 @@
 }
 
 /// Streams over a chain of engines that forward to each other.
-pub const STREAMS: Kind = kind("/stream/x", true, 0, 4);
+pub const STREAMS: RequestKind = kind("/stream/x", true, 0, 4);
 /// Plain requests that may be retried.
-pub const REPEATABLE: Kind = kind("/safe/x", false, 2, 0);
+pub const REPEATABLE: RequestKind = kind("/safe/x", false, 2, 0);
 /// Plain requests that run at most once.
-pub const ONCE: Kind = kind("/once/x", false, 2, 0);
+pub const ONCE: RequestKind = kind("/once/x", false, 2, 0);
 /// Streams that one target serves by itself, and that can't be resumed.
-pub const NOT_RESUMABLE: Kind = kind("/tell/x", true, 2, 0);
+pub const NOT_RESUMABLE: RequestKind = kind("/tell/x", true, 2, 0);
 
 /// A control replica, a router and fake targets.
 pub struct Rig {
     pub cluster: Cluster,
-    pub plain: Vec<FakeRunner>,
-    pub engines: Vec<FakeRunner>,
+    pub plain: Vec<FakeTargetServer>,
+    pub engines: Vec<FakeTargetServer>,
     announcer: Announcer,
 }
 
@@ -67,7 +67,7 @@
 
 /// A target that announces itself, and the state that it announces.
 struct AnnouncedTarget {
-    runner: FakeRunner,
+    server: FakeTargetServer,
     pool: String,
     data_centre: &'static str,
     state: String,
@@ -109,8 +109,8 @@
 
 impl AnnouncedTarget {
     fn body(&self, number: u64) -> Value {
-        let Self { runner, state, .. } = self;
-        runner.announcement(&self.pool, self.data_centre, state, number)
+        let Self { server, state, .. } = self;
+        server.announcement(&self.pool, self.data_centre, state, number)
     }
 }
 
@@ -119,7 +119,7 @@
     let mut all = all.lock().expect("no holder panics");
     let (targets, number) = &mut *all;
     let ready = targets.iter().filter(|(_, t)| t.state == "ready");
-    let reachable = ready.filter(|(_, t)| t.runner.listens());
+    let reachable = ready.filter(|(_, t)| t.server.is_reachable());
     let announcement = |(path, target): (&String, &AnnouncedTarget)| {
         *number += 1;
         (path.clone(), target.body(*number))
@@ -137,13 +137,13 @@
 }
 
 /// An answer as a caller received it.
-pub struct Heard {
+pub struct CallerAnswer {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: Result<String, String>,
 }
 
-impl Heard {
+impl CallerAnswer {
     /// Seconds until the caller may retry, from `Retry-After`.
     pub fn retry_after_time(&self) -> f64 {
         let after = self
@@ -186,17 +186,17 @@
         // A release without a clear answer is sent again, as operators do: the only
         // replica may have lost its lease because its VM was busy.
         eventually_async("the first release is accepted", || async {
-            (rig.publish(1, &[KEY]).await == StatusCode::OK).then_some(())
+            (rig.publish(1, &[API_KEY]).await == StatusCode::OK).then_some(())
         })
         .await;
         for i in 0..plain {
-            let runner = FakeRunner::start(&format!("p-{i}")).await;
-            rig.plain.push(runner.expect("a target"));
+            let server = FakeTargetServer::start(&format!("p-{i}")).await;
+            rig.plain.push(server.expect("a target"));
             rig.announce("plain", "p", i, "ready").await;
         }
         for i in 0..engines {
-            let runner = FakeRunner::start(&format!("e-{i}")).await;
-            rig.engines.push(runner.expect("an engine"));
+            let server = FakeTargetServer::start(&format!("e-{i}")).await;
+            rig.engines.push(server.expect("an engine"));
             rig.announce("engines", "e", i, "ready").await;
         }
         rig
@@ -207,14 +207,14 @@
     pub async fn start_placed(layout: Layout, plain: usize, engines: usize) -> Self {
         let mut rig = Self::start_with(layout, plain, engines).await;
         eventually_async("the layers are placed", || async {
-            let holds = |e: &FakeRunner| e.layers().1 > e.layers().0;
+            let holds = |e: &FakeTargetServer| e.layers().1 > e.layers().0;
             rig.engines.iter().all(holds).then_some(())
         })
         .await;
         for i in 0..engines {
             rig.announce("engines", "e", i, "ready").await;
         }
-        rig.until_in_force().await;
+        rig.wait_until_in_force().await;
         rig
     }
 
@@ -228,15 +228,15 @@
     }
 
     pub async fn announce(&mut self, pool: &str, id: &str, i: usize, state: &str) {
-        let runner = match pool {
+        let server = match pool {
             "plain" => &self.plain[i],
             _ => &self.engines[i],
         };
         let path = format!("/v1/instances/{id}-{i}/heartbeat");
         let target = AnnouncedTarget {
-            runner: runner.clone(),
+            server: server.clone(),
             pool: pool.to_string(),
-            data_centre: data_centre(i),
+            data_centre: data_centre_of(i),
             state: state.to_string(),
         };
         let body = self.announcer.record(&path, target);
@@ -250,13 +250,13 @@
     /// Waits until the routers know everything that was announced. A ready target's
     /// announcement is answered before that and a draining one's after it, so this
     /// announces a draining target.
-    pub async fn until_in_force(&mut self) {
-        let last = FakeRunner::start("last").await.expect("a target");
+    pub async fn wait_until_in_force(&mut self) {
+        let last = FakeTargetServer::start("last").await.expect("a target");
         let path = "/v1/instances/last/heartbeat";
         let target = AnnouncedTarget {
-            runner: last,
+            server: last,
             pool: "plain".to_string(),
-            data_centre: data_centre(0),
+            data_centre: data_centre_of(0),
             state: "draining".to_string(),
         };
         let body = self.announcer.record(path, target);
@@ -268,15 +268,15 @@
     }
 
     /// Waits until a request to the path is answered with 200.
-    pub async fn until_served(&self, path: &str, tokens: bool) {
+    pub async fn wait_until_served(&self, path: &str, tokens: bool) {
         eventually_async("a request is served", || async {
-            let answer = self.ask("warm-up", path, KEY, tokens).await;
+            let answer = self.ask("warm-up", path, API_KEY, tokens).await;
             (answer.status == StatusCode::OK).then_some(())
         })
         .await;
     }
 
-    pub async fn ask(&self, id: &str, path: &str, key: &str, tokens: bool) -> Heard {
+    pub async fn ask(&self, id: &str, path: &str, key: &str, tokens: bool) -> CallerAnswer {
         self.ask_resuming(id, path, key, tokens, None).await
     }
 
@@ -288,12 +288,12 @@
         key: &str,
         tokens: bool,
         last_event: Option<u64>,
-    ) -> Heard {
-        self.ask_at(0, id, path, key, tokens, last_event).await
+    ) -> CallerAnswer {
+        self.ask_router(0, id, path, key, tokens, last_event).await
     }
 
     /// Sends a request to the given router, with `Last-Event-Id` if `last_event` is set.
-    pub async fn ask_at(
+    pub async fn ask_router(
         &self,
         router: usize,
         id: &str,
@@ -301,7 +301,7 @@
         key: &str,
         tokens: bool,
         last_event: Option<u64>,
-    ) -> Heard {
+    ) -> CallerAnswer {
         let router = self.cluster.layout.routers[router].routes;
         let client = Client::builder(TokioExecutor::new()).build_http();
         let call = FakeCall {
@@ -315,7 +315,7 @@
         let res = client.request(req).await.expect("an answer's head");
         let (head, body) = res.into_parts();
         let body = body.collect().await.map_err(|e| e.to_string());
-        Heard {
+        CallerAnswer {
             status: head.status,
             headers: head.headers,
             body: body.map(|b| String::from_utf8_lossy(&b.to_bytes()).into_owned()),
@@ -323,13 +323,13 @@
     }
 
     /// Returns all plain targets and engines.
-    pub fn targets(&self) -> impl Iterator<Item = &FakeRunner> {
+    pub fn targets(&self) -> impl Iterator<Item = &FakeTargetServer> {
         self.plain.iter().chain(&self.engines)
     }
 
     /// Returns how often the request with this id was sent to a target.
-    pub fn sends(&self, id: &str) -> usize {
-        let seen = self.targets().flat_map(FakeRunner::seen);
+    pub fn send_count(&self, id: &str) -> usize {
+        let seen = self.targets().flat_map(FakeTargetServer::received_requests);
         seen.filter(|r| r.headers["x-deckwind-request-id"] == id)
             .count()
     }
--- a/crates/deckwindd/src/router/routes/delivery.rs
+++ b/crates/deckwindd/src/router/routes/delivery.rs
@@ -40,11 +40,11 @@
     pub request: &'a str,
     /// The account that sent the request.
     pub account: Option<&'a str>,
-    /// Time until which its caller waits at most.
+    /// Time until which the caller waits at most.
     pub deadline: Instant,
 }
 
-/// Why nothing more can be delivered to a caller.
+/// Reason why nothing more can be delivered to a caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DisconnectReason {
     /// The caller closed its connection.
@@ -63,7 +63,7 @@
     }
 }
 
-/// How an answer ends.
+/// End of an answer.
 enum AnswerEnd {
     Whole,
     Broken(String),
@@ -288,7 +288,7 @@
         })
     }
 
-    /// Returns the time until which its caller waits at most.
+    /// Returns the time until which the caller waits at most.
     pub fn deadline(&self) -> Instant {
         self.deadline
     }
